--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -30,7 +30,7 @@
 
 /// The backend servers that may have run one request.
 #[derive(Debug)]
-pub struct AttemptLedger {
+pub struct AttemptTracker {
     /// The most that there may be.
     most: u32,
     /// Those whose runs have ended.
@@ -41,7 +41,7 @@
     given_up: Vec<UsedBackend>,
 }
 
-impl AttemptLedger {
+impl AttemptTracker {
     /// The ledger of a request that may be sent to `most` backend servers.
     pub fn new(most: u32) -> Self {
         Self { most, ran: 0, is_return: false, given_up: Vec::new() }
--- a/crates/dispatch/src/verdict.rs
+++ b/crates/dispatch/src/decision.rs
@@ -8,7 +8,7 @@
 
 /// What is to be done with a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// Send it.
     Send {
         /// To this run of a backend server.
@@ -23,12 +23,12 @@
         copy: Option<PromptCopy>,
     },
     /// Let a gateway of another region serve it.
-    SendAway {
+    Forward {
         /// The region.
         region: RegionName,
         /// The first byte was expected after this many milliseconds here; `None` where no backend
         /// server here may take it.
-        here_ms: Option<f64>,
+        local_ms: Option<f64>,
     },
     /// Turn it away: it has not run.
     Refuse {
@@ -37,11 +37,11 @@
         /// When to come back.
         retry_after: Duration,
         /// What was known.
-        facts: RefusalFacts,
+        facts: RefusalDetails,
     },
 }
 
-impl Verdict {
+impl Decision {
     /// Whether the request is to be sent, wherever to.
     pub fn is_sent(&self) -> bool {
         !matches!(self, Self::Refuse { .. })
@@ -61,7 +61,7 @@
 
 /// What a refusal was decided from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RefusalFacts {
+pub struct RefusalDetails {
     /// Backend servers of the service that are known in the own region.
     pub known: usize,
     /// Of these, those that take new work and are not evacuated.
--- a/crates/dispatch/src/facts.rs
+++ b/crates/dispatch/src/facts.rs
@@ -31,7 +31,7 @@
 
 /// A backend server of the own region.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BackendFacts {
+pub struct BackendInfo {
     /// Its name.
     pub name: BackendName,
     /// Which run of that name it is. What was learned of an earlier run says nothing of it.
@@ -52,7 +52,7 @@
     pub cold_until: MonotonicTime,
 }
 
-impl BackendFacts {
+impl BackendInfo {
     /// Which run of which backend server it is.
     pub fn run(&self) -> BackendRun {
         BackendRun { backend: self.name.clone(), incarnation: self.incarnation }
--- a/crates/dispatch/src/handover.rs
+++ b/crates/dispatch/src/handover.rs
@@ -47,11 +47,11 @@
     /// so within it.
     pub grace: Duration,
     /// How many words the gateway of the new run's region has to answer in that time.
-    pub words: u32,
+    pub probes: u32,
     /// How long the answer to one of them is waited for.
-    pub word_limit: Duration,
+    pub probe_timeout: Duration,
     /// The same for the word that the old run has ended.
-    pub keep_limit: Duration,
+    pub commit_timeout: Duration,
     /// How long a new run in another region goes on without the word that the old one has ended.
     pub lease: Duration,
 }
@@ -63,24 +63,24 @@
         if self.begin.is_zero() {
             return self.within(0, LOCAL_OVERLAP, MOST_TOGETHER);
         }
-        WORDS.into_iter().find_map(|(words, most)| {
-            self.within(words, self.begin * 2 * words + WORD_MARGIN, most)
+        WORDS.into_iter().find_map(|(probes, most)| {
+            self.within(probes, self.begin * 2 * probes + WORD_MARGIN, most)
         })
     }
 
     /// The times of a handover with this overlap, where the runs are together for `most`.
-    fn within(&self, words: u32, overlap: Duration, most: Duration) -> Option<HandoverTimes> {
+    fn within(&self, probes: u32, overlap: Duration, most: Duration) -> Option<HandoverTimes> {
         let together = overlap.saturating_sub(self.begin) + self.cancel * CANCEL_FACTOR;
-        let word_limit = self.begin * 2 + WORD_MARGIN;
-        let keep_limit = word_limit.max(KEEP_LIMIT);
+        let probe_timeout = self.begin * 2 + WORD_MARGIN;
+        let commit_timeout = probe_timeout.max(KEEP_LIMIT);
         (together <= most).then_some(HandoverTimes {
             overlap,
             grace: WORD_MARGIN,
-            words,
-            word_limit,
-            keep_limit,
+            probes,
+            probe_timeout,
+            commit_timeout,
             // The word that the old run has ended may be late, or lost once.
-            lease: overlap + keep_limit + word_limit,
+            lease: overlap + commit_timeout + probe_timeout,
         })
     }
 }
--- a/crates/dispatch/src/hint.rs
+++ b/crates/dispatch/src/hint.rs
@@ -20,12 +20,12 @@
     /// How long ago it was sent, microseconds, when this is told.
     pub sent_ago_us: u32,
     /// What happened.
-    pub news: RequestNews,
+    pub news: RequestUpdate,
 }
 
 /// What happened to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum RequestNews {
+pub enum RequestUpdate {
     /// It was sent.
     Sent {
         /// The prompt tokens to be read; `None` for a request without a prompt.
@@ -40,7 +40,7 @@
         /// The load that the backend server stated with the answer.
         load: Option<BackendReport>,
         /// What is known of its limit.
-        limit: LimitNews,
+        limit: LimitUpdate,
     },
     /// It ended without an answer.
     Dropped,
@@ -55,7 +55,7 @@
 
 /// The limit of a backend server, as a gateway knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The limit that it stated last, if it stated one.
     pub limit: Option<StatedLimit>,
     /// How long ago the answer came that said so, microseconds. That may be long before the first
@@ -63,7 +63,7 @@
     pub ago_us: u32,
 }
 
-impl LimitNews {
+impl LimitUpdate {
     pub(crate) fn new(record: &LimitRecord, now: MonotonicTime) -> Self {
         Self { limit: record.limit(), ago_us: micros(now.since(record.came())) }
     }
@@ -77,7 +77,7 @@
     pub(crate) priority: u8,
     pub(crate) sent: MonotonicTime,
     pub(crate) happened: MonotonicTime,
-    pub(crate) news: RequestNews,
+    pub(crate) news: RequestUpdate,
 }
 
 impl OwnHint {
@@ -86,12 +86,12 @@
         let Self { run, request, priority, sent, happened, mut news } = self;
         let age_us = micros(now.since(happened));
         match &mut news {
-            RequestNews::Begun { ago_us, limit, .. } => {
+            RequestUpdate::Begun { ago_us, limit, .. } => {
                 *ago_us = age_us;
                 limit.ago_us = limit.ago_us.saturating_add(age_us);
             }
-            RequestNews::Backoff { left_us } => *left_us = left_us.saturating_sub(age_us),
-            RequestNews::Sent { .. } | RequestNews::Dropped | RequestNews::Leaving => {}
+            RequestUpdate::Backoff { left_us } => *left_us = left_us.saturating_sub(age_us),
+            RequestUpdate::Sent { .. } | RequestUpdate::Dropped | RequestUpdate::Leaving => {}
         }
         let sent_ago_us = micros(now.since(sent));
         BackendHint { run, request, priority, sent_ago_us, news }
@@ -99,13 +99,13 @@
 }
 
 /// What others are told of a statement at once. A limit goes along with the first byte instead.
-pub(crate) fn statement_news(change: &StatementChange) -> Option<RequestNews> {
+pub(crate) fn statement_news(change: &StatementChange) -> Option<RequestUpdate> {
     match change {
         StatementChange::Limit(_) => None,
         StatementChange::Backoff(backoff) => {
-            Some(RequestNews::Backoff { left_us: micros(backoff.duration()) })
+            Some(RequestUpdate::Backoff { left_us: micros(backoff.duration()) })
         }
-        StatementChange::Leaving => Some(RequestNews::Leaving),
+        StatementChange::Leaving => Some(RequestUpdate::Leaving),
     }
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -3,13 +3,13 @@
 //! Nothing here does I/O, reads a clock or starts a task: the time comes with each call, so the
 //! gateway and the replays of load run the same code. A gateway hands each request to a
 //! [`Scheduler`] as a [`WorkItem`], tells it what it learns ([`WorkOutcome`], [`BackendReport`],
-//! the fleet), and carries out the [`Verdict`]s.
+//! the fleet), and carries out the [`Decision`]s.
 //!
 //! - [`BackendLoad`] predicts when a backend server would give the first byte.
 //! - [`CacheEstimate`] knows which prompt parts a model engine probably still holds.
 //! - [`HealthRecord`] believes outcomes, and lets a suspect back by trial.
 //! - [`SilentRun`] says when another place is sought beside a run from which nothing comes.
-//! - [`AttemptLedger`] says which backend servers may get a request next.
+//! - [`AttemptTracker`] says which backend servers may get a request next.
 //! - [`HandoverDelays`] says how long such a run is kept beside the one that replaces it.
 //! - [`RepeatBudget`] and [`AllowanceShare`] divide what all gateways together may do.
 
@@ -17,6 +17,7 @@
 mod backoff;
 mod budget;
 mod cache;
+mod decision;
 mod facts;
 mod fade;
 mod handover;
@@ -35,27 +36,26 @@
 mod statement;
 mod unread;
 mod urgency;
-mod verdict;
 mod work;
 
 pub use {
-    attempts::{AttemptLedger, NextTarget, UsedBackend},
+    attempts::{AttemptTracker, NextTarget, UsedBackend},
     backoff::{InvalidBackoff, StatedBackoff},
     budget::{RepeatArrival, RepeatBudget, RepeatDecision},
     cache::CacheEstimate,
-    facts::{BackendFacts, SchedulerSettings},
+    decision::{Decision, PromptCopy, RefusalDetails},
+    facts::{BackendInfo, SchedulerSettings},
     handover::{HandoverDelays, HandoverTimes},
     health::HealthRecord,
-    hint::{BackendHint, LimitNews, RequestNews},
+    hint::{BackendHint, LimitUpdate, RequestUpdate},
     limit::{InvalidLimit, StatedLimit},
     load::{BackendLoad, BackendReport, SentRequest, WorkCost},
-    patience::begin_deadline,
-    regions::{FirstByteTimes, RegionFacts},
+    patience::deadline_for_first_byte,
+    regions::{FirstByteTimes, RegionInfo},
     scheduler::{STALL_CHECK_INTERVAL, Scheduler},
     share::AllowanceShare,
-    silence::{SilenceStep, SilentRun},
-    stall::StallWatch,
+    silence::{SilenceAction, SilentRun},
+    stall::StallDetector,
     statement::{BackendStatements, StatementChange},
-    verdict::{PromptCopy, RefusalFacts, Verdict},
     work::{PromptPart, PromptShape, RefusalReason, TicketId, WorkItem, WorkOutcome},
 };
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -16,7 +16,7 @@
 
 /// When the answer to a request has to begin, which is to end by `ends`. `event_patience`: how long
 /// its caller waits for an event of a stream.
-pub fn begin_deadline(
+pub fn deadline_for_first_byte(
     arrived: MonotonicTime,
     ends: MonotonicTime,
     event_patience: Option<Duration>,
--- a/crates/dispatch/src/regions.rs
+++ b/crates/dispatch/src/regions.rs
@@ -57,7 +57,7 @@
 
 /// What another region says of a service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RegionFacts {
+pub struct RegionInfo {
     /// The region.
     pub region: RegionName,
     /// The service.
@@ -74,7 +74,7 @@
 /// The other regions, as one gateway knows them.
 #[derive(Debug, Default)]
 pub(crate) struct RegionBook {
-    told: Vec<RegionFacts>,
+    told: Vec<RegionInfo>,
     /// What came with forwards, and when.
     words: PerService<(FirstByteTimes, MonotonicTime)>,
     /// Regions to which the path is broken, until then.
@@ -89,7 +89,7 @@
 
 impl RegionBook {
     /// Takes what control processes tell of all regions.
-    pub(crate) fn set(&mut self, told: Vec<RegionFacts>) {
+    pub(crate) fn set(&mut self, told: Vec<RegionInfo>) {
         self.told = told;
     }
 
@@ -97,7 +97,7 @@
     pub(crate) fn offers<'a>(
         &'a self,
         service: &'a ServiceName,
-    ) -> impl Iterator<Item = &'a RegionFacts> {
+    ) -> impl Iterator<Item = &'a RegionInfo> {
         self.told.iter().filter(move |r| r.service == *service && r.backends > 0)
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Whether no work should go there for now.
-    pub(crate) fn is_paused(&self, offer: &RegionFacts, now: MonotonicTime) -> bool {
+    pub(crate) fn is_paused(&self, offer: &RegionInfo, now: MonotonicTime) -> bool {
         let refused = self.refused.get(&offer.region).and_then(|of| of.get(&offer.service));
         self.is_broken(&offer.region, now) || refused.is_some_and(|until| now < *until)
     }
@@ -160,7 +160,7 @@
     /// Milliseconds until the first byte of a request that is sent there now has come back.
     pub(crate) fn first_byte_ms(
         &self,
-        offer: &RegionFacts,
+        offer: &RegionInfo,
         priority: u8,
         now: MonotonicTime,
     ) -> f64 {
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -19,10 +19,10 @@
 
 use {
     crate::{
-        AllowanceShare, BackendFacts, BackendHint, BackendLoad, BackendReport, BackendStatements,
-        CacheEstimate, FirstByteTimes, HealthRecord, LimitNews, PromptShape, RegionFacts,
-        RepeatArrival, RepeatBudget, RepeatDecision, RequestNews, SchedulerSettings, SentRequest,
-        StallWatch, StatementChange, TicketId, Verdict, WorkCost, WorkItem, WorkOutcome,
+        AllowanceShare, BackendHint, BackendInfo, BackendLoad, BackendReport, BackendStatements,
+        CacheEstimate, Decision, FirstByteTimes, HealthRecord, LimitUpdate, PromptShape,
+        RegionInfo, RepeatArrival, RepeatBudget, RepeatDecision, RequestUpdate, SchedulerSettings,
+        SentRequest, StallDetector, StatementChange, TicketId, WorkCost, WorkItem, WorkOutcome,
         hint::{OwnHint, ago, statement_news},
         load::PROGRESS_AGE,
         rate::RateGate,
@@ -49,7 +49,7 @@
 const TOLD_REPORT_AGE: Duration = Duration::from_millis(100);
 
 struct Backend {
-    facts: BackendFacts,
+    facts: BackendInfo,
     load: BackendLoad,
     cache: CacheEstimate,
     health: HealthRecord,
@@ -87,7 +87,7 @@
     /// Its part of what all gateways together may do.
     share: AllowanceShare,
     budgets: HashMap<ServiceName, RepeatBudget>,
-    stalls: StallWatch,
+    stalls: StallDetector,
     waiting: Vec<Waiting>,
     /// What other gateways of the region have not yet been told of.
     hints: Vec<OwnHint>,
@@ -118,7 +118,7 @@
             evacuated: Rc::default(),
             returned: BTreeMap::new(),
             budgets: HashMap::new(),
-            stalls: StallWatch::new(STALL_CHECK_INTERVAL),
+            stalls: StallDetector::new(STALL_CHECK_INTERVAL),
             waiting: Vec::new(),
             hints: Vec::new(),
             ended: BTreeSet::new(),
@@ -145,14 +145,14 @@
     /// Takes the backend servers of the own region as they are believed to be.
     pub fn set_backends(
         &mut self,
-        facts: impl IntoIterator<Item = BackendFacts>,
+        facts: impl IntoIterator<Item = BackendInfo>,
         now: MonotonicTime,
     ) {
         let mut old = std::mem::take(&mut self.backends);
         let (ended, facts): (Vec<_>, Vec<_>) =
             facts.into_iter().partition(|f| self.ended.contains(&f.run()));
         // What is announced no more need not be remembered.
-        self.ended = ended.iter().map(BackendFacts::run).collect();
+        self.ended = ended.iter().map(BackendInfo::run).collect();
         for facts in facts {
             // Another run holds nothing of the one before, and is to be blamed for nothing of it.
             let known = match old.get(&facts.name) {
@@ -196,20 +196,20 @@
     }
 
     /// Takes what other regions say of their services.
-    pub fn set_regions(&mut self, regions: Vec<RegionFacts>) {
+    pub fn set_regions(&mut self, regions: Vec<RegionInfo>) {
         self.regions.set(regions);
     }
 
     /// What this gateway would tell other regions of its own: for each service the backend servers
     /// that would be given work, and the least time until a first byte, strain included.
-    pub fn offers(&self, now: MonotonicTime) -> Vec<RegionFacts> {
+    pub fn offers(&self, now: MonotonicTime) -> Vec<RegionInfo> {
         let services: BTreeSet<&ServiceName> =
             self.backends.values().map(|b| &b.facts.service).collect();
         services.into_iter().filter_map(|service| self.offer(service, now)).collect()
     }
 
     /// The same of one service; `None` where nobody could be given work of it.
-    pub fn offer(&self, service: &ServiceName, now: MonotonicTime) -> Option<RegionFacts> {
+    pub fn offer(&self, service: &ServiceName, now: MonotonicTime) -> Option<RegionInfo> {
         let is_trusted = |b: &Backend| !b.health.is_suspect(now) && !b.load.is_stalled(now);
         let is_held =
             |b: &Backend| b.stated.limit.limit().is_some() || b.stated.backoff.is_backed_off(now);
@@ -226,7 +226,7 @@
                 })
             })
             .collect();
-        Some(RegionFacts {
+        Some(RegionInfo {
             region: self.settings.region.clone(),
             service: service.clone(),
             backends: u32::try_from(times.len()).unwrap_or(u32::MAX),
@@ -263,7 +263,7 @@
     }
 
     /// Decides about the requests that wait, as far as it can be decided now.
-    pub fn poll(&mut self, now: MonotonicTime) -> Vec<(TicketId, Verdict)> {
+    pub fn poll(&mut self, now: MonotonicTime) -> Vec<(TicketId, Decision)> {
         self.wake = None;
         let mut verdicts = Vec::new();
         let mut queue = std::mem::take(&mut self.waiting);
@@ -307,7 +307,7 @@
     }
 
     /// Notes the first byte of an answer.
-    pub fn begin(&mut self, ticket: TicketId, now: MonotonicTime) {
+    pub fn note_progress(&mut self, ticket: TicketId, now: MonotonicTime) {
         if let Some(place) = self.sent.get_mut(&ticket) {
             place.heard = Some(now);
         }
@@ -317,9 +317,9 @@
         backend.stated.backoff.note_accepted(now);
         backend.health.note_accepted(now);
         let load = backend.load.recent_report(TOLD_REPORT_AGE, now);
-        let limit = LimitNews::new(&backend.stated.limit, now);
+        let limit = LimitUpdate::new(&backend.stated.limit, now);
         let run = backend.facts.run();
-        let news = RequestNews::Begun { ago_us: 0, load, limit };
+        let news = RequestUpdate::Begun { ago_us: 0, load, limit };
         self.note_own(run, sent, news, now);
     }
 
@@ -328,7 +328,7 @@
         &mut self,
         run: BackendRun,
         request: SentRequest,
-        news: RequestNews,
+        news: RequestUpdate,
         now: MonotonicTime,
     ) {
         let SentRequest { request, priority, sent, .. } = request;
@@ -364,7 +364,7 @@
 
     /// Whether a place that was given may still be used: its run may have said meanwhile that it
     /// leaves or wants nothing.
-    pub fn may_use_place(&self, ticket: TicketId, now: MonotonicTime) -> bool {
+    pub fn is_placement_usable(&self, ticket: TicketId, now: MonotonicTime) -> bool {
         let Some(SentPlace { run, .. }) = self.sent.get(&ticket) else { return false };
         let backend = self.backends.get(&run.backend);
         backend.filter(|backend| backend.facts.incarnation == run.incarnation).is_some_and(
@@ -404,12 +404,12 @@
             _ => {}
         }
         if let Some(sent) = unbegun {
-            self.note_own(run, sent, RequestNews::Dropped, now);
+            self.note_own(run, sent, RequestUpdate::Dropped, now);
         }
     }
 
     /// Whether the budget of `service` has a repeat left.
-    pub fn look_at_repeats(&mut self, service: &ServiceName, now: MonotonicTime) -> RepeatDecision {
+    pub fn peek_repeat(&mut self, service: &ServiceName, now: MonotonicTime) -> RepeatDecision {
         let share = self.share;
         self.budget(service).look(&share, now)
     }
@@ -463,7 +463,7 @@
     }
 
     /// Notes what a region offers of a service, as it said with a forward.
-    pub fn note_region_word(
+    pub fn note_region_offer(
         &mut self,
         region: &RegionName,
         service: &ServiceName,
@@ -474,18 +474,18 @@
     }
 
     /// Notes how long a request took to another region and its word of arrival back.
-    pub fn note_region_delay(&mut self, region: &RegionName, took: Duration) {
+    pub fn note_region_rtt(&mut self, region: &RegionName, took: Duration) {
         self.regions.note_delay(region, took);
     }
 
     /// The time to another region and back, milliseconds.
-    pub fn region_delay_ms(&self, region: &RegionName) -> f64 {
+    pub fn region_rtt_ms(&self, region: &RegionName) -> f64 {
         self.regions.delay_ms(region)
     }
 
     /// The least time that a request took to another region and its word of arrival back; zero
     /// before the first one.
-    pub fn least_region_delay(&self, region: &RegionName) -> Duration {
+    pub fn min_region_rtt(&self, region: &RegionName) -> Duration {
         self.regions.least_delay(region)
     }
 
@@ -516,14 +516,14 @@
     fn note_hint(&mut self, hint: BackendHint, now: MonotonicTime) {
         let BackendHint { run, request, priority, sent_ago_us, news } = hint;
         let Some(backend) = run_of(&mut self.backends, &run) else {
-            if news == RequestNews::Leaving {
+            if news == RequestUpdate::Leaving {
                 self.retained.note_leaving(run, now);
             }
             return;
         };
         let sent = ago(now, sent_ago_us);
         match news {
-            RequestNews::Sent { tokens, parts } => {
+            RequestUpdate::Sent { tokens, parts } => {
                 let cost = WorkCost { tokens, slots: backend.facts.slots };
                 let other = SentRequest { request, cost, priority, sent };
                 backend.load.send(None, other, now);
@@ -532,7 +532,7 @@
                     backend.cache.note(&parts, engine.memory_tokens, now);
                 }
             }
-            RequestNews::Begun { ago_us, load, limit } => {
+            RequestUpdate::Begun { ago_us, load, limit } => {
                 let came = ago(now, ago_us);
                 backend.stated.limit.note(limit.limit, ago(now, limit.ago_us));
                 backend.load.note_first_byte(request, priority, sent, came);
@@ -540,12 +540,12 @@
                     backend.load.note_report(load, came);
                 }
             }
-            RequestNews::Dropped => backend.load.note_dropped(request),
-            RequestNews::Backoff { left_us } => {
+            RequestUpdate::Dropped => backend.load.note_dropped(request),
+            RequestUpdate::Backoff { left_us } => {
                 let until = now + Duration::from_micros(left_us.into());
                 backend.stated.backoff.note_peer(until, now);
             }
-            RequestNews::Leaving => backend.stated.is_leaving = true,
+            RequestUpdate::Leaving => backend.stated.is_leaving = true,
         }
     }
 
@@ -555,8 +555,8 @@
         self.budgets.entry(service.clone()).or_insert_with(new)
     }
 
-    fn carry_out(&mut self, waiting: &Waiting, verdict: &Verdict, now: MonotonicTime) {
-        let Verdict::Send { run, copy, priority, .. } = verdict else { return };
+    fn carry_out(&mut self, waiting: &Waiting, verdict: &Decision, now: MonotonicTime) {
+        let Decision::Send { run, copy, priority, .. } = verdict else { return };
         let name = &run.backend;
         let engine = self.services.get(&waiting.item.service).and_then(|s| s.engine);
         let Some(backend) = self.backends.get_mut(name) else { return };
@@ -578,7 +578,7 @@
             backend.cache.note(&prompt.parts, engine.memory_tokens, now);
         }
         self.sent.insert(waiting.ticket, SentPlace { run: run.clone(), heard: None });
-        let news = RequestNews::Sent { tokens: cost.tokens, parts };
+        let news = RequestUpdate::Sent { tokens: cost.tokens, parts };
         self.note_own(run.clone(), sent, news, now);
     }
 
--- a/crates/dispatch/src/scheduler/deciding.rs
+++ b/crates/dispatch/src/scheduler/deciding.rs
@@ -9,7 +9,7 @@
         look::ServiceLook,
         placing::{HereTimes, Local},
     },
-    crate::{RefusalFacts, RefusalReason, Verdict, WorkItem},
+    crate::{Decision, RefusalDetails, RefusalReason, WorkItem},
     gullglade_units::MonotonicTime,
     std::time::Duration,
 };
@@ -38,9 +38,9 @@
         waiting: &Waiting,
         look: &mut ServiceLook,
         now: MonotonicTime,
-    ) -> Option<Verdict> {
+    ) -> Option<Decision> {
         let item = &waiting.item;
-        if now + ANSWER_SLACK >= item.begins_by {
+        if now + ANSWER_SLACK >= item.first_byte_deadline {
             return Some(self.refuse(RefusalReason::TooLate, waiting, Duration::ZERO, now));
         }
         let local = match item.allows(&self.settings.region) {
@@ -52,32 +52,32 @@
             Local::Suspects { .. } | Local::Nobody => None,
         };
         if let Some(region) = self.better_region(item, here, now) {
-            let here_ms = here.map(|here| here.expected_ms);
-            return Some(Verdict::SendAway { region, here_ms });
+            let local_ms = here.map(|here| here.expected_ms);
+            return Some(Decision::Forward { region, local_ms });
         }
         match local {
             Local::Place { backend, here, copy } => {
                 let facts = &self.backends.get(&backend)?.facts;
                 let (address, run) = (facts.address, facts.run());
                 let HereTimes { expected_ms, priority, .. } = here;
-                Some(Verdict::Send { run, address, priority, expected_ms, copy })
+                Some(Decision::Send { run, address, priority, expected_ms, copy })
             }
             Local::Later { here, again, backoff_ends } => {
                 let wait = Duration::from_secs_f64((here.expected_ms + look.queued_ms()) / 1_000.0);
                 let worthwhile = item.arrived + item.route.objective * WORTHWHILE_FACTOR;
-                if now + wait >= item.begins_by.min(worthwhile) {
+                if now + wait >= item.first_byte_deadline.min(worthwhile) {
                     let (reason, wait) = match backoff_ends {
                         Some(end) => (RefusalReason::Backoff, end.since(now)),
                         None => (RefusalReason::TooLate, wait.min(LONGEST_RETRY)),
                     };
                     return Some(self.refuse(reason, waiting, wait, now));
                 }
-                self.look_again(again.min(item.begins_by));
+                self.look_again(again.min(item.first_byte_deadline));
                 None
             }
             Local::Suspects { again } => {
                 let wait = again.since(now);
-                let left = item.begins_by.since(now);
+                let left = item.first_byte_deadline.since(now);
                 if wait * 3 < left && wait < item.route.objective / 2 {
                     self.look_again(again);
                     return None;
@@ -94,18 +94,18 @@
         waiting: &Waiting,
         wait: Duration,
         now: MonotonicTime,
-    ) -> Verdict {
+    ) -> Decision {
         // Spread by the ticket: neighbours in the queue come back one after the other.
         let spread = Duration::from_millis(waiting.ticket.0.wrapping_mul(131) % RETRY_SPREAD_MS);
         let facts = self.refusal_facts(&waiting.item, now);
-        Verdict::Refuse { reason, retry_after: wait.max(LEAST_RETRY) + spread, facts }
+        Decision::Refuse { reason, retry_after: wait.max(LEAST_RETRY) + spread, facts }
     }
 
-    fn refusal_facts(&self, item: &WorkItem, now: MonotonicTime) -> RefusalFacts {
+    fn refusal_facts(&self, item: &WorkItem, now: MonotonicTime) -> RefusalDetails {
         let of_service = || self.backends.values().filter(|b| b.facts.service == item.service);
         let serving = || self.serving(&item.service);
         let offers = || self.allowed_offers(item);
-        RefusalFacts {
+        RefusalDetails {
             known: of_service().count(),
             serving: serving().count(),
             suspect: serving().filter(|b| b.health.is_suspect(now)).count(),
--- a/crates/dispatch/src/scheduler/placing.rs
+++ b/crates/dispatch/src/scheduler/placing.rs
@@ -9,7 +9,7 @@
         work_cost,
     },
     crate::{
-        PromptCopy, PromptShape, RegionFacts, SchedulerSettings, WorkCost, WorkItem,
+        PromptCopy, PromptShape, RegionInfo, SchedulerSettings, WorkCost, WorkItem,
         rate::RateBound,
         roster::{GatewayPlace, HANDOVER},
         urgency::{ObjectiveBook, Urgency},
@@ -119,7 +119,7 @@
     pub(super) fn allowed_offers<'a>(
         &'a self,
         item: &'a WorkItem,
-    ) -> impl Iterator<Item = &'a RegionFacts> {
+    ) -> impl Iterator<Item = &'a RegionInfo> {
         self.regions
             .offers(&item.service)
             .filter(|r| r.region != self.settings.region && item.allows(&r.region))
@@ -299,12 +299,12 @@
         here: Option<HereTimes>,
         now: MonotonicTime,
     ) -> Option<RegionName> {
-        let may_leave = item.may_leave && item.returns_to.is_none();
-        if !may_leave || here.is_some_and(|here| here.wait_ms + here.strain_ms < AWAY_WAIT_MS) {
+        let may_forward = item.may_forward && item.returns_to.is_none();
+        if !may_forward || here.is_some_and(|here| here.wait_ms + here.strain_ms < AWAY_WAIT_MS) {
             return None;
         }
         let priority = here.map_or(item.priority(), |here| here.priority);
-        let there_ms = |r: &RegionFacts| self.regions.first_byte_ms(r, priority, now);
+        let there_ms = |r: &RegionInfo| self.regions.first_byte_ms(r, priority, now);
         let best = self
             .allowed_offers(item)
             .filter(|r| !self.regions.is_paused(r, now))
--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -21,9 +21,9 @@
     /// How long nothing has come.
     pub silence: Duration,
     /// How long that is usual.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// How long it is waited for where its backend server is at work; `None`: to the end.
-    pub work_patience: Option<Duration>,
+    pub busy_timeout: Option<Duration>,
     /// Whether its backend server has answered anybody lately.
     pub is_at_work: bool,
     /// Whether another run may take its place.
@@ -38,7 +38,7 @@
 
 /// What is to be done about a silent run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SilenceStep {
+pub enum SilenceAction {
     /// Wait for it for so long, and ask again.
     Wait(Duration),
     /// Look for another place while it is still waited for.
@@ -47,20 +47,20 @@
 
 impl SilentRun {
     /// What is to be done now.
-    pub fn next_step(&self) -> SilenceStep {
+    pub fn next_action(&self) -> SilenceAction {
         if !self.may_be_replaced {
-            return SilenceStep::Wait(self.left);
+            return SilenceAction::Wait(self.left);
         }
-        let due = self.patience.saturating_sub(self.silence);
+        let due = self.timeout.saturating_sub(self.silence);
         let again = self.search_pause().saturating_sub(self.searched_ago);
-        let is_waited_for = self.work_patience.is_none_or(|most| self.silence < most);
+        let is_waited_for = self.busy_timeout.is_none_or(|most| self.silence < most);
         let wait = match due.max(again) {
             Duration::ZERO if self.is_at_work && is_waited_for => LOOK_INTERVAL,
             wait => wait,
         };
         match wait {
-            Duration::ZERO => SilenceStep::Search,
-            wait => SilenceStep::Wait(wait.min(self.left)),
+            Duration::ZERO => SilenceAction::Search,
+            wait => SilenceAction::Wait(wait.min(self.left)),
         }
     }
 
--- a/crates/dispatch/src/stall.rs
+++ b/crates/dispatch/src/stall.rs
@@ -10,7 +10,7 @@
 
 /// Notices from checks at regular times that the process has stood still.
 #[derive(Debug)]
-pub struct StallWatch {
+pub struct StallDetector {
     interval: Duration,
     last_check: Option<MonotonicTime>,
     stall: Option<StallSpan>,
@@ -24,7 +24,7 @@
     read_by: MonotonicTime,
 }
 
-impl StallWatch {
+impl StallDetector {
     /// A watch over a process that checks at this interval.
     pub fn new(interval: Duration) -> Self {
         Self { interval, last_check: None, stall: None }
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work.rs
@@ -64,7 +64,7 @@
     /// When its caller stops waiting, or its route's timeout comes.
     pub ends: MonotonicTime,
     /// When the answer has to begin, since its caller leaves otherwise; `ends` at the latest.
-    pub begins_by: MonotonicTime,
+    pub first_byte_deadline: MonotonicTime,
     /// Its prompt, where it has one.
     pub prompt: Option<PromptShape>,
     /// Backend servers that it was sent to and that are not to be tried again.
@@ -72,7 +72,7 @@
     /// The only backend server that may get it, where it goes back to one.
     pub returns_to: Option<BackendName>,
     /// Whether it may be sent to another region: not if it came from one.
-    pub may_leave: bool,
+    pub may_forward: bool,
     /// Whether it came in just now from its caller. Only then is it counted among the requests of
     /// which a part may be repeated: counted again with each placement, or by the gateway of the
     /// region that it is handed to, the parts of all gateways add up to more than is promised.
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -1,7 +1,7 @@
 //! Which backend servers may get a request next.
 
 use {
-    gullglade_dispatch::{AttemptLedger, NextTarget, UsedBackend},
+    gullglade_dispatch::{AttemptTracker, NextTarget, UsedBackend},
     gullglade_units::{BackendName, RegionName},
     std::collections::BTreeSet,
 };
@@ -34,7 +34,7 @@
 
 /// A request whose runs meet given fates.
 struct LedgerPlay {
-    ledger: AttemptLedger,
+    ledger: AttemptTracker,
     /// The backend server of the run under way, and whether it had the request before.
     current: (usize, bool),
     /// Backend servers that may have run it.
@@ -47,7 +47,7 @@
 impl LedgerPlay {
     fn new(most: u32) -> Self {
         Self {
-            ledger: AttemptLedger::new(most),
+            ledger: AttemptTracker::new(most),
             current: (0, false),
             ran: BTreeSet::new(),
             owed: BTreeSet::new(),
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_dispatch::{BackendStatements, Scheduler, StatedBackoff, Verdict, WorkOutcome},
+    gullglade_dispatch::{BackendStatements, Decision, Scheduler, StatedBackoff, WorkOutcome},
     gullglade_units::{RandomSource, SeededRandom},
     std::ops::Range,
     support::{
@@ -126,5 +126,5 @@
     let (_, waits) = place(&mut run, 10_010);
     assert_eq!(waits, None, "the suspect is tried again soon");
     let (_, sent) = place(&mut run, 10_500);
-    assert!(matches!(sent, Some(Verdict::Send { .. })), "{sent:?}");
+    assert!(matches!(sent, Some(Decision::Send { .. })), "{sent:?}");
 }
--- a/crates/dispatch/tests/copying.rs
+++ b/crates/dispatch/tests/copying.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_dispatch::{BackendFacts, PromptCopy, Scheduler, Verdict, WorkItem, WorkOutcome},
+    gullglade_dispatch::{BackendInfo, Decision, PromptCopy, Scheduler, WorkItem, WorkOutcome},
     gullglade_traffic::{EngineProfile, ServicePool},
     gullglade_units::MonotonicTime,
     std::{collections::BTreeSet, rc::Rc, time::Duration},
@@ -37,10 +37,12 @@
 fn place(scheduler: &mut Scheduler, id: u64, now: MonotonicTime) -> (String, Option<PromptCopy>) {
     let ticket = scheduler.submit(work(id, now), now);
     let verdict = scheduler.poll(now).into_iter().find(|(t, _)| *t == ticket).map(|(_, v)| v);
-    let Some(Verdict::Send { run, copy, expected_ms, .. }) = verdict else { panic!("{verdict:?}") };
+    let Some(Decision::Send { run, copy, expected_ms, .. }) = verdict else {
+        panic!("{verdict:?}")
+    };
     // The first byte comes when it was expected, so that nothing else is learned from it.
     let first_byte = MonotonicTime(now.0 + Duration::from_secs_f64(expected_ms / 1_000.0));
-    scheduler.begin(ticket, first_byte);
+    scheduler.note_progress(ticket, first_byte);
     scheduler.end(ticket, WorkOutcome::Answered, first_byte);
     (run.backend.as_str().to_owned(), copy)
 }
@@ -130,7 +132,7 @@
     restarted.set_backends(
         (0..4).map(|index| {
             let is_silent = index == holder;
-            BackendFacts { is_silent, ..facts(index) }
+            BackendInfo { is_silent, ..facts(index) }
         }),
         at(0),
     );
--- a/crates/dispatch/tests/departure.rs
+++ b/crates/dispatch/tests/departure.rs
@@ -4,7 +4,7 @@
 
 use {
     gullglade_dispatch::{
-        BackendFacts, BackendStatements, Scheduler, TicketId, Verdict, WorkOutcome,
+        BackendInfo, BackendStatements, Decision, Scheduler, TicketId, WorkOutcome,
     },
     gullglade_units::Incarnation,
     support::{at, backend, facts, item, place_prompt, route, scheduler},
@@ -18,7 +18,7 @@
     run.set_backends([facts(0)], at(ms));
     let (ticket, _) = place_prompt(run, ms).expect("the only one");
     run.note_statements(ticket, &LEAVING, at(ms));
-    run.begin(ticket, at(ms));
+    run.note_progress(ticket, at(ms));
     run.set_backends((0..engines).map(facts), at(ms));
     ticket
 }
@@ -65,7 +65,7 @@
         Case {
             what: "another run under its name",
             then: |run| {
-                let later = BackendFacts { incarnation: Incarnation(1), ..facts(0) };
+                let later = BackendInfo { incarnation: Incarnation(1), ..facts(0) };
                 run.set_backends([later, facts(1)], at(10_500));
             },
             gets_work: true,
@@ -114,7 +114,7 @@
     leave(&mut run, 1, 10_000);
     let ticket = run.submit(item(&route(0, 1_200, 2_500), None, at(10_500)), at(10_500));
     let verdicts = run.poll(at(10_500));
-    let [(refused, Verdict::Refuse { .. })] = &verdicts[..] else { panic!("{verdicts:?}") };
+    let [(refused, Decision::Refuse { .. })] = &verdicts[..] else { panic!("{verdicts:?}") };
     assert_eq!(*refused, ticket);
     assert!(run.offers(at(10_500)).is_empty(), "nothing is offered to other regions");
 }
--- a/crates/dispatch/tests/handover.rs
+++ b/crates/dispatch/tests/handover.rs
@@ -20,9 +20,9 @@
         cancel_ms: u64,
         begin_ms: u64,
         /// The words to be answered; `None` where the old run has to end first.
-        words: Option<u32>,
+        probes: Option<u32>,
     }
-    let case = |what, cancel_ms, begin_ms, words| Case { what, cancel_ms, begin_ms, words };
+    let case = |what, cancel_ms, begin_ms, probes| Case { what, cancel_ms, begin_ms, probes };
     let cases = [
         case("both here", 0, 0, Some(0)),
         case("to another region", 0, 55, Some(2)),
@@ -35,9 +35,9 @@
         case("within the farthest region", 300, 300, None),
         case("farther than any", 0, 2_000, None),
     ];
-    for Case { what, cancel_ms, begin_ms, words } in cases {
+    for Case { what, cancel_ms, begin_ms, probes } in cases {
         let times = HandoverDelays { cancel: ms(cancel_ms), begin: ms(begin_ms) }.times();
-        assert_eq!(times.map(|times| times.words), words, "{what}");
+        assert_eq!(times.map(|times| times.probes), probes, "{what}");
     }
 }
 
@@ -48,13 +48,13 @@
         for begin_ms in (0..400).step_by(5) {
             let (cancel, begin) = (ms(cancel_ms), ms(begin_ms));
             let Some(times) = (HandoverDelays { cancel, begin }).times() else { continue };
-            let HandoverTimes { overlap, words, word_limit, lease, .. } = times;
+            let HandoverTimes { overlap, probes, probe_timeout, lease, .. } = times;
             let what = format!("{cancel_ms} ms, {begin_ms} ms: {times:?}");
             assert!(overlap.saturating_sub(begin) + cancel <= MOST_TOGETHER, "{what}");
-            assert!(begin * 2 * words <= overlap, "no time for the words: {what}");
-            assert!(word_limit >= begin * 2, "no time for one word: {what}");
+            assert!(begin * 2 * probes <= overlap, "no time for the words: {what}");
+            assert!(probe_timeout >= begin * 2, "no time for one word: {what}");
             // Told at the end of the overlap, and once more where that is lost.
-            assert!(lease >= overlap + times.keep_limit, "{what}");
+            assert!(lease >= overlap + times.commit_timeout, "{what}");
         }
     }
 }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -112,7 +112,7 @@
     let (second, _) = place_prompt(&mut told, 10_010).expect("sent");
     let none = StatedLimit::try_from(0.0).ok();
     told.note_statements(second, &stating_limit(none), at(10_080));
-    early.begin(first, at(10_100));
+    early.note_progress(first, at(10_100));
     let hints = early.take_hints(at(10_110));
     told.note_hints(hints, at(10_120));
     assert_eq!(place_prompt(&mut told, 10_200), None, "the limit holds");
--- a/crates/dispatch/tests/patience.rs
+++ b/crates/dispatch/tests/patience.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_dispatch::{RefusalReason, Verdict, begin_deadline},
+    gullglade_dispatch::{Decision, RefusalReason, deadline_for_first_byte},
     gullglade_units::MonotonicTime,
     std::time::Duration,
     support::{at, item, prompt, route, scheduler, sent_hint},
@@ -19,20 +19,20 @@
     struct Case {
         ends: u64,
         patience: Option<u64>,
-        begins_by: u64,
+        first_byte_deadline: u64,
     }
     let cases = [
-        Case { ends: 12_000, patience: None, begins_by: 12_000 },
-        Case { ends: 12_000, patience: Some(4_800), begins_by: 4_000 },
-        Case { ends: 3_000, patience: Some(4_800), begins_by: 3_000 },
-        Case { ends: 12_000, patience: Some(2_400), begins_by: 2_000 },
-        Case { ends: 12_000, patience: Some(600), begins_by: 500 },
-        Case { ends: 12_000, patience: Some(0), begins_by: 0 },
+        Case { ends: 12_000, patience: None, first_byte_deadline: 12_000 },
+        Case { ends: 12_000, patience: Some(4_800), first_byte_deadline: 4_000 },
+        Case { ends: 3_000, patience: Some(4_800), first_byte_deadline: 3_000 },
+        Case { ends: 12_000, patience: Some(2_400), first_byte_deadline: 2_000 },
+        Case { ends: 12_000, patience: Some(600), first_byte_deadline: 500 },
+        Case { ends: 12_000, patience: Some(0), first_byte_deadline: 0 },
     ];
-    for Case { ends, patience, begins_by } in cases {
+    for Case { ends, patience, first_byte_deadline } in cases {
         let arrived = MonotonicTime(ms(1_000));
-        let found = begin_deadline(arrived, arrived + ms(ends), patience.map(ms));
-        assert_eq!(found, arrived + ms(begins_by), "{ends} {patience:?}");
+        let found = deadline_for_first_byte(arrived, arrived + ms(ends), patience.map(ms));
+        assert_eq!(found, arrived + ms(first_byte_deadline), "{ends} {patience:?}");
     }
 }
 
@@ -40,29 +40,29 @@
 #[test]
 fn a_request_that_would_begin_after_its_caller_has_left_is_turned_away_at_once() {
     struct Case {
-        begins_by: u64,
+        first_byte_deadline: u64,
         is_refused: bool,
     }
     const ENGINES: usize = 8;
     let cases = [
-        Case { begins_by: 9_000, is_refused: false },
-        Case { begins_by: 4_400, is_refused: false },
-        Case { begins_by: 300, is_refused: true },
-        Case { begins_by: 10, is_refused: true },
+        Case { first_byte_deadline: 9_000, is_refused: false },
+        Case { first_byte_deadline: 4_400, is_refused: false },
+        Case { first_byte_deadline: 300, is_refused: true },
+        Case { first_byte_deadline: 10, is_refused: true },
     ];
-    for Case { begins_by, is_refused } in cases {
+    for Case { first_byte_deadline, is_refused } in cases {
         let mut scheduler = scheduler(0, 22, ENGINES, 0.0);
         // Reading what others have sent takes the engines most of a second.
         let hints = (0..ENGINES).map(|index| sent_hint(index, 60_000, &[])).collect();
         scheduler.note_hints(hints, at(1_000));
         let mut work = item(&route(1, 2_000, 10_000), Some(prompt(1, 5_000, 6_000, 1)), at(1_000));
-        work.begins_by = at(1_000) + ms(begins_by);
+        work.first_byte_deadline = at(1_000) + ms(first_byte_deadline);
         let ticket = scheduler.submit(work, at(1_000));
         let verdict = scheduler.poll(at(1_001)).into_iter().find(|(t, _)| *t == ticket);
         let reason = verdict.map(|(_, verdict)| match verdict {
-            Verdict::Refuse { reason, .. } => reason,
-            verdict => panic!("{begins_by}: {verdict:?}"),
+            Decision::Refuse { reason, .. } => reason,
+            verdict => panic!("{first_byte_deadline}: {verdict:?}"),
         });
-        assert_eq!(reason, is_refused.then_some(RefusalReason::TooLate), "{begins_by}");
+        assert_eq!(reason, is_refused.then_some(RefusalReason::TooLate), "{first_byte_deadline}");
     }
 }
--- a/crates/dispatch/tests/plain.rs
+++ b/crates/dispatch/tests/plain.rs
@@ -5,7 +5,7 @@
 
 use {
     gullglade_dispatch::{
-        BackendHint, BackendReport, BackendStatements, Scheduler, TicketId, Verdict, WorkItem,
+        BackendHint, BackendReport, BackendStatements, Decision, Scheduler, TicketId, WorkItem,
         WorkOutcome,
     },
     gullglade_traffic::{RequestKind, ServicePool, TrafficRoute},
@@ -105,7 +105,7 @@
     scheduler.set_configuration([Rc::new(service)], &Rc::new(BTreeSet::new()), at(0));
     let facts = (0..replay.servers).map(facts);
     scheduler
-        .set_backends(facts.map(|f| gullglade_dispatch::BackendFacts { slots: SLOTS, ..f }), at(0));
+        .set_backends(facts.map(|f| gullglade_dispatch::BackendInfo { slots: SLOTS, ..f }), at(0));
     scheduler
 }
 
@@ -135,7 +135,7 @@
                 for Place { gateway, ticket } in server.advance(ms) {
                     let scheduler = &mut schedulers[gateway];
                     scheduler.note_statements(ticket, &server.statements(), now);
-                    scheduler.begin(ticket, now);
+                    scheduler.note_progress(ticket, now);
                     scheduler.end(ticket, WorkOutcome::Answered, now);
                     result.took.push(ms - asked[&(gateway, ticket)].0);
                     is_due[gateway] = true;
@@ -147,7 +147,7 @@
                     continue;
                 }
                 for (ticket, verdict) in schedulers[gateway].poll(now) {
-                    let Verdict::Send { run, .. } = verdict else {
+                    let Decision::Send { run, .. } = verdict else {
                         result.refused += 1;
                         continue;
                     };
--- a/crates/dispatch/tests/regions.rs
+++ b/crates/dispatch/tests/regions.rs
@@ -4,14 +4,14 @@
 
 use {
     gullglade_dispatch::{
-        BackendFacts, FirstByteTimes, RegionFacts, Scheduler, Verdict, WorkOutcome,
+        BackendInfo, Decision, FirstByteTimes, RegionInfo, Scheduler, WorkOutcome,
     },
     std::time::Duration,
     support::{at, facts, item, prompt, region, route, scheduler, service},
 };
 
-fn told(millis: &[u32]) -> RegionFacts {
-    RegionFacts {
+fn told(millis: &[u32]) -> RegionInfo {
+    RegionInfo {
         region: region("columbia"),
         service: service("pool"),
         backends: 3,
@@ -20,7 +20,7 @@
 }
 
 /// A gateway before one engine that has a second of reading ahead, whatever the priority.
-fn busy(there: RegionFacts) -> Scheduler {
+fn busy(there: RegionInfo) -> Scheduler {
     let mut scheduler = scheduler(0, 1, 1, 0.0);
     let urgent = route(0, 5_000, 10_000);
     scheduler.submit(item(&urgent, Some(prompt(1, 5_000, 60_000, 1)), at(0)), at(0));
@@ -35,7 +35,7 @@
     let ticket = scheduler.submit(work, at(ms));
     let verdicts = scheduler.poll(at(ms));
     let is_away =
-        verdicts.iter().any(|(t, v)| *t == ticket && matches!(v, Verdict::SendAway { .. }));
+        verdicts.iter().any(|(t, v)| *t == ticket && matches!(v, Decision::Forward { .. }));
     scheduler.withdraw(ticket);
     is_away
 }
@@ -56,11 +56,11 @@
     // nobody had told them yet that it was full.
     let mut scheduler = busy(told(&[10]));
     let full = FirstByteTimes::from_millis(&[4_000]);
-    scheduler.note_region_word(&region("columbia"), &service("pool"), full, at(2));
+    scheduler.note_region_offer(&region("columbia"), &service("pool"), full, at(2));
     assert!(!leaves(&mut scheduler, 1, 3));
     assert!(!leaves(&mut scheduler, 1, 200));
     let mut later = busy(told(&[10]));
-    later.note_region_word(&region("columbia"), &service("pool"), full, at(2));
+    later.note_region_offer(&region("columbia"), &service("pool"), full, at(2));
     let long = item(&route(0, 5_000, 10_000), Some(prompt(2, 5_000, 80_000, 2)), at(1_090));
     later.submit(long, at(1_090));
     later.poll(at(1_090));
@@ -99,7 +99,7 @@
         Case {
             name: "one silent",
             change: |s| {
-                let silent = BackendFacts { is_silent: true, ..facts(0) };
+                let silent = BackendInfo { is_silent: true, ..facts(0) };
                 s.set_backends([silent, facts(1)], at(0));
             },
             offered: 1,
@@ -116,7 +116,7 @@
         Case {
             name: "one cold",
             change: |s| {
-                let cold = BackendFacts { cold_until: at(9_000), ..facts(0) };
+                let cold = BackendInfo { cold_until: at(9_000), ..facts(0) };
                 s.set_backends([cold, facts(1)], at(0));
             },
             offered: 1,
--- a/crates/dispatch/tests/rules.rs
+++ b/crates/dispatch/tests/rules.rs
@@ -4,8 +4,8 @@
 
 use {
     gullglade_dispatch::{
-        AllowanceShare, BackendFacts, BackendHint, FirstByteTimes, LimitNews, RefusalReason,
-        RegionFacts, RepeatBudget, RequestNews, Scheduler, TicketId, Verdict, WorkOutcome,
+        AllowanceShare, BackendHint, BackendInfo, Decision, FirstByteTimes, LimitUpdate,
+        RefusalReason, RegionInfo, RepeatBudget, RequestUpdate, Scheduler, TicketId, WorkOutcome,
     },
     gullglade_traffic::{RequestKind, TrafficRoute},
     gullglade_units::{Incarnation, MonotonicTime, RandomSource, SeededRandom},
@@ -16,7 +16,7 @@
     },
 };
 
-fn place(scheduler: &mut Scheduler, now: MonotonicTime) -> (TicketId, Option<Verdict>) {
+fn place(scheduler: &mut Scheduler, now: MonotonicTime) -> (TicketId, Option<Decision>) {
     let work =
         item(&route(1, 800, 10_000), Some(prompt(1, 5_000, 1_000, now.0.as_millis() as u64)), now);
     let ticket = scheduler.submit(work, now);
@@ -24,9 +24,9 @@
     (ticket, verdict.map(|(_, verdict)| verdict))
 }
 
-fn sent_to(verdict: &Option<Verdict>) -> Option<&str> {
+fn sent_to(verdict: &Option<Decision>) -> Option<&str> {
     match verdict {
-        Some(Verdict::Send { run, .. }) => Some(run.backend.as_str()),
+        Some(Decision::Send { run, .. }) => Some(run.backend.as_str()),
         _ => None,
     }
 }
@@ -76,7 +76,7 @@
     let evacuated = Rc::new(BTreeSet::from([domain]));
     scheduler.set_configuration([pool(3.3)], &evacuated, at(0));
     let (_, verdict) = place(&mut scheduler, at(10_010));
-    assert!(matches!(verdict, Some(Verdict::Refuse { reason: RefusalReason::NoBackend, .. })));
+    assert!(matches!(verdict, Some(Decision::Refuse { reason: RefusalReason::NoBackend, .. })));
     scheduler.set_configuration([pool(3.3)], &Rc::new(BTreeSet::new()), at(11_000));
     let sends = (0..20).filter(|i| {
         let (ticket, verdict) = place(&mut scheduler, at(11_000 + i));
@@ -163,22 +163,22 @@
     struct Case {
         engines: usize,
         there_ms: Option<u32>,
-        may_leave: bool,
+        may_forward: bool,
         homes: &'static [&'static str],
         is_away: bool,
     }
     let (any, near, far): (&[&str], &[&str], &[&str]) = (&[], &["puget"], &["columbia"]);
     let cases = [
-        Case { engines: 1, there_ms: Some(0), may_leave: true, homes: any, is_away: false },
-        Case { engines: 0, there_ms: Some(0), may_leave: true, homes: any, is_away: true },
-        Case { engines: 0, there_ms: Some(0), may_leave: false, homes: any, is_away: false },
-        Case { engines: 0, there_ms: Some(0), may_leave: true, homes: near, is_away: false },
-        Case { engines: 1, there_ms: Some(0), may_leave: true, homes: far, is_away: true },
-        Case { engines: 0, there_ms: None, may_leave: true, homes: any, is_away: false },
+        Case { engines: 1, there_ms: Some(0), may_forward: true, homes: any, is_away: false },
+        Case { engines: 0, there_ms: Some(0), may_forward: true, homes: any, is_away: true },
+        Case { engines: 0, there_ms: Some(0), may_forward: false, homes: any, is_away: false },
+        Case { engines: 0, there_ms: Some(0), may_forward: true, homes: near, is_away: false },
+        Case { engines: 1, there_ms: Some(0), may_forward: true, homes: far, is_away: true },
+        Case { engines: 0, there_ms: None, may_forward: true, homes: any, is_away: false },
     ];
     for (index, case) in cases.iter().enumerate() {
         let mut scheduler = scheduler(0, 1, case.engines, 0.0);
-        let offer = |first_byte_ms| RegionFacts {
+        let offer = |first_byte_ms| RegionInfo {
             region: region("columbia"),
             service: service("pool"),
             backends: 3,
@@ -188,10 +188,10 @@
         let mut route = (*route(1, 800, 10_000)).clone();
         route.homes = case.homes.iter().map(|home| region(home)).collect();
         let mut work = item(&Rc::new(route), None, at(0));
-        work.may_leave = case.may_leave;
+        work.may_forward = case.may_forward;
         scheduler.submit(work, at(0));
         let verdicts = scheduler.poll(at(0));
-        let is_away = matches!(verdicts.first(), Some((_, Verdict::SendAway { .. })));
+        let is_away = matches!(verdicts.first(), Some((_, Decision::Forward { .. })));
         assert_eq!(is_away, case.is_away, "case {index}: {verdicts:?}");
     }
 }
@@ -199,7 +199,7 @@
 #[test]
 fn an_overfull_region_sends_away_what_it_would_serve_too_late() {
     let mut scheduler = scheduler(0, 1, 1, 0.0);
-    scheduler.set_regions(vec![RegionFacts {
+    scheduler.set_regions(vec![RegionInfo {
         region: region("columbia"),
         service: service("pool"),
         backends: 3,
@@ -211,7 +211,7 @@
             scheduler.submit(item(&route, Some(prompt(i, 5_000, 6_000, i)), at(0)), at(0));
             scheduler.poll(at(0))
         })
-        .map(|(_, verdict)| matches!(verdict, Verdict::SendAway { .. }))
+        .map(|(_, verdict)| matches!(verdict, Decision::Forward { .. }))
         .collect();
     assert!(!verdicts[0], "the first one is served here");
     assert!(verdicts.iter().filter(|is_away| **is_away).count() > 25, "{verdicts:?}");
@@ -222,7 +222,7 @@
     let mut scheduler = scheduler(0, 1, 0, 0.0);
     let waits: BTreeSet<Duration> = (0..20)
         .filter_map(|ms| match place(&mut scheduler, at(ms)).1 {
-            Some(Verdict::Refuse { retry_after, .. }) => Some(retry_after),
+            Some(Decision::Refuse { retry_after, .. }) => Some(retry_after),
             _ => None,
         })
         .collect();
@@ -329,7 +329,7 @@
             scheduler.end(ticket, case.outcome, at(10));
         }
         let later = Incarnation(20);
-        scheduler.set_backends([BackendFacts { incarnation: later, ..facts(0) }], at(0));
+        scheduler.set_backends([BackendInfo { incarnation: later, ..facts(0) }], at(0));
         if !case.is_before {
             scheduler.end(ticket, case.outcome, at(20));
         }
@@ -337,7 +337,7 @@
         let hint = sent_hint(0, case.late_hint, parts.shared_parts());
         scheduler.note_hints(vec![hint], at(25));
         let (_, verdict) = place(&mut scheduler, at(30));
-        let Some(Verdict::Send { expected_ms, .. }) = verdict else {
+        let Some(Decision::Send { expected_ms, .. }) = verdict else {
             panic!("{}: {verdict:?}", case.what)
         };
         // All 6,000 tokens at the first guess of 60 a millisecond: it holds nothing yet, and
@@ -371,7 +371,7 @@
         let ticket = scheduler.submit(work, at(0));
         let verdicts = scheduler.poll(at(0));
         let sent = verdicts.iter().find(|(t, _)| *t == ticket).map(|(_, verdict)| verdict);
-        let Some(Verdict::Send { priority, .. }) = sent else { panic!("{name}: {sent:?}") };
+        let Some(Decision::Send { priority, .. }) = sent else { panic!("{name}: {sent:?}") };
         assert_eq!(*priority, expected, "{name}");
     }
 }
@@ -397,8 +397,8 @@
         let (_, verdict) = place(&mut scheduler, at(0));
         assert_eq!(sent_to(&verdict), Some("i-0"), "{name}");
         if let Some(ms) = heard_ms {
-            let limit = LimitNews { limit: None, ago_us: 0 };
-            let news = RequestNews::Begun { ago_us: 0, load: None, limit };
+            let limit = LimitUpdate { limit: None, ago_us: 0 };
+            let news = RequestUpdate::Begun { ago_us: 0, load: None, limit };
             scheduler.note_hints(vec![BackendHint { news, ..sent_hint(0, 0, &[]) }], at(ms));
         }
         // The other engine holds nothing of the prompt, so that a sound first one is preferred.
--- a/crates/dispatch/tests/silence.rs
+++ b/crates/dispatch/tests/silence.rs
@@ -1,7 +1,7 @@
 //! What is done about a run from which nothing comes.
 
 use {
-    gullglade_dispatch::{SilenceStep, SilentRun},
+    gullglade_dispatch::{SilenceAction, SilentRun},
     std::time::Duration,
 };
 
@@ -12,8 +12,8 @@
 /// A run whose patience is over, at a backend server that is silent to all.
 const DUE: SilentRun = SilentRun {
     silence: ms(1_200),
-    patience: ms(1_200),
-    work_patience: None,
+    timeout: ms(1_200),
+    busy_timeout: None,
     is_at_work: false,
     may_be_replaced: true,
     left: ms(20_000),
@@ -22,7 +22,7 @@
 };
 
 /// The same, at a backend server that answers others, for a while longer.
-const AT_WORK: SilentRun = SilentRun { is_at_work: true, work_patience: Some(ms(2_400)), ..DUE };
+const AT_WORK: SilentRun = SilentRun { is_at_work: true, busy_timeout: Some(ms(2_400)), ..DUE };
 
 #[test]
 fn a_run_at_work_or_without_a_successor_is_waited_for() {
@@ -30,17 +30,17 @@
     struct Case {
         what: &'static str,
         run: SilentRun,
-        step: SilenceStep,
+        step: SilenceAction,
     }
-    let wait = |millis| SilenceStep::Wait(ms(millis));
+    let wait = |millis| SilenceAction::Wait(ms(millis));
     let case = |what, run, step| Case { what, run, step };
     let cases = [
-        case("nothing came for the usual time", DUE, SilenceStep::Search),
-        case("far longer", SilentRun { silence: ms(9_000), ..DUE }, SilenceStep::Search),
+        case("nothing came for the usual time", DUE, SilenceAction::Search),
+        case("far longer", SilentRun { silence: ms(9_000), ..DUE }, SilenceAction::Search),
         case("not yet", SilentRun { silence: ms(1_199), ..DUE }, wait(1)),
         case("something just came", SilentRun { silence: ms(0), ..DUE }, wait(1_200)),
-        case("no patience", SilentRun { silence: ms(0), patience: ms(0), ..DUE }, {
-            SilenceStep::Search
+        case("no patience", SilentRun { silence: ms(0), timeout: ms(0), ..DUE }, {
+            SilenceAction::Search
         }),
         case("its server answers others", SilentRun { is_at_work: true, ..DUE }, wait(100)),
         case(
@@ -66,7 +66,7 @@
         case(
             "its server answers others, and it hangs",
             SilentRun { silence: ms(2_400), ..AT_WORK },
-            SilenceStep::Search,
+            SilenceAction::Search,
         ),
         case(
             "nothing may follow it",
@@ -92,7 +92,7 @@
         case(
             "a search failed long ago",
             SilentRun { searches: 1, searched_ago: ms(250), ..DUE },
-            SilenceStep::Search,
+            SilenceAction::Search,
         ),
         case("two have failed", SilentRun { searches: 2, ..DUE }, wait(500)),
         case("three have failed", SilentRun { searches: 3, ..DUE }, wait(1_000)),
@@ -110,7 +110,7 @@
         ),
     ];
     for Case { what, run, step } in cases {
-        assert_eq!(run.next_step(), step, "{what}: {run:?}");
+        assert_eq!(run.next_action(), step, "{what}: {run:?}");
     }
 }
 
@@ -126,8 +126,8 @@
                     flags.into_iter().flat_map(move |is_at_work| {
                         flags.into_iter().map(move |may_be_replaced| SilentRun {
                             silence,
-                            patience: ms(1_200),
-                            work_patience: None,
+                            timeout: ms(1_200),
+                            busy_timeout: None,
                             is_at_work,
                             may_be_replaced,
                             left,
@@ -145,14 +145,14 @@
 fn every_wait_is_within_the_time_that_is_left_and_not_empty() {
     // A gateway that waits for no time at all looks at a silent run again and again.
     for run in all_runs() {
-        match run.next_step() {
-            SilenceStep::Wait(wait) => {
+        match run.next_action() {
+            SilenceAction::Wait(wait) => {
                 assert!(wait <= run.left, "{run:?}: {wait:?}");
                 assert!(!wait.is_zero() || run.left.is_zero(), "{run:?}: {wait:?}");
             }
-            SilenceStep::Search => {
+            SilenceAction::Search => {
                 assert!(run.may_be_replaced && !run.is_at_work, "{run:?}");
-                assert!(run.silence >= run.patience, "{run:?}");
+                assert!(run.silence >= run.timeout, "{run:?}");
             }
         }
     }
@@ -177,9 +177,9 @@
             ..DUE
         };
         played.steps += 1;
-        match run.next_step() {
-            SilenceStep::Wait(wait) => now += wait,
-            SilenceStep::Search => {
+        match run.next_action() {
+            SilenceAction::Wait(wait) => now += wait,
+            SilenceAction::Search => {
                 now += search;
                 searched = now;
                 played.searches += 1;
--- a/crates/dispatch/tests/stall.rs
+++ b/crates/dispatch/tests/stall.rs
@@ -1,6 +1,6 @@
 //! What is known of when requests were sent that are read after a stall.
 
-use {gullglade_dispatch::StallWatch, gullglade_units::MonotonicTime, std::time::Duration};
+use {gullglade_dispatch::StallDetector, gullglade_units::MonotonicTime, std::time::Duration};
 
 /// Requests that had waited for a gateway that stood still were taken for requests of now.
 #[test]
@@ -41,7 +41,7 @@
     ];
     let at = |millis: &u64| MonotonicTime(Duration::from_millis(*millis));
     for Case { what, checks, reads } in cases {
-        let mut watch = StallWatch::new(Duration::from_millis(250));
+        let mut watch = StallDetector::new(Duration::from_millis(250));
         for check in checks {
             let _stall: Option<Duration> = watch.check(at(check));
         }
--- a/crates/dispatch/tests/support/backoff_play.rs
+++ b/crates/dispatch/tests/support/backoff_play.rs
@@ -6,7 +6,7 @@
         scheduler,
     },
     gullglade_dispatch::{
-        BackendHint, BackendStatements, Scheduler, StatedBackoff, TicketId, Verdict, WorkItem,
+        BackendHint, BackendStatements, Decision, Scheduler, StatedBackoff, TicketId, WorkItem,
         WorkOutcome,
     },
     gullglade_traffic::TrafficRoute,
@@ -234,14 +234,14 @@
         for (ticket, verdict) in self.gateways[gateway].poll(at(self.now_ms)) {
             let Some(caller) = self.callers.get_mut(&(gateway, ticket)) else { continue };
             match verdict {
-                Verdict::Send { run, .. } => {
+                Decision::Send { run, .. } => {
                     caller.sends += 1;
                     let engine = backend_index(&run.backend);
                     let due_ms = self.now_ms + self.way_ms();
                     self.travel(due_ms, gateway, engine, ticket, Step::Arrive);
                 }
-                Verdict::SendAway { .. } => unreachable!("no other region is known"),
-                Verdict::Refuse { retry_after, .. } => {
+                Decision::Forward { .. } => unreachable!("no other region is known"),
+                Decision::Refuse { retry_after, .. } => {
                     let held = self.now_ms - caller.asked_ms;
                     self.callers.remove(&(gateway, ticket));
                     self.outcome.refused += 1;
@@ -324,7 +324,7 @@
         let scheduler = &mut self.gateways[gateway];
         scheduler.note_statements(ticket, stated, now);
         if outcome == WorkOutcome::Answered {
-            scheduler.begin(ticket, now);
+            scheduler.note_progress(ticket, now);
         }
         scheduler.end(ticket, outcome, now);
         let Some(mut caller) = self.callers.remove(&(gateway, ticket)) else { return };
--- a/crates/dispatch/tests/support/cold_play.rs
+++ b/crates/dispatch/tests/support/cold_play.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{at, facts, gateway, item, pool, prompt, route, settings},
-    gullglade_dispatch::{Scheduler, Verdict, WorkOutcome},
+    gullglade_dispatch::{Decision, Scheduler, WorkOutcome},
     gullglade_units::{RandomSource, SeededRandom, VmName},
     std::{collections::BTreeSet, rc::Rc},
 };
@@ -122,7 +122,7 @@
         let ticket =
             run.submit(item(&route(0, 1_200, 2_500), Some(prompt(1, 100, 100, number)), now), now);
         for (sent, verdict) in run.poll(now) {
-            if matches!(verdict, Verdict::Send { .. }) {
+            if matches!(verdict, Decision::Send { .. }) {
                 self.arrivals.push(self.now_ms);
                 run.end(sent, WorkOutcome::Answered, now);
             }
--- a/crates/dispatch/tests/support/deployment.rs
+++ b/crates/dispatch/tests/support/deployment.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{at, backend, engine::EngineModel, facts, gateway, play::Play, region, route, service},
-    gullglade_dispatch::{BackendFacts, Scheduler, SchedulerSettings},
+    gullglade_dispatch::{BackendInfo, Scheduler, SchedulerSettings},
     gullglade_traffic::{ColdRules, EngineProfile, RequestKind, ServicePool, TrafficRoute},
     gullglade_units::Incarnation,
     std::{collections::BTreeSet, fmt, rc::Rc, time::Duration},
@@ -142,8 +142,8 @@
         self.regions[..region_index].iter().map(|r| r.gateways).sum()
     }
 
-    pub(super) fn engine_facts(&self, index: usize, run: u64, cold_until: u64) -> BackendFacts {
-        BackendFacts {
+    pub(super) fn engine_facts(&self, index: usize, run: u64, cold_until: u64) -> BackendInfo {
+        BackendInfo {
             name: backend(index),
             incarnation: Incarnation(run),
             slots: self.engine.slots as u32,
--- a/crates/dispatch/tests/support/limit_play.rs
+++ b/crates/dispatch/tests/support/limit_play.rs
@@ -4,7 +4,7 @@
     super::{
         at, backend_index, chances, item, most_within, prompt, route, scheduler, stating_limit,
     },
-    gullglade_dispatch::{Scheduler, StatedLimit, TicketId, Verdict, WorkOutcome},
+    gullglade_dispatch::{Decision, Scheduler, StatedLimit, TicketId, WorkOutcome},
     gullglade_traffic::TrafficRoute,
     gullglade_units::{RandomSource, SeededRandom},
     std::{ops::Range, rc::Rc},
@@ -115,8 +115,8 @@
         }
     }
 
-    fn carry_out(&mut self, gateway: usize, ticket: TicketId, verdict: &Verdict) {
-        let Verdict::Send { run, .. } = verdict else { return };
+    fn carry_out(&mut self, gateway: usize, ticket: TicketId, verdict: &Decision) {
+        let Decision::Send { run, .. } = verdict else { return };
         let engine = backend_index(&run.backend);
         self.sends.push(Send { at_ms: self.now_ms, gateway, engine });
         let due_ms = self.now_ms + 40 + self.random.below(200);
@@ -134,7 +134,7 @@
             let limit = limit.map(|limit| limit.expect("a rate"));
             let run = &mut self.gateways[gateway];
             run.note_statements(ticket, &stating_limit(limit), at(now_ms));
-            run.begin(ticket, at(now_ms));
+            run.note_progress(ticket, at(now_ms));
             run.end(ticket, WorkOutcome::Answered, at(now_ms));
             if is_stating {
                 self.told[gateway][engine].get_or_insert(now_ms);
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -13,9 +13,9 @@
 
 use {
     gullglade_dispatch::{
-        BackendFacts, BackendHint, BackendStatements, FirstByteTimes, PromptPart, PromptShape,
-        RegionFacts, RequestNews, Scheduler, SchedulerSettings, StatedLimit, TicketId, Verdict,
-        WorkItem, WorkOutcome,
+        BackendHint, BackendInfo, BackendStatements, Decision, FirstByteTimes, PromptPart,
+        PromptShape, RegionInfo, RequestUpdate, Scheduler, SchedulerSettings, StatedLimit,
+        TicketId, WorkItem, WorkOutcome,
     },
     gullglade_traffic::{ColdRules, EngineProfile, RequestKind, ServicePool, TrafficRoute},
     gullglade_units::{
@@ -101,8 +101,8 @@
     }
 }
 
-pub(crate) fn facts(index: usize) -> BackendFacts {
-    BackendFacts {
+pub(crate) fn facts(index: usize) -> BackendInfo {
+    BackendInfo {
         name: backend(index),
         incarnation: Incarnation(0),
         service: service("pool"),
@@ -160,11 +160,11 @@
         workspace: None,
         arrived: now,
         ends: now + route.timeout,
-        begins_by: now + route.timeout,
+        first_byte_deadline: now + route.timeout,
         prompt,
         tried: Vec::new(),
         returns_to: None,
-        may_leave: true,
+        may_forward: true,
         is_new: true,
     }
 }
@@ -188,7 +188,7 @@
         request: 1_000_000 + index as u64,
         priority: 0,
         sent_ago_us: 0,
-        news: RequestNews::Sent { tokens: Some(tokens), parts: parts.to_vec() },
+        news: RequestUpdate::Sent { tokens: Some(tokens), parts: parts.to_vec() },
     }
 }
 
@@ -214,7 +214,7 @@
     let verdicts = run.poll(at(ms));
     run.withdraw(ticket);
     verdicts.into_iter().find_map(|(decided, verdict)| match verdict {
-        Verdict::Send { run, .. } if decided == ticket => Some((ticket, run.backend)),
+        Decision::Send { run, .. } if decided == ticket => Some((ticket, run.backend)),
         _ => None,
     })
 }
@@ -272,8 +272,8 @@
 }
 
 /// What is told of another region that has room for everything.
-fn idle_region() -> RegionFacts {
-    RegionFacts {
+fn idle_region() -> RegionInfo {
+    RegionInfo {
         region: region("columbia"),
         service: service("pool"),
         backends: 100,
@@ -353,15 +353,15 @@
                     let result = &mut results[*class_index];
                     let held = Duration::from_millis(ms - asked_at);
                     let (backend, priority) = match verdict {
-                        Verdict::Send { run, priority, .. } => (run.backend, priority),
-                        Verdict::SendAway { .. } => {
+                        Decision::Send { run, priority, .. } => (run.backend, priority),
+                        Decision::Forward { .. } => {
                             let objective = self.classes[*class_index].route.objective;
                             let took = held + away_time(shape);
                             result.away += 1;
                             result.in_objective += usize::from(took <= objective);
                             continue;
                         }
-                        Verdict::Refuse { .. } => {
+                        Decision::Refuse { .. } => {
                             result.refused += 1;
                             result.longest_hold = result.longest_hold.max(held);
                             continue;
@@ -417,7 +417,7 @@
                 let class = &self.classes[*class_index];
                 let took = Duration::from_millis(ms - asked_at);
                 results[*class_index].in_objective += usize::from(took <= class.route.objective);
-                schedulers[done.gateway].begin(done.ticket, now);
+                schedulers[done.gateway].note_progress(done.ticket, now);
                 engine.generating.push((ms + class.generate_ms, done.ticket, done.gateway));
             }
         }
--- a/crates/dispatch/tests/support/play.rs
+++ b/crates/dispatch/tests/support/play.rs
@@ -8,8 +8,8 @@
         gateway, item, region, service,
     },
     gullglade_dispatch::{
-        BackendHint, BackendReport, BackendStatements, FirstByteTimes, PromptPart, PromptShape,
-        RegionFacts, Scheduler, Verdict, WorkOutcome,
+        BackendHint, BackendReport, BackendStatements, Decision, FirstByteTimes, PromptPart,
+        PromptShape, RegionInfo, Scheduler, WorkOutcome,
     },
     gullglade_units::{RandomSource, RegionName, SeededRandom, VmName},
     std::{
@@ -253,17 +253,17 @@
         self.deliver(ms + ENGINE_MS, Delivery::Arrive { caller, gateway });
     }
 
-    fn submit(&mut self, caller: usize, gateway: usize, may_leave: bool, ms: u64) {
+    fn submit(&mut self, caller: usize, gateway: usize, may_forward: bool, ms: u64) {
         let asked = &self.callers[caller];
         if asked.is_over {
             return;
         }
         let kind = &self.model.kinds[asked.kind];
         let mut work = item(&kind.route, Some(asked.shape.clone()), at(asked.asked_ms));
-        work.may_leave = may_leave;
+        work.may_forward = may_forward;
         work.is_new = asked.runs == 0;
         let ticket = self.gateways[gateway].submit(work, at(ms));
-        self.owners.insert((gateway, ticket), (caller, !may_leave, None, 0.0));
+        self.owners.insert((gateway, ticket), (caller, !may_forward, None, 0.0));
         self.is_due[gateway] = true;
     }
 
@@ -281,7 +281,7 @@
             let mean: Vec<u32> = (0..offers[0].len())
                 .map(|p| offers.iter().map(|o| o[p]).sum::<u32>() / offers.len() as u32)
                 .collect();
-            told.push(RegionFacts {
+            told.push(RegionInfo {
                 region: region(model.name),
                 service: service("pool"),
                 backends: model.engines as u32,
@@ -331,11 +331,11 @@
             let owner = (index, ticket);
             let Some(&(caller, is_forwarded, ..)) = self.owners.get(&owner) else { continue };
             match verdict {
-                Verdict::Send { run, priority, expected_ms, copy, .. } => {
+                Decision::Send { run, priority, expected_ms, copy, .. } => {
                     let engine = backend_index(&run.backend);
                     self.send(owner, engine, priority, expected_ms, copy.map(|c| c.from), ms);
                 }
-                Verdict::SendAway { region, .. } => {
+                Decision::Forward { region, .. } => {
                     self.gateways[index].end(ticket, WorkOutcome::Cancelled, at(ms));
                     self.owners.remove(&owner);
                     let to = self.region_index(&region);
@@ -349,7 +349,7 @@
                         Delivery::Forwarded { caller, gateway, from: index },
                     );
                 }
-                Verdict::Refuse { .. } => {
+                Decision::Refuse { .. } => {
                     self.owners.remove(&owner);
                     if is_forwarded {
                         let region = self.region_of[index];
@@ -436,7 +436,7 @@
                         place.3 = 0.0;
                     }
                 }
-                self.gateways[owner.0].begin(owner.1, at(ms));
+                self.gateways[owner.0].note_progress(owner.1, at(ms));
                 self.deliver(
                     ms + ENGINE_MS + back,
                     Delivery::Event { caller, at: happened + (1 + back) as f64 },
@@ -458,9 +458,9 @@
             }
             Delivery::Accepted { to, region: from, word } => {
                 let name = region(self.model.regions[from].name);
-                self.gateways[to].note_region_delay(&name, Duration::from_millis(2 * REGION_MS));
+                self.gateways[to].note_region_rtt(&name, Duration::from_millis(2 * REGION_MS));
                 if let Some(word) = word {
-                    self.gateways[to].note_region_word(&name, &service("pool"), word, at(ms));
+                    self.gateways[to].note_region_offer(&name, &service("pool"), word, at(ms));
                 }
             }
             Delivery::RefusedAway { caller, to, region: from } => {
--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -6,7 +6,7 @@
         core::{CoreSettings, NodeCore, http_server},
         error::NoticeStart,
     },
-    gullglade_dispatch::{BackendFacts, FirstByteTimes, RegionFacts, Scheduler, SchedulerSettings},
+    gullglade_dispatch::{BackendInfo, FirstByteTimes, RegionInfo, Scheduler, SchedulerSettings},
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_fleet::{
         BackendRow, FleetFollower, FollowerParts, GatewayPhase, GatewayProfile, RegionOffer,
@@ -333,14 +333,14 @@
     }
 }
 
-fn told_offer(facts: RegionFacts) -> ServiceOffer {
+fn told_offer(facts: RegionInfo) -> ServiceOffer {
     let first_byte_ms = facts.first_byte.to_millis();
     ServiceOffer { service: facts.service, backends: facts.backends, first_byte_ms }
 }
 
-fn region_facts(told: &RegionOffer) -> RegionFacts {
+fn region_facts(told: &RegionOffer) -> RegionInfo {
     let RegionOffer { region, offer } = told;
-    RegionFacts {
+    RegionInfo {
         region: region.clone(),
         service: offer.service.clone(),
         backends: offer.backends,
@@ -350,7 +350,7 @@
 
 /// What a scheduler needs to know of the fleet.
 struct Facts {
-    backends: Vec<BackendFacts>,
+    backends: Vec<BackendInfo>,
     gateways: Vec<VmName>,
     is_confirmed: bool,
 }
@@ -371,9 +371,9 @@
     }
 }
 
-fn backend_facts(row: BackendRow) -> BackendFacts {
+fn backend_facts(row: BackendRow) -> BackendInfo {
     let BackendRow { record, cold_until, is_silent, learned: _ } = row;
-    BackendFacts {
+    BackendInfo {
         is_serving: record.state == ServingState::Serving,
         name: record.name,
         incarnation: record.incarnation,
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -7,8 +7,8 @@
     },
     futures::channel::oneshot,
     gullglade_dispatch::{
-        BackendStatements, RefusalFacts, RefusalReason, Scheduler, StatementChange, TicketId,
-        Verdict, WorkItem, WorkOutcome,
+        BackendStatements, Decision, RefusalDetails, RefusalReason, Scheduler, StatementChange,
+        TicketId, WorkItem, WorkOutcome,
     },
     gullglade_http::SendPermit,
     gullglade_units::{BackendRun, MonotonicTime, ProcessContext},
@@ -23,7 +23,7 @@
 /// Hands requests to a [`Scheduler`] and its verdicts back to them.
 pub struct Dispatcher {
     scheduler: RefCell<Scheduler>,
-    waiting: RefCell<HashMap<TicketId, oneshot::Sender<Verdict>>>,
+    waiting: RefCell<HashMap<TicketId, oneshot::Sender<Decision>>>,
     /// Those of the requests that have not ended, and who is told when one is taken back.
     permits: RefCell<HashMap<TicketId, (SendPermit, oneshot::Sender<()>)>>,
     context: ProcessContext,
@@ -62,7 +62,7 @@
     }
 
     /// Waits for the verdict on a request. Dropped meanwhile, the request leaves the queue.
-    pub(crate) async fn place(self: &Rc<Self>, item: WorkItem) -> (SentTicket, Verdict) {
+    pub(crate) async fn place(self: &Rc<Self>, item: WorkItem) -> (SentTicket, Decision) {
         let ticket = self.scheduler.borrow_mut().submit(item, self.context.clock.now());
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
@@ -76,10 +76,10 @@
         };
         self.pump();
         // The sender is dropped only with its verdict, or with this dispatcher's last owner.
-        let verdict = verdict.await.unwrap_or(Verdict::Refuse {
+        let verdict = verdict.await.unwrap_or(Decision::Refuse {
             reason: RefusalReason::NoBackend,
             retry_after: Duration::from_secs(1),
-            facts: RefusalFacts::default(),
+            facts: RefusalDetails::default(),
         });
         (sent, verdict)
     }
@@ -189,7 +189,7 @@
 
     /// The first byte of the answer has come.
     pub(crate) fn begin(&self) {
-        self.dispatcher.ask(|scheduler, now| scheduler.begin(self.ticket, now));
+        self.dispatcher.ask(|scheduler, now| scheduler.note_progress(self.ticket, now));
         self.dispatcher.tell_news();
         if let Some(watch) = &self.watch {
             watch.begin();
@@ -212,7 +212,7 @@
 
     /// Whether the place may still be used.
     pub(crate) fn may_be_used(&self) -> bool {
-        self.dispatcher.ask(|scheduler, now| scheduler.may_use_place(self.ticket, now))
+        self.dispatcher.ask(|scheduler, now| scheduler.is_placement_usable(self.ticket, now))
     }
 
     /// What the wait for the answer needs to know of the run.
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -8,7 +8,7 @@
         },
     },
     gullglade_dispatch::{
-        PromptCopy, RefusalFacts, RefusalReason, RepeatDecision, UsedBackend, WorkItem,
+        PromptCopy, RefusalDetails, RefusalReason, RepeatDecision, UsedBackend, WorkItem,
     },
     gullglade_event::{EventDraft, EventSink, Level, MetricSet, RequestOutcome},
     gullglade_units::{BackendName, Clock, ModelName, MonotonicTime, RegionName},
@@ -77,7 +77,7 @@
             repeat: None,
             last_place: None,
             // The gateway that forwarded a request tells of it; this one only of its attempt.
-            is_over: !item.may_leave,
+            is_over: !item.may_forward,
         }
     }
 
@@ -165,7 +165,7 @@
         &self,
         reason: RefusalReason,
         wait: Duration,
-        facts: RefusalFacts,
+        facts: RefusalDetails,
         item: &WorkItem,
     ) {
         let event = self.event("request.refused").field("reason", reason);
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -269,7 +269,9 @@
         let ReservedForward { region, gateway, token, stream, .. } = reserved;
         let mut pieces = PieceStream { stream, liveness };
         let (method, body, limit, words) = match times {
-            Some(times) => (LEASE, encode(&(token, times.lease)), times.word_limit, times.words),
+            Some(times) => {
+                (LEASE, encode(&(token, times.lease)), times.probe_timeout, times.probes)
+            }
             None => (COMMIT, encode(&token), self.accept_limit(&region), 1),
         };
         let body = Bytes::from(body);
@@ -316,7 +318,7 @@
     async fn open(&self, region: &RegionName, call: &mut ForwardCall) -> OpenedForward {
         // The time on the way there, which the gateway there cannot know. It cuts an answer at the
         // end of what is left, so of that no more is taken than the way takes at least.
-        let least = self.dispatcher.ask(|scheduler, _| scheduler.least_region_delay(region));
+        let least = self.dispatcher.ask(|scheduler, _| scheduler.min_region_rtt(region));
         call.waited += self.round_trip(region) / 2;
         call.left = call.left.saturating_sub(least / 2);
         for gateway in self.some_gateways(region) {
@@ -345,7 +347,7 @@
 
     /// The usual time of a word to the region and its answer.
     pub(crate) fn round_trip(&self, region: &RegionName) -> Duration {
-        let usual_ms = self.dispatcher.ask(|scheduler, _| scheduler.region_delay_ms(region));
+        let usual_ms = self.dispatcher.ask(|scheduler, _| scheduler.region_rtt_ms(region));
         Duration::from_secs_f64(usual_ms / 1_000.0)
     }
 
@@ -357,7 +359,7 @@
         }
         let word = FirstByteTimes::from_millis(offer);
         self.dispatcher.ask(|scheduler, now| {
-            scheduler.note_region_word(region, service, word, now);
+            scheduler.note_region_offer(region, service, word, now);
         });
     }
 
@@ -433,7 +435,7 @@
         }
         if let Some(first) = &first {
             let took = clock.now().since(began);
-            self.dispatcher.ask(|scheduler, _| scheduler.note_region_delay(region, took));
+            self.dispatcher.ask(|scheduler, _| scheduler.note_region_rtt(region, took));
             self.note_word(region, service, first.as_ref());
         }
         first
@@ -506,7 +508,7 @@
     /// What keeps the run that begins there with a lease.
     pub(crate) fn leased(&self, times: HandoverTimes) -> LeasedRun {
         let Self { gateway, token, .. } = *self;
-        LeasedRun { gateway, token, limit: times.keep_limit }
+        LeasedRun { gateway, token, limit: times.commit_timeout }
     }
 }
 
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{Dispatcher, notice::encode_hints},
-    gullglade_dispatch::{BackendHint, RequestNews},
+    gullglade_dispatch::{BackendHint, RequestUpdate},
     gullglade_fleet::FleetFollower,
     gullglade_peer::{NOTICE_LIMIT, NoticeSender},
     gullglade_units::{MonotonicTime, ProcessContext},
@@ -129,7 +129,7 @@
 
 fn without_parts(hint: &BackendHint) -> BackendHint {
     let mut hint = hint.clone();
-    if let RequestNews::Sent { parts, .. } = &mut hint.news {
+    if let RequestUpdate::Sent { parts, .. } = &mut hint.news {
         parts.clear();
     }
     hint
--- a/crates/proxy/src/journey.rs
+++ b/crates/proxy/src/journey.rs
@@ -23,7 +23,7 @@
         quota::ChargeGuard,
         replacement::WaitEnd,
     },
-    gullglade_dispatch::{AttemptLedger, UsedBackend, WorkItem, begin_deadline},
+    gullglade_dispatch::{AttemptTracker, UsedBackend, WorkItem, deadline_for_first_byte},
     gullglade_poison::RequestPrint,
     gullglade_traffic::{TrafficRoute, TrafficWorkspace},
     gullglade_units::{BackendName, MonotonicTime, RegionName, ServiceName, WorkspaceName},
@@ -52,7 +52,7 @@
     /// What it takes out of its workspace's quota, at the gateway that its caller called.
     charge: Option<ChargeGuard>,
     /// Where it may have run.
-    ledger: AttemptLedger,
+    ledger: AttemptTracker,
     /// The backend server that it is being sent back to.
     returning: Option<UsedBackend>,
     /// Attempts that certainly did not.
@@ -157,9 +157,9 @@
         // A clock of this process that is younger than the request must not run below its start.
         let arrived = MonotonicTime(now.0.saturating_sub(waited));
         let ends = now + left;
-        let begins_by = match call.resume_after {
+        let first_byte_deadline = match call.resume_after {
             Some(_) => ends,
-            None => begin_deadline(arrived, ends, route.event_patience),
+            None => deadline_for_first_byte(arrived, ends, route.event_patience),
         };
         let item = WorkItem {
             service,
@@ -167,14 +167,14 @@
             workspace,
             arrived,
             ends,
-            begins_by,
+            first_byte_deadline,
             prompt: call.prompt.clone(),
             tried: Vec::new(),
             returns_to: None,
-            may_leave: is_own,
+            may_forward: is_own,
             is_new: is_own,
         };
-        let ledger = AttemptLedger::new(item.route.max_attempts);
+        let ledger = AttemptTracker::new(item.route.max_attempts);
         let log = JourneyLog::new(proxy, &call, &item, bound);
         let last_event = call.resume_after;
         let call = Rc::new(call);
@@ -205,17 +205,17 @@
 
     /// The time after which nobody waits for the answer, or for its begin where it has not begun.
     pub(crate) fn left(&self) -> Duration {
-        self.item.begins_by.since(self.now())
+        self.item.first_byte_deadline.since(self.now())
     }
 
     /// The answer has begun for the caller, who waits to the end now.
     pub(crate) fn note_begun(&mut self) {
-        self.item.begins_by = self.item.ends;
+        self.item.first_byte_deadline = self.item.ends;
     }
 
     /// The limit that is reached when nothing is left.
     pub(crate) fn reached_limit(&self) -> WaitLimit {
-        match self.item.begins_by < self.item.ends {
+        match self.item.first_byte_deadline < self.item.ends {
             true => WaitLimit::FirstEvent,
             false => self.bound,
         }
--- a/crates/proxy/src/journey/placing.rs
+++ b/crates/proxy/src/journey/placing.rs
@@ -6,7 +6,7 @@
         outcome::{AttemptEnd, FinalWord, NotRunReason, UnknownReason},
         search::{FoundPlace, PlacedRun},
     },
-    gullglade_dispatch::{NextTarget, Verdict},
+    gullglade_dispatch::{Decision, NextTarget},
     gullglade_poison::RequestHold,
     gullglade_units::RegionName,
 };
@@ -49,20 +49,20 @@
             self.take_repeat()?;
         }
         match verdict {
-            Verdict::Refuse { reason, retry_after, facts } => {
+            Decision::Refuse { reason, retry_after, facts } => {
                 if self.ledger.has_run() {
                     return Err(self.unknown(UnknownReason::Overdue));
                 }
                 self.log.refused(reason, retry_after, facts, &self.item);
                 Err(FinalWord::Refused(reason, retry_after))
             }
-            Verdict::Send { run, address, priority, expected_ms, copy } => {
+            Decision::Send { run, address, priority, expected_ms, copy } => {
                 let placed = PlacedRun { ticket, run, address, priority, expected_ms, copy };
                 Ok(FoundPlace::Here(placed))
             }
-            Verdict::SendAway { region, here_ms } => {
+            Decision::Forward { region, local_ms } => {
                 drop(ticket);
-                self.log.away(&region, here_ms, &self.item);
+                self.log.away(&region, local_ms, &self.item);
                 Ok(FoundPlace::Away(region))
             }
         }
--- a/crates/proxy/src/journey/repeats.rs
+++ b/crates/proxy/src/journey/repeats.rs
@@ -71,7 +71,7 @@
         }
         let service = &self.item.service;
         let dispatcher = self.proxy.dispatcher();
-        let decision = dispatcher.ask(|scheduler, now| scheduler.look_at_repeats(service, now));
+        let decision = dispatcher.ask(|scheduler, now| scheduler.peek_repeat(service, now));
         if !decision.is_granted {
             self.log.repeat(reason, decision);
         }
--- a/crates/proxy/src/replacement.rs
+++ b/crates/proxy/src/replacement.rs
@@ -12,7 +12,7 @@
         search::PlaceSearch,
     },
     futures::future::{Either, select},
-    gullglade_dispatch::{SilenceStep, SilentRun},
+    gullglade_dispatch::{SilenceAction, SilentRun},
     gullglade_units::{MonotonicTime, timeout},
     std::{pin::pin, rc::Rc, time::Duration},
 };
@@ -46,13 +46,13 @@
         let began = clock.now();
         let mut failed = FailedSearches::default();
         loop {
-            match self.silent_run(run, began, &failed).next_step() {
-                SilenceStep::Wait(wait) => {
+            match self.silent_run(run, began, &failed).next_action() {
+                SilenceAction::Wait(wait) => {
                     if let Some(output) = timeout(&*clock, wait, next.as_mut()).await {
                         return WaitEnd::Came(output);
                     }
                 }
-                SilenceStep::Search => {
+                SilenceAction::Search => {
                     // What comes in the meantime ends the search, and gives back its place.
                     let found = match self.begin_search(run) {
                         None => None,
@@ -66,8 +66,8 @@
                         }
                     };
                     // Its backend server may have answered others during the search.
-                    let step = self.silent_run(run, began, &failed).next_step();
-                    if let Some(found) = found.filter(|_| step == SilenceStep::Search)
+                    let step = self.silent_run(run, began, &failed).next_action();
+                    if let Some(found) = found.filter(|_| step == SilenceAction::Search)
                         && self.take_overdue_repeat()
                     {
                         let silence = clock.now().since(began);
@@ -97,8 +97,8 @@
         let now = self.now();
         SilentRun {
             silence: now.since(began),
-            patience: run.patience,
-            work_patience: run.work_patience,
+            timeout: run.patience,
+            busy_timeout: run.work_patience,
             is_at_work: run.liveness.is_at_work(),
             may_be_replaced: self.may_be_replaced(),
             left: self.left(),
--- a/crates/proxy/src/search.rs
+++ b/crates/proxy/src/search.rs
@@ -9,7 +9,7 @@
         journey::Journey,
         liveness::RunWatch,
     },
-    gullglade_dispatch::{PromptCopy, Verdict, WorkItem},
+    gullglade_dispatch::{Decision, PromptCopy, WorkItem},
     gullglade_event::EventDraft,
     gullglade_units::{BackendRun, RegionName},
     std::{net::SocketAddr, rc::Rc},
@@ -72,15 +72,15 @@
     pub(crate) async fn run(self) -> Option<FoundPlace> {
         let (ticket, verdict) = self.proxy.dispatcher().place(self.item.clone()).await;
         match verdict {
-            Verdict::Send { run, address, priority, expected_ms, copy } => {
+            Decision::Send { run, address, priority, expected_ms, copy } => {
                 let placed = PlacedRun { ticket, run, address, priority, expected_ms, copy };
                 Some(FoundPlace::Here(placed))
             }
-            Verdict::SendAway { region, .. } => {
+            Decision::Forward { region, .. } => {
                 drop(ticket);
                 self.reserve(region).await
             }
-            Verdict::Refuse { reason, facts, .. } => {
+            Decision::Refuse { reason, facts, .. } => {
                 let event = self.refused().field("reason", reason).field("serving", facts.serving);
                 let event = event.field("suspect", facts.suspect).field("waiting", facts.waiting);
                 self.proxy.events().emit(event);
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -4,7 +4,7 @@
 
 use {
     futures::future::{join, join_all},
-    gullglade_dispatch::{BackendFacts, Scheduler, SchedulerSettings, TicketId, Verdict, WorkItem},
+    gullglade_dispatch::{BackendInfo, Decision, Scheduler, SchedulerSettings, TicketId, WorkItem},
     gullglade_proxy::{CallId, CallerCall},
     gullglade_traffic::{ColdRules, RequestKind, ServicePool, TrafficRoute},
     gullglade_units::{
@@ -277,7 +277,7 @@
         engine: None,
     };
     scheduler.set_configuration([Rc::new(pool)], &Rc::new(BTreeSet::new()), now(0));
-    let facts = BackendFacts {
+    let facts = BackendInfo {
         name: BackendName::try_from("i-0").expect("a name"),
         incarnation: Incarnation(0),
         service: service.clone(),
@@ -291,11 +291,11 @@
     scheduler.set_backends([facts], now(0));
     let ticket: TicketId = scheduler.submit(item(&service, now(0)), now(0));
     let verdicts = scheduler.poll(now(0));
-    assert!(matches!(verdicts[0].1, Verdict::Send { .. }));
-    scheduler.begin(ticket, now(10));
+    assert!(matches!(verdicts[0].1, Decision::Send { .. }));
+    scheduler.note_progress(ticket, now(10));
     assert!(scheduler.is_at_work(ticket, now(20)));
     scheduler.set_backends([], now(30));
-    scheduler.begin(ticket, now(40));
+    scheduler.note_progress(ticket, now(40));
     assert!(scheduler.is_at_work(ticket, now(50)), "a piece came 10 ms ago");
 }
 
@@ -322,11 +322,11 @@
         workspace: None,
         arrived: now,
         ends: now + Duration::from_secs(5),
-        begins_by: now + Duration::from_secs(5),
+        first_byte_deadline: now + Duration::from_secs(5),
         prompt: None,
         tried: vec![],
         returns_to: None,
-        may_leave: true,
+        may_forward: true,
         is_new: true,
     }
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -17,7 +17,7 @@
     bytes::Bytes,
     configuration::{FixedFormat, FixedSource},
     futures::{StreamExt, future::join_all},
-    gullglade_dispatch::{BackendFacts, FirstByteTimes, RegionFacts, Scheduler, SchedulerSettings},
+    gullglade_dispatch::{BackendInfo, FirstByteTimes, RegionInfo, Scheduler, SchedulerSettings},
     gullglade_event::{EventSink, MemorySink, MetricSet},
     gullglade_fleet::{
         FleetFollower, FleetServer, FleetSettings, FollowerParts, GatewayPhase, GatewayProfile,
@@ -512,7 +512,7 @@
     };
     scheduler.set_configuration([Rc::new(pool)], &Rc::new(BTreeSet::new()), context.clock.now());
     scheduler.set_backends(
-        (0..own).map(|index| BackendFacts {
+        (0..own).map(|index| BackendInfo {
             name: BackendName::try_from(format!("{prefix}{index}")).expect("a name"),
             incarnation: Incarnation(0),
             service: service.clone(),
@@ -527,7 +527,7 @@
     );
     scheduler.set_gateway_total(2, context.clock.now());
     let elsewhere = if place == "west" { "east" } else { "west" };
-    scheduler.set_regions(vec![RegionFacts {
+    scheduler.set_regions(vec![RegionInfo {
         region: region(elsewhere),
         service,
         backends: u32::from(others),
