--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -129,13 +129,13 @@
             revocation: settings.revocation,
             tolerance: settings.tolerance,
             regions: settings.regions.clone(),
-            print_key: settings.core.peer.derived_key(PRINT_PURPOSE).into(),
+            fingerprint_key: settings.core.peer.derived_key(PRINT_PURPOSE).into(),
             events: Rc::clone(&events),
             metrics: Rc::clone(&core.metrics),
         });
         ForwardServer::register(&proxy, &core.handlers);
         let taker = proxy.clone();
-        let taking = notices.run(Rc::new(move |body| taker.take_notice(body)));
+        let taking = notices.run(Rc::new(move |body| taker.handle_notice(body)));
         let node = Rc::new(Self {
             proxy,
             fleet,
@@ -184,7 +184,7 @@
                 node.context.clock.sleep(REFRESH).await;
                 node.refresh();
                 if rounds.is_multiple_of(WARM_ROUNDS) {
-                    node.proxy.keep_warm();
+                    node.proxy.keep_sessions_alive();
                 }
                 rounds = rounds.wrapping_add(1);
             }
@@ -194,7 +194,7 @@
     fn refresh(&self) {
         let now = self.context.clock.now();
         let facts = self.fleet.read(|view| Facts::read(view, &self.settings, now));
-        self.dispatcher.update(|scheduler, now| {
+        self.dispatcher.update_scheduler(|scheduler, now| {
             if let Some(traffic) = self.fleet.traffic() {
                 let services = traffic.config.services().cloned();
                 scheduler.set_configuration(services, &traffic.evacuated, now);
@@ -214,7 +214,7 @@
 
     /// Takes what other regions offer, and tells what the own one does.
     fn refresh_regions(&self) {
-        self.dispatcher.update(|scheduler, now| self.take_regions(scheduler, now));
+        self.dispatcher.update_scheduler(|scheduler, now| self.take_regions(scheduler, now));
         self.tell_offers();
     }
 
@@ -227,7 +227,7 @@
     }
 
     fn tell_offers(&self) {
-        let offers = self.dispatcher.ask(|scheduler, now| scheduler.offers(now));
+        let offers = self.dispatcher.with_scheduler(|scheduler, now| scheduler.offers(now));
         self.fleet.set_offers(offers.into_iter().map(told_offer).collect());
     }
 
@@ -291,7 +291,7 @@
     /// Leaves the directory at once, serves those who still come, lets what is in progress finish,
     /// and stops. False where some had not finished in time and was cut off.
     pub async fn shut_down(&self) -> bool {
-        let (waiting, running) = self.dispatcher.ask(|scheduler, _| scheduler.counts());
+        let (waiting, running) = self.dispatcher.with_scheduler(|scheduler, _| scheduler.counts());
         let event = EventDraft::new("node.stopping").field("running", running);
         self.events.emit(event.field("waiting", waiting));
         let stops = self.caller_stops.borrow().clone();
@@ -299,7 +299,7 @@
         self.fleet.set_phase(GatewayPhase::Stopping);
         stops.iter().for_each(StopHandle::retire);
         self.context.clock.sleep(self.settings.grace.mul_f64(SERVING_SHARE)).await;
-        self.proxy.cut_at(began + self.settings.grace.mul_f64(FINISHING_SHARE));
+        self.proxy.set_cutoff(began + self.settings.grace.mul_f64(FINISHING_SHARE));
         if self.is_last_of_region() {
             let more = SHORT_SHARE - SERVING_SHARE;
             self.context.clock.sleep(self.settings.grace.mul_f64(more)).await;
@@ -311,7 +311,7 @@
             for stop in &stops {
                 stop.finished().await;
             }
-            self.proxy.forwards_finished().await;
+            self.proxy.wait_for_forwards().await;
         };
         let finished = timeout(&*self.context.clock, left, quiet).await.is_some();
         self.events.emit(EventDraft::new("node.stopped").field("finished", finished));
--- a/crates/proxy/src/arrival.rs
+++ b/crates/proxy/src/arrival.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        CallId, Proxy,
+        CallerRequestId, Proxy,
         outcome::{AttemptEnd, UnknownReason},
     },
     gullglade_dispatch::RepeatArrival,
@@ -29,7 +29,7 @@
 /// A repeat that its service's budget has granted. Dropped, it is settled there.
 pub(crate) struct OpenRepeat {
     proxy: Proxy,
-    request: CallId,
+    request: CallerRequestId,
     service: ServiceName,
     granted: MonotonicTime,
     arrival: RepeatArrival,
@@ -55,7 +55,7 @@
 
 impl OpenRepeat {
     /// One that was granted just now, and is not sent yet.
-    pub(crate) fn new(proxy: &Proxy, request: &CallId, service: &ServiceName) -> Self {
+    pub(crate) fn new(proxy: &Proxy, request: &CallerRequestId, service: &ServiceName) -> Self {
         Self {
             proxy: proxy.clone(),
             request: request.clone(),
@@ -71,7 +71,7 @@
         let Self { service, arrival, .. } = self;
         self.proxy.metrics().repeat_settled(service, arrival.label());
         let dispatcher = self.proxy.dispatcher();
-        dispatcher.ask(|scheduler, now| scheduler.settle_repeat(service, *arrival, now));
+        dispatcher.with_scheduler(|scheduler, now| scheduler.settle_repeat(service, *arrival, now));
         if self.arrival == RepeatArrival::Unknown {
             let age = self.proxy.context().clock.now().since(self.granted);
             let event = EventDraft::new("request.repeat_unheard").field("request", &self.request);
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        BackendDialect, BackendWord, CallerCall, SendOrder,
+        BackendDialect, CallerRequest, RequestMetadata, ResponseMetadata,
         answer::{AnswerBody, AttemptAnswer, BackendBody},
         dispatcher::SentTicket,
         outcome::{AttemptEnd, AttemptPlace, NotRunReason, UnknownReason},
@@ -33,7 +33,7 @@
 
 /// One send.
 pub(crate) struct Attempt {
-    pub(crate) call: Rc<CallerCall>,
+    pub(crate) call: Rc<CallerRequest>,
     pub(crate) backend: BackendName,
     pub(crate) address: SocketAddr,
     /// The time after which nobody waits for the answer.
@@ -71,7 +71,7 @@
         attempt: &Attempt,
         permit: SendPermit,
     ) -> Result<Request<bytes::Bytes>, http::Error> {
-        let order = SendOrder {
+        let metadata = RequestMetadata {
             backend: &attempt.backend,
             left: attempt.left,
             priority: attempt.priority,
@@ -85,7 +85,7 @@
             .extension(HeadTimeout(attempt.left))
             .extension(permit)
             .body(attempt.call.body.clone())?;
-        *request.headers_mut() = self.dialect.outgoing(&attempt.call.headers, &order);
+        *request.headers_mut() = self.dialect.request_headers(&attempt.call.headers, &metadata);
         if attempt.is_once_only {
             request.extensions_mut().insert(KeptWithin(ONCE_ONLY_IDLE));
         }
@@ -95,11 +95,11 @@
     /// What the head of an answer means.
     fn judge(&self, attempt: &Attempt, reply: ClientReply, ticket: SentTicket) -> AttemptEnd {
         let ClientReply { head, body } = reply;
-        let word = self.dialect.incoming(head.status, &head.headers);
+        let word = self.dialect.read_response(head.status, &head.headers);
         self.unread.note(&*self.dialect, &attempt.backend, head.status, &head.headers);
         // Another run at the address says nothing of the one that was meant.
         if !word.is_other_run
-            && ticket.note_statements(&word.stated).contains(&StatementChange::Leaving)
+            && ticket.note_statements(&word.statements).contains(&StatementChange::Leaving)
         {
             self.client.retire(attempt.address);
         }
@@ -116,11 +116,11 @@
             return AttemptEnd::NotRun(NotRunReason::Shed, None);
         }
         let is_encoded = head.headers.contains_key(CONTENT_ENCODING);
-        if head.status.is_success() && (!word.stated.is_signed || is_encoded) {
+        if head.status.is_success() && (!word.statements.is_signed || is_encoded) {
             ticket.finish(WorkOutcome::Garbled);
             return AttemptEnd::Unknown(UnknownReason::Garbled);
         }
-        if !word.stated.is_signed && promises_not_run(head.status) {
+        if !word.statements.is_signed && promises_not_run(head.status) {
             ticket.finish(WorkOutcome::Failed);
             return AttemptEnd::Unknown(UnknownReason::Garbled);
         }
@@ -139,8 +139,8 @@
 
     /// Whether the answer is for this request. A backend server may send a late answer to another
     /// request where this one's is due, and that must reach nobody.
-    fn is_for(&self, call: &CallerCall, word: &BackendWord, status: StatusCode) -> bool {
-        match &word.answers {
+    fn is_for(&self, call: &CallerRequest, word: &ResponseMetadata, status: StatusCode) -> bool {
+        match &word.request_id {
             Some(repeated) => self.dialect.is_same_id(&call.id, repeated),
             None => !status.is_success(),
         }
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -20,7 +20,7 @@
     "the request id must have 1 to {MAX_ID_BYTES} letters, digits, '-', '_', '.' or ':'; it has \
      {length} bytes"
 ))]
-pub struct CallIdError {
+pub struct CallerRequestIdError {
     length: usize,
 }
 
@@ -28,55 +28,55 @@
 /// a log line.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct CallId(Rc<str>);
+pub struct CallerRequestId(Rc<str>);
 
-impl CallId {
+impl CallerRequestId {
     /// The id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-impl TryFrom<&str> for CallId {
-    type Error = CallIdError;
+impl TryFrom<&str> for CallerRequestId {
+    type Error = CallerRequestIdError;
 
-    fn try_from(text: &str) -> Result<Self, CallIdError> {
+    fn try_from(text: &str) -> Result<Self, CallerRequestIdError> {
         let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
         let length = text.len();
         if (1..=MAX_ID_BYTES).contains(&length) && text.bytes().all(is_allowed) {
             return Ok(Self(Rc::from(text)));
         }
-        Err(CallIdError { length })
+        Err(CallerRequestIdError { length })
     }
 }
 
-impl TryFrom<String> for CallId {
-    type Error = CallIdError;
+impl TryFrom<String> for CallerRequestId {
+    type Error = CallerRequestIdError;
 
-    fn try_from(text: String) -> Result<Self, CallIdError> {
+    fn try_from(text: String) -> Result<Self, CallerRequestIdError> {
         Self::try_from(text.as_str())
     }
 }
 
-impl From<CallId> for String {
-    fn from(id: CallId) -> String {
+impl From<CallerRequestId> for String {
+    fn from(id: CallerRequestId) -> String {
         id.0.to_string()
     }
 }
 
-impl fmt::Display for CallId {
+impl fmt::Display for CallerRequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl FieldValue for CallId {}
+impl FieldValue for CallerRequestId {}
 
 /// A caller's request.
 #[derive(Clone, Debug)]
-pub struct CallerCall {
+pub struct CallerRequest {
     /// The caller's id for it.
-    pub id: CallId,
+    pub id: CallerRequestId,
     /// The hash of the caller's key, where it sent one. The key itself is in no header.
     pub key: Option<TokenHash>,
     /// Its method.
@@ -90,14 +90,14 @@
     /// The whole body.
     pub body: Bytes,
     /// How long the caller waits; `None` where it does not say.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Its prompt, where it has one.
     pub prompt: Option<PromptShape>,
     /// The last event that the caller has of an earlier answer.
     pub resume_after: Option<u64>,
 }
 
-impl CallerCall {
+impl CallerRequest {
     /// The path without the query.
     pub fn path(&self) -> &str {
         self.target.split_once('?').map_or(&self.target, |(path, _)| path)
--- a/crates/proxy/src/call_print.rs
+++ b/crates/proxy/src/call_print.rs
@@ -1,7 +1,7 @@
 //! The fingerprint of a caller's request, made when it is first asked for.
 
 use {
-    crate::CallerCall,
+    crate::CallerRequest,
     gullglade_poison::{PrintKey, RequestPrint, RequestView},
     gullglade_units::WorkspaceName,
     http::header::AUTHORIZATION,
@@ -11,7 +11,7 @@
 /// The fingerprint of one request. While nothing is suspect no request is asked for its own, and
 /// none is hashed twice, however often it is sent.
 pub(crate) struct CallPrint {
-    call: Rc<CallerCall>,
+    call: Rc<CallerRequest>,
     workspace: Option<WorkspaceName>,
     key: PrintKey,
     made: OnceCell<RequestPrint>,
@@ -20,7 +20,7 @@
 impl CallPrint {
     /// That of `call`; `told`, where the gateway that sent it here has made it already.
     pub(crate) fn new(
-        call: &Rc<CallerCall>,
+        call: &Rc<CallerRequest>,
         workspace: Option<WorkspaceName>,
         key: PrintKey,
         told: Option<RequestPrint>,
@@ -30,7 +30,7 @@
     }
 
     /// The request.
-    pub(crate) fn call(&self) -> &CallerCall {
+    pub(crate) fn call(&self) -> &CallerRequest {
         &self.call
     }
 
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,7 +1,7 @@
 //! What is said to backend servers beside the request itself.
 
 use {
-    crate::CallId,
+    crate::CallerRequestId,
     gullglade_dispatch::BackendStatements,
     gullglade_units::{BackendName, WorkspaceName},
     http::{HeaderMap, HeaderName, HeaderValue, StatusCode},
@@ -10,7 +10,7 @@
 
 /// What a backend server is to know of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct SendOrder<'a> {
+pub struct RequestMetadata<'a> {
     /// The run of the backend server that is meant; another one must refuse.
     pub backend: &'a BackendName,
     /// The time after which nobody waits for the answer any more.
@@ -27,33 +27,33 @@
 
 /// What a backend server says of itself and of the request with the head of an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct BackendWord {
+pub struct ResponseMetadata {
     /// It states that it did not run the request and will not.
     pub is_not_run: bool,
     /// It is not the run of the backend server that was meant.
     pub is_other_run: bool,
     /// The id of the request that the answer is for; `None` where it does not say.
-    pub answers: Option<String>,
+    pub request_id: Option<String>,
     /// What it states of itself.
-    pub stated: BackendStatements,
+    pub statements: BackendStatements,
 }
 
 /// How a deployment's backend servers are spoken to.
 pub trait BackendDialect {
     /// The headers of the request to a backend server, for a caller's request with `headers`.
-    fn outgoing(&self, headers: &HeaderMap, order: &SendOrder<'_>) -> HeaderMap;
+    fn request_headers(&self, headers: &HeaderMap, metadata: &RequestMetadata<'_>) -> HeaderMap;
 
     /// What the head of an answer says.
-    fn incoming(&self, status: StatusCode, headers: &HeaderMap) -> BackendWord;
+    fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Whether a header of an answer of this name is read here, or is known to state nothing.
-    fn reads(&self, name: &HeaderName) -> bool;
+    fn recognizes_header(&self, name: &HeaderName) -> bool;
 
     /// The value of `retry-after` for callers.
     fn retry_after(&self, wait: Duration) -> HeaderValue;
 
     /// Whether `id` is that of the request, as a backend server would repeat it.
-    fn is_same_id(&self, id: &CallId, repeated: &str) -> bool {
+    fn is_same_id(&self, id: &CallerRequestId, repeated: &str) -> bool {
         id.as_str() == repeated
     }
 }
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -47,7 +47,7 @@
     }
 
     /// Changes what the scheduler knows, and looks at the queue again.
-    pub fn update<T>(
+    pub fn update_scheduler<T>(
         self: &Rc<Self>,
         change: impl FnOnce(&mut Scheduler, MonotonicTime) -> T,
     ) -> T {
@@ -57,8 +57,8 @@
     }
 
     /// Asks the scheduler something that changes no verdict.
-    pub fn ask<T>(&self, ask: impl FnOnce(&mut Scheduler, MonotonicTime) -> T) -> T {
-        ask(&mut self.scheduler.borrow_mut(), self.context.clock.now())
+    pub fn with_scheduler<T>(&self, action: impl FnOnce(&mut Scheduler, MonotonicTime) -> T) -> T {
+        action(&mut self.scheduler.borrow_mut(), self.context.clock.now())
     }
 
     /// Waits for the verdict on a request. Dropped meanwhile, the request leaves the queue.
@@ -189,7 +189,7 @@
 
     /// The first byte of the answer has come.
     pub(crate) fn begin(&self) {
-        self.dispatcher.ask(|scheduler, now| scheduler.begin(self.ticket, now));
+        self.dispatcher.with_scheduler(|scheduler, now| scheduler.begin(self.ticket, now));
         self.dispatcher.tell_news();
         if let Some(watch) = &self.watch {
             watch.begin();
@@ -197,10 +197,11 @@
     }
 
     /// The backend server stated something of itself with the head of its answer; what is new.
-    pub(crate) fn note_statements(&self, stated: &BackendStatements) -> Vec<StatementChange> {
+    pub(crate) fn note_statements(&self, statements: &BackendStatements) -> Vec<StatementChange> {
         let ticket = self.ticket;
-        let changes =
-            self.dispatcher.ask(|scheduler, now| scheduler.note_statements(ticket, stated, now));
+        let changes = self
+            .dispatcher
+            .with_scheduler(|scheduler, now| scheduler.note_statements(ticket, statements, now));
         if let Some(watch) = &self.watch {
             changes.iter().for_each(|change| watch.statement_changed(*change));
             if changes.iter().any(|change| change.ends_sends()) {
@@ -212,7 +213,7 @@
 
     /// Whether the place may still be used.
     pub(crate) fn may_be_used(&self) -> bool {
-        self.dispatcher.ask(|scheduler, now| scheduler.may_use_place(self.ticket, now))
+        self.dispatcher.with_scheduler(|scheduler, now| scheduler.may_use_place(self.ticket, now))
     }
 
     /// What the wait for the answer needs to know of the run.
@@ -238,7 +239,7 @@
         }
         self.dispatcher.waiting.borrow_mut().remove(&self.ticket);
         self.dispatcher.permits.borrow_mut().remove(&self.ticket);
-        self.dispatcher.update(|scheduler, now| {
+        self.dispatcher.update_scheduler(|scheduler, now| {
             scheduler.withdraw(self.ticket);
             scheduler.end(self.ticket, outcome, now);
         });
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        CallId, CallerCall, Proxy,
+        CallerRequest, CallerRequestId, Proxy,
         outcome::{
             AttemptEnd, AttemptPlace, FinalWord, KeptReason, RepeatReason, UnknownReason, WaitLimit,
         },
@@ -18,7 +18,7 @@
 
 /// Tells of one request. Where it is dropped before the end was told, the caller has left.
 pub(crate) struct JourneyLog {
-    id: CallId,
+    id: CallerRequestId,
     events: Rc<dyn EventSink>,
     metrics: Rc<MetricSet>,
     clock: Rc<dyn Clock>,
@@ -54,7 +54,12 @@
 
 impl JourneyLog {
     /// Of the request `item`, which `bound` limits as a whole.
-    pub(crate) fn new(proxy: &Proxy, call: &CallerCall, item: &WorkItem, bound: WaitLimit) -> Self {
+    pub(crate) fn new(
+        proxy: &Proxy,
+        call: &CallerRequest,
+        item: &WorkItem,
+        bound: WaitLimit,
+    ) -> Self {
         Self {
             id: call.id.clone(),
             events: Rc::clone(proxy.events()),
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        CallId, CallerCall, Dispatcher,
+        CallerRequest, CallerRequestId, Dispatcher,
         answer::{AnswerBody, AttemptAnswer},
         liveness::{RemoteLiveness, RunLiveness},
         outcome::{AttemptEnd, AttemptPlace, NotRunReason, UnknownReason},
@@ -76,7 +76,7 @@
 /// A request on its way to another region. It goes no further from there.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ForwardCall {
-    pub(crate) id: CallId,
+    pub(crate) id: CallerRequestId,
     pub(crate) method: String,
     pub(crate) host: String,
     pub(crate) target: String,
@@ -136,7 +136,7 @@
 
 impl ForwardCall {
     pub(crate) fn new(
-        call: &CallerCall,
+        call: &CallerRequest,
         item: &WorkItem,
         resume_after: Option<u64>,
         now: MonotonicTime,
@@ -316,7 +316,8 @@
     async fn open(&self, region: &RegionName, call: &mut ForwardCall) -> OpenedForward {
         // The time on the way there, which the gateway there cannot know. It cuts an answer at the
         // end of what is left, so of that no more is taken than the way takes at least.
-        let least = self.dispatcher.ask(|scheduler, _| scheduler.least_region_delay(region));
+        let least =
+            self.dispatcher.with_scheduler(|scheduler, _| scheduler.least_region_delay(region));
         call.waited += self.round_trip(region) / 2;
         call.left = call.left.saturating_sub(least / 2);
         for gateway in self.some_gateways(region) {
@@ -345,7 +346,8 @@
 
     /// The usual time of a word to the region and its answer.
     pub(crate) fn round_trip(&self, region: &RegionName) -> Duration {
-        let usual_ms = self.dispatcher.ask(|scheduler, _| scheduler.region_delay_ms(region));
+        let usual_ms =
+            self.dispatcher.with_scheduler(|scheduler, _| scheduler.region_delay_ms(region));
         Duration::from_secs_f64(usual_ms / 1_000.0)
     }
 
@@ -356,13 +358,13 @@
             return;
         }
         let word = FirstByteTimes::from_millis(offer);
-        self.dispatcher.ask(|scheduler, now| {
+        self.dispatcher.with_scheduler(|scheduler, now| {
             scheduler.note_region_word(region, service, word, now);
         });
     }
 
     fn pause(&self, region: &RegionName, pause: Duration) {
-        self.dispatcher.ask(|scheduler, now| scheduler.pause_region(region, pause, now));
+        self.dispatcher.with_scheduler(|scheduler, now| scheduler.pause_region(region, pause, now));
     }
 
     fn lost(&self, region: &RegionName) -> AttemptEnd {
@@ -372,7 +374,7 @@
 
     /// Keeps sessions to this gateway's usual gateways of other regions. Without one the first
     /// request to a region waits for a dial and a handshake: 0.4 s over links of 55 ms.
-    pub(crate) fn keep_warm(&self) {
+    pub(crate) fn keep_sessions_alive(&self) {
         let own = &self.fleet.profile().region;
         let regions: BTreeSet<RegionName> = self.fleet.read(|view| {
             let gateways = view.gateways(self.context.clock.now());
@@ -433,7 +435,8 @@
         }
         if let Some(first) = &first {
             let took = clock.now().since(began);
-            self.dispatcher.ask(|scheduler, _| scheduler.note_region_delay(region, took));
+            self.dispatcher
+                .with_scheduler(|scheduler, _| scheduler.note_region_delay(region, took));
             self.note_word(region, service, first.as_ref());
         }
         first
@@ -476,7 +479,7 @@
 
     /// The region turned work of a service away.
     fn refused(&self, region: &RegionName, service: &ServiceName) {
-        self.dispatcher.ask(|scheduler, now| {
+        self.dispatcher.with_scheduler(|scheduler, now| {
             scheduler.pause_service(region, service, REFUSED_PAUSE, now);
         });
     }
--- a/crates/proxy/src/forward_server.rs
+++ b/crates/proxy/src/forward_server.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        CallerCall,
+        CallerRequest,
         answer::AttemptAnswer,
         forward::{
             COMMIT, FORWARD, ForwardCall, ForwardPiece, LEASE, PROXY_PREFIX, WARM, pack_headers,
@@ -46,7 +46,8 @@
 
     /// What this region offers of a service, for the word that a request has arrived.
     fn offer_millis(&self, service: &ServiceName) -> Vec<u32> {
-        let offer = self.proxy.dispatcher().ask(|scheduler, now| scheduler.offer(service, now));
+        let offer =
+            self.proxy.dispatcher().with_scheduler(|scheduler, now| scheduler.offer(service, now));
         offer.map(|offer| offer.first_byte.to_millis()).unwrap_or_default()
     }
 
@@ -55,7 +56,7 @@
         let forward: ForwardCall = decode(body).map_err(PeerFault::malformed)?;
         put(reply, &ForwardPiece::Accepted(self.offer_millis(&forward.service))).await?;
         let method = Method::from_bytes(forward.method.as_bytes()).map_err(PeerFault::malformed)?;
-        let call = CallerCall {
+        let call = CallerRequest {
             id: forward.id,
             key: None,
             method,
@@ -63,7 +64,7 @@
             target: forward.target,
             headers: unpack_headers(forward.headers),
             body: forward.body,
-            patience: Some(forward.left),
+            caller_timeout: Some(forward.left),
             prompt: forward.prompt,
             resume_after: forward.resume_after,
         };
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -68,7 +68,7 @@
         let (sender, source) = (Rc::clone(self), Rc::downgrade(dispatcher));
         dispatcher.set_on_news(Rc::new(move || {
             let Some(dispatcher) = source.upgrade() else { return };
-            if dispatcher.ask(|scheduler, _| scheduler.has_hints()) {
+            if dispatcher.with_scheduler(|scheduler, _| scheduler.has_hints()) {
                 sender.schedule(&dispatcher);
             }
         }));
@@ -103,7 +103,7 @@
     }
 
     fn send(&self, dispatcher: &Dispatcher) {
-        let hints = dispatcher.ask(|scheduler, now| scheduler.take_hints(now));
+        let hints = dispatcher.with_scheduler(|scheduler, now| scheduler.take_hints(now));
         let peers = self.peers.borrow();
         for body in bodies(&hints) {
             self.notices.notify(&peers.addresses, &body);
--- a/crates/proxy/src/journey.rs
+++ b/crates/proxy/src/journey.rs
@@ -9,7 +9,7 @@
 use {
     self::repeats::PendingRepeat,
     crate::{
-        CallerCall, Proxy,
+        CallerRequest, Proxy,
         answer::AttemptAnswer,
         arrival::SendBook,
         attempt::promises_not_run,
@@ -43,7 +43,7 @@
 /// One request on its way.
 pub(crate) struct Journey {
     pub(crate) proxy: Proxy,
-    pub(crate) call: Rc<CallerCall>,
+    pub(crate) call: Rc<CallerRequest>,
     pub(crate) print: Rc<CallPrint>,
     pub(crate) item: WorkItem,
     pub(crate) log: JourneyLog,
@@ -103,7 +103,7 @@
     /// takes it.
     pub(crate) fn begin(
         proxy: &Proxy,
-        call: CallerCall,
+        call: CallerRequest,
         waited: Duration,
     ) -> Result<Self, FinalWord> {
         let traffic = proxy.traffic().ok_or(FinalWord::NoConfiguration)?;
@@ -127,7 +127,7 @@
     /// none of this region may serve it.
     pub(crate) fn forwarded(
         proxy: &Proxy,
-        call: CallerCall,
+        call: CallerRequest,
         forwarded: ForwardedWork,
     ) -> Option<Self> {
         let ForwardedWork { print, service, workspace, waited, left, tried, returns_to } =
@@ -151,7 +151,12 @@
         journey.item.allows(proxy.region()).then_some(journey)
     }
 
-    fn new(proxy: &Proxy, call: CallerCall, print: Option<RequestPrint>, work: RoutedWork) -> Self {
+    fn new(
+        proxy: &Proxy,
+        call: CallerRequest,
+        print: Option<RequestPrint>,
+        work: RoutedWork,
+    ) -> Self {
         let RoutedWork { route, workspace, service, waited, left, bound, is_own } = work;
         let now = proxy.context().clock.now();
         // A clock of this process that is younger than the request must not run below its start.
@@ -179,7 +184,7 @@
         let last_event = call.resume_after;
         let call = Rc::new(call);
         let workspace = item.workspace.as_ref().map(|workspace| workspace.name.clone());
-        let print = CallPrint::new(&call, workspace, proxy.print_key(), print);
+        let print = CallPrint::new(&call, workspace, proxy.fingerprint_key(), print);
         Self {
             proxy: proxy.clone(),
             call,
@@ -408,7 +413,7 @@
 /// Charges a request to its workspace.
 fn charge(
     proxy: &Proxy,
-    call: &CallerCall,
+    call: &CallerRequest,
     workspace: &TrafficWorkspace,
 ) -> Result<ChargeGuard, FinalWord> {
     let tokens = call.prompt.as_ref().map(|shape| (shape.prompt_tokens, shape.answer_tokens));
@@ -416,10 +421,10 @@
 }
 
 /// The longest that a request may still take, and which limit that is.
-fn longest(route: &TrafficRoute, call: &CallerCall, waited: Duration) -> (Duration, WaitLimit) {
+fn longest(route: &TrafficRoute, call: &CallerRequest, waited: Duration) -> (Duration, WaitLimit) {
     let timeout = route.timeout.saturating_sub(waited);
-    match call.patience {
-        Some(patience) if patience < timeout => (patience, WaitLimit::Deadline),
+    match call.caller_timeout {
+        Some(caller_timeout) if caller_timeout < timeout => (caller_timeout, WaitLimit::Deadline),
         _ => (timeout, WaitLimit::RouteTimeout),
     }
 }
--- a/crates/proxy/src/journey/placing.rs
+++ b/crates/proxy/src/journey/placing.rs
@@ -75,7 +75,7 @@
         let used = used.clone();
         let away = Some(&used.region).filter(|region| *region != self.proxy.region()).cloned();
         let dispatcher = self.proxy.dispatcher();
-        let is_broken = |region| dispatcher.ask(|s, now| s.is_path_broken(region, now));
+        let is_broken = |region| dispatcher.with_scheduler(|s, now| s.is_path_broken(region, now));
         if away.as_ref().is_some_and(is_broken) {
             return Err(self.unknown(UnknownReason::LostAway));
         }
--- a/crates/proxy/src/journey/repeats.rs
+++ b/crates/proxy/src/journey/repeats.rs
@@ -48,7 +48,7 @@
         let next = |scheduler: &mut Scheduler, now| {
             scheduler.next_repeat(service, now).map(|at| at.since(now))
         };
-        self.proxy.dispatcher().ask(next)
+        self.proxy.dispatcher().with_scheduler(next)
     }
 
     /// Waits until there is a repeat for the one that is pending. Others may take it first.
@@ -71,7 +71,8 @@
         }
         let service = &self.item.service;
         let dispatcher = self.proxy.dispatcher();
-        let decision = dispatcher.ask(|scheduler, now| scheduler.look_at_repeats(service, now));
+        let decision =
+            dispatcher.with_scheduler(|scheduler, now| scheduler.look_at_repeats(service, now));
         if !decision.is_granted {
             self.log.repeat(reason, decision);
         }
@@ -93,7 +94,8 @@
         }
         let service = &self.item.service;
         let dispatcher = self.proxy.dispatcher();
-        let decision = dispatcher.ask(|scheduler, now| scheduler.take_repeat(service, now));
+        let decision =
+            dispatcher.with_scheduler(|scheduler, now| scheduler.take_repeat(service, now));
         self.log.repeat(reason, decision);
         if decision.is_granted {
             self.sends.add_repeat(OpenRepeat::new(&self.proxy, &self.call.id, service));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! Requests that pass through unchanged.
 //!
-//! A [`Proxy`] takes a request of any method, path and body ([`CallerCall`]), finds its route in
+//! A [`Proxy`] takes a request of any method, path and body ([`CallerRequest`]), finds its route in
 //! the traffic configuration in force, has it placed by a [`Dispatcher`], and relays the answer.
 //! What backend servers are told and say beside the request itself is up to a [`BackendDialect`].
 //!
@@ -38,8 +38,8 @@
 mod unread_headers;
 
 pub use {
-    call::{CallId, CallIdError, CallerCall},
-    dialect::{BackendDialect, BackendWord, SendOrder},
+    call::{CallerRequest, CallerRequestId, CallerRequestIdError},
+    dialect::{BackendDialect, RequestMetadata, ResponseMetadata},
     dispatcher::Dispatcher,
     forward_server::ForwardServer,
     proxy::{Proxy, ProxyParts},
--- a/crates/proxy/src/liveness.rs
+++ b/crates/proxy/src/liveness.rs
@@ -92,7 +92,7 @@
     }
 
     fn is_at_work(&self) -> bool {
-        self.dispatcher.ask(|scheduler, now| scheduler.is_at_work(self.ticket, now))
+        self.dispatcher.with_scheduler(|scheduler, now| scheduler.is_at_work(self.ticket, now))
     }
 }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        BackendDialect, CallId, CallerCall, Dispatcher,
+        BackendDialect, CallerRequest, CallerRequestId, Dispatcher,
         access::AccessGate,
         attempt::AttemptParts,
         forward::Forwarder,
@@ -45,7 +45,7 @@
     /// What is known of requests that end backend servers.
     pub crashes: Rc<CrashLedger>,
     /// Makes the fingerprints of requests, the same in all gateways.
-    pub print_key: PrintKey,
+    pub fingerprint_key: PrintKey,
     /// The time after which a key that was taken away must be refused, also without contact to
     /// control processes; `None` where a gateway without contact may go on.
     pub revocation: Option<Duration>,
@@ -66,7 +66,7 @@
     access: AccessGate,
     quota: Rc<QuotaDesk>,
     /// When what is not finished will be cut off, for a gateway that is about to end.
-    cut_at: Cell<Option<MonotonicTime>>,
+    cutoff: Cell<Option<MonotonicTime>>,
     /// Requests of other regions' gateways that are in progress here.
     forwards: Cell<usize>,
     /// Callers' requests that came before the first configuration.
@@ -124,11 +124,11 @@
             parts.context.clone(),
         );
         hints.attach(&parts.dispatcher);
-        let cut_at = Cell::new(None);
+        let cutoff = Cell::new(None);
         let forwards = Cell::new(0);
         let start_gate = StartGate::default();
         let shared =
-            ProxyShared { parts, attempts, forwarder, access, quota, cut_at, forwards, start_gate };
+            ProxyShared { parts, attempts, forwarder, access, quota, cutoff, forwards, start_gate };
         let proxy = Self { shared: Rc::new(shared) };
         proxy.watch_start();
         proxy.watch_stalls();
@@ -144,7 +144,7 @@
                 clock.sleep(STALL_CHECK_INTERVAL).await;
                 let Some(shared) = shared.upgrade() else { return };
                 let ProxyParts { dispatcher, events, .. } = &shared.parts;
-                if let Some(stall) = dispatcher.ask(Scheduler::check_stall) {
+                if let Some(stall) = dispatcher.with_scheduler(Scheduler::check_stall) {
                     let event = EventDraft::new("gateway.stood_still").level(Level::Warn);
                     events.emit(event.millis("stall_ms", stall));
                 }
@@ -165,12 +165,13 @@
 
     /// Serves a caller's request. Dropped, it cancels the work behind it; so does dropping the
     /// reply's body before its end.
-    pub async fn serve(&self, mut call: CallerCall) -> Response<ReplyBody> {
+    pub async fn serve(&self, mut call: CallerRequest) -> Response<ReplyBody> {
         let id = call.id.clone();
         let mut waited = Duration::ZERO;
         if self.traffic().is_none() {
-            waited = self.shared.start_gate.wait(call.patience, self.context()).await;
-            call.patience = call.patience.map(|patience| patience.saturating_sub(waited));
+            waited = self.shared.start_gate.wait(call.caller_timeout, self.context()).await;
+            call.caller_timeout =
+                call.caller_timeout.map(|caller_timeout| caller_timeout.saturating_sub(waited));
         }
         match Journey::begin(self, call, waited) {
             Ok(journey) => journey.run().await,
@@ -182,7 +183,7 @@
     }
 
     /// Tells of a request that is refused before it is queued.
-    fn tell_refused(&self, id: &CallId, word: FinalWord, waited: Duration) {
+    fn tell_refused(&self, id: &CallerRequestId, word: FinalWord, waited: Duration) {
         let kind = match word {
             FinalWord::NoRoute => "request.no_route",
             FinalWord::Leaving => "request.leaving",
@@ -210,21 +211,21 @@
 
     /// From now on takes only requests that end by themselves before `time`, at which this process
     /// will cut off what is left.
-    pub fn cut_at(&self, time: MonotonicTime) {
-        self.shared.cut_at.set(Some(time));
+    pub fn set_cutoff(&self, time: MonotonicTime) {
+        self.shared.cutoff.set(Some(time));
     }
 
     /// Whether a request that may take `left` can still end by itself.
     pub(crate) fn has_time_for(&self, left: Duration) -> bool {
         let now = self.context().clock.now();
-        self.shared.cut_at.get().is_none_or(|cut| left <= cut.since(now))
+        self.shared.cutoff.get().is_none_or(|cut| left <= cut.since(now))
     }
 
     /// Completes when nothing that gateways of other regions sent here is in progress.
     ///
     /// Their callers are not connected to this process, so the end of its own callers' connections
     /// says nothing of them: a stop that did not wait would cut their answers in the middle.
-    pub async fn forwards_finished(&self) {
+    pub async fn wait_for_forwards(&self) {
         let mut quiet_looks = 0;
         while quiet_looks < 2 {
             self.context().clock.sleep(FORWARDS_LOOK).await;
@@ -239,10 +240,10 @@
     }
 
     /// Takes a notice of another gateway: where it sent requests, or what was spent of quotas.
-    pub fn take_notice(&self, body: &[u8]) {
+    pub fn handle_notice(&self, body: &[u8]) {
         match decode(body) {
             Ok(GatewayNotice::Hints(hints)) => {
-                self.dispatcher().ask(|scheduler, now| scheduler.note_hints(hints, now));
+                self.dispatcher().with_scheduler(|scheduler, now| scheduler.note_hints(hints, now));
             }
             Ok(GatewayNotice::Spend(spend)) => self.quota().note(spend),
             Err(error) => {
@@ -253,8 +254,8 @@
     }
 
     /// Keeps sessions to gateways of other regions. To be called every few seconds.
-    pub fn keep_warm(&self) {
-        self.shared.forwarder.keep_warm();
+    pub fn keep_sessions_alive(&self) {
+        self.shared.forwarder.keep_sessions_alive();
     }
 
     /// The configuration in force.
@@ -286,8 +287,8 @@
         &self.shared.parts.crashes
     }
 
-    pub(crate) fn print_key(&self) -> PrintKey {
-        self.shared.parts.print_key
+    pub(crate) fn fingerprint_key(&self) -> PrintKey {
+        self.shared.parts.fingerprint_key
     }
 
     pub(crate) fn attempts(&self) -> &AttemptParts {
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -1,7 +1,7 @@
 //! The quotas of workspaces at this gateway: charges of requests, and reports to other gateways.
 
 use {
-    crate::{CallId, notice::encode_spend},
+    crate::{CallerRequestId, notice::encode_spend},
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_fleet::{FleetFollower, GatewayRow},
     gullglade_peer::NoticeSender,
@@ -203,7 +203,7 @@
     /// Charges a request to its workspace; where that is over its quota, when to come back.
     pub(crate) fn charge(
         self: &Rc<Self>,
-        id: &CallId,
+        id: &CallerRequestId,
         workspace: &TrafficWorkspace,
         tokens: Option<(u32, u32)>,
     ) -> Result<ChargeGuard, Duration> {
@@ -223,7 +223,7 @@
 
     fn refuse(
         &self,
-        id: &CallId,
+        id: &CallerRequestId,
         workspace: &TrafficWorkspace,
         units: u64,
         refusal: QuotaRefusal,
--- a/crates/proxy/src/search.rs
+++ b/crates/proxy/src/search.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        CallerCall, Proxy,
+        CallerRequest, Proxy,
         call_print::CallPrint,
         dispatcher::SentTicket,
         forward::{ForwardCall, ReservedForward},
@@ -48,7 +48,7 @@
 /// A search for a place beside a run.
 pub(crate) struct PlaceSearch {
     proxy: Proxy,
-    call: Rc<CallerCall>,
+    call: Rc<CallerRequest>,
     print: Rc<CallPrint>,
     item: WorkItem,
     last_event: Option<u64>,
--- a/crates/proxy/src/starting.rs
+++ b/crates/proxy/src/starting.rs
@@ -38,11 +38,12 @@
     /// Returns how long that took.
     pub(crate) async fn wait(
         &self,
-        patience: Option<Duration>,
+        caller_timeout: Option<Duration>,
         context: &ProcessContext,
     ) -> Duration {
         let began = context.clock.now();
-        let limit = patience.map_or(LONGEST_WAIT, |patience| patience / WAIT_PART);
+        let limit =
+            caller_timeout.map_or(LONGEST_WAIT, |caller_timeout| caller_timeout / WAIT_PART);
         let (opened, gate) = oneshot::channel();
         self.0.borrow_mut().push(opened);
         // Opened or not, the caller of this looks whether there is a configuration now.
--- a/crates/proxy/src/unread_headers.rs
+++ b/crates/proxy/src/unread_headers.rs
@@ -68,7 +68,8 @@
             return;
         }
         let mut told = self.told.borrow_mut();
-        let unread = |name: &&HeaderName| !ORDINARY.contains(name) && !dialect.reads(name);
+        let unread =
+            |name: &&HeaderName| !ORDINARY.contains(name) && !dialect.recognizes_header(name);
         for name in headers.keys().filter(unread) {
             if told.len() >= MOST_NAMES || !told.insert(name.to_string()) {
                 continue;
--- a/crates/proxy/tests/access.rs
+++ b/crates/proxy/tests/access.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_proxy::CallerCall,
+    gullglade_proxy::CallerRequest,
     gullglade_traffic::{RawWorkspace, RequestKind},
     gullglade_units::TokenHash,
     std::time::Duration,
@@ -49,8 +49,8 @@
     }
 }
 
-fn keyed(bed: &TestBed, key: Option<&str>) -> CallerCall {
-    CallerCall { key: key.map(TokenHash::of), ..bed.call() }
+fn keyed(bed: &TestBed, key: Option<&str>) -> CallerRequest {
+    CallerRequest { key: key.map(TokenHash::of), ..bed.call() }
 }
 
 /// The status of a call, and the workspaces that backend servers of both regions were told.
--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -4,7 +4,7 @@
 
 use {
     futures::future::join_all,
-    gullglade_proxy::{CallId, CallerCall},
+    gullglade_proxy::{CallerRequest, CallerRequestId},
     gullglade_traffic::RequestKind,
     gullglade_units::MonotonicTime,
     std::{collections::BTreeSet, time::Duration},
@@ -62,8 +62,8 @@
             (0..REQUESTS).map(|n| began + PAUSE * u32::try_from(n).expect("few")).collect();
         let calls = (0..REQUESTS).map(|number| {
             let id = format!("call-{number}");
-            let call = CallerCall {
-                id: CallId::try_from(id.as_str()).expect("an id"),
+            let call = CallerRequest {
+                id: CallerRequestId::try_from(id.as_str()).expect("an id"),
                 key: None,
                 body: id.clone().into(),
                 ..bed.call()
@@ -122,7 +122,7 @@
     bed.script(0, &[Deed::Answer(shed)]);
     bed.script(0, &vec![Deed::Answer(slow); 2 * PLACES]);
     let calls = (0..PLACES + 1).map(|number| {
-        let call = CallerCall { body: format!("question {number}").into(), ..bed.call() };
+        let call = CallerRequest { body: format!("question {number}").into(), ..bed.call() };
         take(bed.proxy(), call)
     });
     bed.world.run_until(join_all(calls));
@@ -169,8 +169,8 @@
         let ask = |deeds: &[Deed]| {
             bed.backends(0).deeds.borrow_mut().clear();
             bed.script(0, deeds);
-            let patience = Some(Duration::from_secs(1));
-            bed.world.run_until(take(bed.proxy(), CallerCall { patience, ..bed.call() }));
+            let caller_timeout = Some(Duration::from_secs(1));
+            bed.world.run_until(take(bed.proxy(), CallerRequest { caller_timeout, ..bed.call() }));
         };
         ask(&deeds);
         let counts = [(); 2].map(|()| {
@@ -199,7 +199,7 @@
     struct Case {
         what: &'static str,
         kind: RequestKind,
-        patience: Duration,
+        caller_timeout: Duration,
         lost: Deed,
         /// Whether it is answered whole; it ends at once otherwise.
         is_whole: bool,
@@ -208,9 +208,9 @@
     const FIRST: &str = "id: 1\ndata: a\n\n";
     const REST: &str = "id: 2\ndata: b\n\n";
     let begun = || Deed::Answer(Script::events(&[FIRST]).broken());
-    let case = |what, kind, patience, lost, is_whole| {
-        let patience = Duration::from_secs(patience);
-        Case { what, kind, patience, lost, is_whole }
+    let case = |what, kind, caller_timeout, lost, is_whole| {
+        let caller_timeout = Duration::from_secs(caller_timeout);
+        Case { what, kind, caller_timeout, lost, is_whole }
     };
     let cases = [
         case("a stream with time left", STREAM, 8, begun(), true),
@@ -218,7 +218,7 @@
         case("a stream without an event", STREAM, 8, Deed::Close, false),
         case("a plain request", IDEMPOTENT, 8, Deed::Close, false),
     ];
-    for Case { what, kind, patience, lost, is_whole } in cases {
+    for Case { what, kind, caller_timeout, lost, is_whole } in cases {
         let bed = TestBed::new(&BedSettings {
             backends: (4, 0),
             timeout: Duration::from_secs(9),
@@ -232,7 +232,11 @@
         let again = Script::events(&[REST]);
         bed.script(0, &[lost, Deed::Answer(again)]);
         let began = bed.world.now();
-        let call = CallerCall { patience: Some(patience), body: "another".into(), ..bed.call() };
+        let call = CallerRequest {
+            caller_timeout: Some(caller_timeout),
+            body: "another".into(),
+            ..bed.call()
+        };
         let served = bed.serve(call);
         let took = bed.world.now().since(began);
         let lines = bed.events.lines();
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -5,7 +5,7 @@
 use {
     gullglade_dispatch::{PromptPart, PromptShape},
     gullglade_peer::NOTICE_LIMIT,
-    gullglade_proxy::CallerCall,
+    gullglade_proxy::CallerRequest,
     gullglade_traffic::RequestKind,
     std::time::Duration,
     support::{BedSettings, Deed, Script, TestBed, address},
@@ -17,11 +17,11 @@
 }
 
 /// A call with a prompt of `parts` parts.
-fn prompted(bed: &TestBed, parts: u64) -> CallerCall {
+fn prompted(bed: &TestBed, parts: u64) -> CallerRequest {
     let parts: Vec<_> = (0..parts).map(|id| PromptPart { id, tokens: 500 }).collect();
     let prompt_tokens = parts.iter().map(|part| part.tokens).sum();
     let prompt = PromptShape { parts, prompt_tokens, answer_tokens: 10 };
-    CallerCall { prompt: Some(prompt), ..bed.call() }
+    CallerRequest { prompt: Some(prompt), ..bed.call() }
 }
 
 /// An answer whose first byte comes after the hint of its send has gone out.
@@ -31,7 +31,7 @@
 }
 
 /// Serves a call at the first gateway, and lets its hints go out.
-fn serve(bed: &TestBed, call: CallerCall) {
+fn serve(bed: &TestBed, call: CallerRequest) {
     bed.script(0, &[late_answer()]);
     bed.serve(call);
     bed.world.run_for(Duration::from_millis(100));
--- a/crates/proxy/tests/journey.rs
+++ b/crates/proxy/tests/journey.rs
@@ -386,10 +386,10 @@
     bed.script(1, &[Deed::Answer(script)]);
     let began = bed.world.now();
     let stop = async {
-        bed.other_proxy().forwards_finished().await;
+        bed.other_proxy().wait_for_forwards().await;
         let idle = bed.world.now().since(began);
         assert!(idle < Duration::from_millis(200), "nothing to wait for, but {idle:?}");
-        bed.other_proxy().forwards_finished().await;
+        bed.other_proxy().wait_for_forwards().await;
         bed.world.now().since(began)
     };
     let caller = async {
@@ -469,7 +469,7 @@
         let bed = TestBed::new(&settings);
         bed.script(0, &[answer(200, "good")]);
         let mut call = bed.call();
-        call.patience = Some(Duration::from_millis(case.patience_ms));
+        call.caller_timeout = Some(Duration::from_millis(case.patience_ms));
         let began = bed.world.now();
         let served = bed.serve(call);
         let took = bed.world.now().since(began);
--- a/crates/proxy/tests/patience.rs
+++ b/crates/proxy/tests/patience.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_proxy::CallerCall,
+    gullglade_proxy::CallerRequest,
     gullglade_traffic::RequestKind,
     std::time::Duration,
     support::{BedSettings, Deed, Script, TestBed},
@@ -132,7 +132,7 @@
         let bed = TestBed::new(&settings);
         let events: Vec<&'static str> =
             (1..=5_000).map(|id| &*format!("id: {id}\ndata: a\n\n").leak()).collect();
-        let call = || CallerCall { patience: Some(DEADLINE), ..bed.call() };
+        let call = || CallerRequest { caller_timeout: Some(DEADLINE), ..bed.call() };
         bed.script(1, &vec![Deed::Answer(Script::events(&events[..1])); 12]);
         for _ in 0..2 {
             assert_eq!(bed.serve(call()).status, 200);
--- a/crates/proxy/tests/plays/mod.rs
+++ b/crates/proxy/tests/plays/mod.rs
@@ -16,7 +16,7 @@
         future::{Either, join, join_all, select},
     },
     gullglade_http::ReplyBody,
-    gullglade_proxy::{CallId, CallerCall, Proxy},
+    gullglade_proxy::{CallerRequest, CallerRequestId, Proxy},
     gullglade_traffic::RequestKind,
     gullglade_units::{Clock, MonotonicTime, RandomSource, SeededRandom},
     links::{LinkTrouble, PlayLinks},
@@ -37,7 +37,7 @@
 struct PlayCaller {
     gateway: usize,
     begin: MonotonicTime,
-    patience: Duration,
+    caller_timeout: Duration,
     /// Leaves so long after it began.
     leaves: Option<Duration>,
 }
@@ -174,7 +174,7 @@
         let caller = |_: &PlayRequest| PlayCaller {
             gateway: random.below(gateways as u64) as usize,
             begin: START + millis(random, 0..COMING_MS),
-            patience: millis(random, 2_500..9_000),
+            caller_timeout: millis(random, 2_500..9_000),
             leaves: (random.below(20) == 0).then(|| millis(random, 0..4_000)),
         };
         let callers = requests.iter().map(caller).collect();
@@ -227,17 +227,17 @@
         }
     }
 
-    fn call(&self, bed: &TestBed, number: usize) -> CallerCall {
+    fn call(&self, bed: &TestBed, number: usize) -> CallerRequest {
         let id = format!("call-{number}");
         let mut call = bed.call();
         call.headers.insert("call", id.parse().expect("a header value"));
         let is_plain = self.floor.requests[number].events.is_none();
         let target = if is_plain { "/plain/b" } else { "/a/b" };
-        CallerCall {
-            id: CallId::try_from(id.as_str()).expect("an id"),
+        CallerRequest {
+            id: CallerRequestId::try_from(id.as_str()).expect("an id"),
             target: target.to_owned(),
             body: Bytes::from(id),
-            patience: Some(self.callers[number].patience),
+            caller_timeout: Some(self.callers[number].caller_timeout),
             ..call
         }
     }
@@ -273,7 +273,7 @@
 /// What a caller gets that may leave.
 async fn take(
     proxy: &Proxy,
-    call: CallerCall,
+    call: CallerRequest,
     leaves: Option<Duration>,
     clock: &dyn Clock,
 ) -> PlayOutcome {
@@ -293,7 +293,7 @@
     outcome
 }
 
-async fn read(proxy: &Proxy, call: CallerCall, outcome: &mut PlayOutcome) {
+async fn read(proxy: &Proxy, call: CallerRequest, outcome: &mut PlayOutcome) {
     let (head, body) = proxy.serve(call).await.into_parts();
     outcome.status = head.status.as_u16();
     match body {
--- a/crates/proxy/tests/plays/oracle.rs
+++ b/crates/proxy/tests/plays/oracle.rs
@@ -135,7 +135,10 @@
     fn ends(&self, number: usize) -> (MonotonicTime, MonotonicTime) {
         let caller = &self.play.callers[number];
         let (least, most) = self.timeouts(caller.begin);
-        (caller.begin + least.min(caller.patience), caller.begin + most.min(caller.patience))
+        (
+            caller.begin + least.min(caller.caller_timeout),
+            caller.begin + most.min(caller.caller_timeout),
+        )
     }
 
     fn is_whole(&self, number: usize) -> bool {
--- a/crates/proxy/tests/poison.rs
+++ b/crates/proxy/tests/poison.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_proxy::{CallId, CallerCall},
+    gullglade_proxy::{CallerRequest, CallerRequestId},
     gullglade_traffic::RequestKind,
     gullglade_units::MonotonicTime,
     std::{collections::BTreeSet, time::Duration},
@@ -29,9 +29,9 @@
 }
 
 /// The request that ends backend servers; each attempt has an id of its own.
-fn poison(bed: &TestBed, attempt: usize) -> CallerCall {
-    let id = CallId::try_from(format!("attempt-{attempt}").as_str()).expect("an id");
-    CallerCall { id, body: "a body that ends whoever reads it".into(), ..bed.call() }
+fn poison(bed: &TestBed, attempt: usize) -> CallerRequest {
+    let id = CallerRequestId::try_from(format!("attempt-{attempt}").as_str()).expect("an id");
+    CallerRequest { id, body: "a body that ends whoever reads it".into(), ..bed.call() }
 }
 
 /// What a backend server does with it: its answer begins, and the process ends.
@@ -87,8 +87,8 @@
         let id = format!("other-{attempt}");
         let answer = Script::events(&["id: 1\n\n"]).header("id", &id);
         script_all(&bed, &Deed::Answer(answer));
-        let id = CallId::try_from(id.as_str()).expect("an id");
-        let other = CallerCall { id, ..bed.call() };
+        let id = CallerRequestId::try_from(id.as_str()).expect("an id");
+        let other = CallerRequest { id, ..bed.call() };
         let served = bed.world.run_until(take(bed.gateway(index), other));
         assert_eq!((served.status, served.is_broken), (200, false), "attempt {attempt}");
         bed.world.run_for(PAUSE);
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_proxy::CallerCall,
+    gullglade_proxy::CallerRequest,
     gullglade_traffic::{QuotaUnit, RawQuota, RawWorkspace, RequestKind},
     gullglade_units::TokenHash,
     std::time::Duration,
@@ -38,8 +38,8 @@
     bed
 }
 
-fn call(bed: &TestBed, workspace: &str) -> CallerCall {
-    CallerCall { key: Some(TokenHash::of(&format!("{workspace}-key"))), ..bed.call() }
+fn call(bed: &TestBed, workspace: &str) -> CallerRequest {
+    CallerRequest { key: Some(TokenHash::of(&format!("{workspace}-key"))), ..bed.call() }
 }
 
 /// Serves a call at a gateway, with backend servers that do `deed` with it.
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -5,7 +5,7 @@
 use {
     futures::future::{join, join_all},
     gullglade_dispatch::{BackendFacts, Scheduler, SchedulerSettings, TicketId, Verdict, WorkItem},
-    gullglade_proxy::{CallId, CallerCall},
+    gullglade_proxy::{CallerRequest, CallerRequestId},
     gullglade_traffic::{ColdRules, RequestKind, ServicePool, TrafficRoute},
     gullglade_units::{
         BackendName, FailureDomain, Incarnation, MonotonicTime, RegionName, ServiceName, VmName,
@@ -27,8 +27,8 @@
     Duration::from_millis(millis)
 }
 
-fn numbered(bed: &TestBed, id: &str) -> CallerCall {
-    CallerCall { id: CallId::try_from(id).expect("an id"), ..bed.call() }
+fn numbered(bed: &TestBed, id: &str) -> CallerRequest {
+    CallerRequest { id: CallerRequestId::try_from(id).expect("an id"), ..bed.call() }
 }
 
 /// Many events, a millisecond apart.
@@ -43,7 +43,7 @@
     // A backend server that sent an event a millisecond before was left alone as if it hung.
     let bed = TestBed::new(&BedSettings { backends: (1, 0), ..BedSettings::of(RESUMABLE) });
     bed.script(0, &[Deed::Answer(steady(500)), Deed::Answer(Script::events(&[ALL]))]);
-    let short = CallerCall { patience: Some(ms(60)), ..bed.call() };
+    let short = CallerRequest { caller_timeout: Some(ms(60)), ..bed.call() };
     let cut = bed.serve(short);
     assert!(cut.is_broken && cut.body.len() > 100, "{cut:?}");
     let began = bed.world.now();
@@ -57,7 +57,7 @@
 fn a_search_sends_nothing_that_is_held_back() {
     // A request under which three backend servers had ended was sent to another one.
     let bed = TestBed::new(&BedSettings { backends: (40, 0), ..BedSettings::of(RESUMABLE) });
-    let poison = |id: &str| CallerCall { body: "ends engines".into(), ..numbered(&bed, id) };
+    let poison = |id: &str| CallerRequest { body: "ends engines".into(), ..numbered(&bed, id) };
     let silent = Script::events(&[FIRST, REST]).paused(1, MINUTE);
     bed.script(0, &[Deed::Answer(silent.header("id", "silent"))]);
     let clock = bed.clock();
@@ -91,7 +91,7 @@
         bed.script(1, &[Deed::Hang, Deed::Hang]);
         let began = bed.world.now();
         bed.link.set_delay(ms(delay));
-        let call = CallerCall { patience: Some(ms(1_500)), ..bed.call() };
+        let call = CallerRequest { caller_timeout: Some(ms(1_500)), ..bed.call() };
         bed.serve(call);
         let took = bed.world.now().since(began);
         assert!(took <= ms(1_550), "link of {delay} ms: ended after {took:?}");
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -28,7 +28,9 @@
         fake::{FakeLink, FakeNetwork, FakeNode, FakeTransport},
     },
     gullglade_poison::{AccountSettings, CrashLedger, PrintKey},
-    gullglade_proxy::{CallId, CallerCall, Dispatcher, ForwardServer, Proxy, ProxyParts},
+    gullglade_proxy::{
+        CallerRequest, CallerRequestId, Dispatcher, ForwardServer, Proxy, ProxyParts,
+    },
     gullglade_quota::QuotaTolerance,
     gullglade_traffic::{ColdRules, RawWorkspace, RequestKind},
     gullglade_units::{
@@ -313,7 +315,7 @@
             revocation: settings.revocation,
             tolerance: QuotaTolerance { window: Duration::from_secs(8), over: 0.1, slack: 30.0 },
             regions: BTreeSet::from([region("west"), region("east")]),
-            print_key: PrintKey::from([1; 32]),
+            fingerprint_key: PrintKey::from([1; 32]),
             events,
             metrics: Rc::new(MetricSet::new().expect("metrics")),
         });
@@ -385,7 +387,7 @@
 
     /// Hands a notice to a gateway.
     pub(crate) fn tell(&self, gateway: usize, body: &[u8]) {
-        self.gateways[gateway].proxy.take_notice(body);
+        self.gateways[gateway].proxy.handle_notice(body);
     }
 
     /// The backend servers of the first (0) or second (1) region.
@@ -398,9 +400,9 @@
         self.backends(region).deeds.borrow_mut().extend(deeds.iter().cloned());
     }
 
-    pub(crate) fn call(&self) -> CallerCall {
-        CallerCall {
-            id: CallId::try_from("call-1").expect("an id"),
+    pub(crate) fn call(&self) -> CallerRequest {
+        CallerRequest {
+            id: CallerRequestId::try_from("call-1").expect("an id"),
             key: None,
             method: Method::POST,
             host: "h".to_owned(),
@@ -410,7 +412,7 @@
                 HeaderValue::from_static("kept"),
             )]),
             body: Bytes::from_static(b"question"),
-            patience: Some(Duration::from_secs(4)),
+            caller_timeout: Some(Duration::from_secs(4)),
             prompt: None,
             resume_after: None,
         }
@@ -427,7 +429,7 @@
     }
 
     /// Serves a call at the first region: status, whole body, and whether the body broke off.
-    pub(crate) fn serve(&self, call: CallerCall) -> Served {
+    pub(crate) fn serve(&self, call: CallerRequest) -> Served {
         self.world.run_until(take(self.proxy(), call))
     }
 
@@ -449,7 +451,7 @@
 }
 
 /// What a caller gets of `proxy`.
-pub(crate) async fn take(proxy: &Proxy, call: CallerCall) -> Served {
+pub(crate) async fn take(proxy: &Proxy, call: CallerRequest) -> Served {
     let response = proxy.serve(call).await;
     let (head, body) = response.into_parts();
     let mut bytes = Vec::new();
--- a/crates/proxy/tests/support/own_parts.rs
+++ b/crates/proxy/tests/support/own_parts.rs
@@ -94,7 +94,8 @@
     /// Tells a gateway how many share common limits with it.
     pub(super) fn tell_total(&self, dispatcher: &Rc<Dispatcher>) {
         if self.gateways > 0 {
-            dispatcher.update(|scheduler, now| scheduler.set_gateway_total(self.gateways, now));
+            dispatcher
+                .update_scheduler(|scheduler, now| scheduler.set_gateway_total(self.gateways, now));
         }
     }
 }
--- a/crates/proxy/tests/support/servers.rs
+++ b/crates/proxy/tests/support/servers.rs
@@ -5,7 +5,7 @@
     futures::stream,
     gullglade_dispatch::BackendStatements,
     gullglade_http::{BodyError, ClientBody, ClientError, ClientReply, HttpClient, SendPermit},
-    gullglade_proxy::{BackendDialect, BackendWord, SendOrder},
+    gullglade_proxy::{BackendDialect, RequestMetadata, ResponseMetadata},
     gullglade_units::{Clock, LocalFuture, MonotonicTime, ProcessContext},
     http::{HeaderMap, HeaderName, HeaderValue, Request, Response, StatusCode},
     std::{
@@ -240,29 +240,29 @@
 pub(super) struct PlainDialect;
 
 impl BackendDialect for PlainDialect {
-    fn outgoing(&self, headers: &HeaderMap, order: &SendOrder<'_>) -> HeaderMap {
+    fn request_headers(&self, headers: &HeaderMap, metadata: &RequestMetadata<'_>) -> HeaderMap {
         let mut headers = headers.clone();
         let mut put = |name: &'static str, value: String| {
             headers.insert(name, HeaderValue::try_from(value).expect("a header value"));
         };
-        put("run", order.backend.to_string());
-        put("left", order.left.as_millis().to_string());
-        if let Some(workspace) = order.workspace {
+        put("run", metadata.backend.to_string());
+        put("left", metadata.left.as_millis().to_string());
+        if let Some(workspace) = metadata.workspace {
             put("workspace", workspace.to_string());
         }
-        if let Some(event) = order.resume_after {
+        if let Some(event) = metadata.resume_after {
             put("after", event.to_string());
         }
         headers
     }
 
-    fn incoming(&self, _status: StatusCode, headers: &HeaderMap) -> BackendWord {
+    fn read_response(&self, _status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-        BackendWord {
+        ResponseMetadata {
             is_not_run: text("not-run").is_some(),
             is_other_run: text("other-run").is_some(),
-            answers: text("id").map(str::to_owned),
-            stated: BackendStatements {
+            request_id: text("id").map(str::to_owned),
+            statements: BackendStatements {
                 is_signed: text("signed").is_some(),
                 limit: text("limit").and_then(|text| text.parse::<f64>().ok()?.try_into().ok()),
                 backoff: text("backoff").and_then(|text| text.parse::<f64>().ok()?.try_into().ok()),
@@ -272,7 +272,7 @@
         }
     }
 
-    fn reads(&self, name: &HeaderName) -> bool {
+    fn recognizes_header(&self, name: &HeaderName) -> bool {
         const READ: [&str; 8] =
             ["not-run", "other-run", "id", "signed", "limit", "backoff", "leaving", "own"];
         READ.contains(&name.as_str())
