--- a/crates/backend/benches/table.rs
+++ b/crates/backend/benches/table.rs
@@ -71,7 +71,7 @@
     let blocks: Vec<PrefixHash> = (0..PROMPT_BLOCKS).map(PrefixHash).collect();
     criterion.bench_function("read 145 of 580 engines", |bencher| {
         bencher.iter(|| {
-            table.read(BackendTarget::Model(&model), |views| {
+            table.with_candidates(BackendTarget::Model(&model), |views| {
                 assert_eq!(views.len(), CANDIDATES);
                 views.iter().map(|view| view.requests()).sum::<u32>()
             })
@@ -79,7 +79,7 @@
     });
     criterion.bench_function("read 145 engines, with 32 prompt blocks each", |bencher| {
         bencher.iter(|| {
-            table.read(BackendTarget::Model(&model), |views| {
+            table.with_candidates(BackendTarget::Model(&model), |views| {
                 views.iter().map(|view| view.expected_cached_tokens(&blocks)).sum::<u32>()
             })
         });
--- a/crates/backend/examples/membership_traffic.rs
+++ b/crates/backend/examples/membership_traffic.rs
@@ -17,7 +17,7 @@
     gullglade_backend::{
         AnnounceReply, Announcement, BackendCapacity, BackendConfig, BackendKind, BackendProfile,
         BackendRelay, BackendTable, FencingMode, GatewayProfile, GossipDelta, LoadReport,
-        OwnGateway, RelayConfig, RelaySeams, ServingState,
+        LocalGateway, RelayConfig, RelayDependencies, ServingState,
     },
     gullglade_event::NullSink,
     gullglade_peer::{
@@ -254,7 +254,7 @@
             handlers: handlers.clone(),
         });
         let transport = CountingTransport { inner, own: address, book: self.book.clone() };
-        let seams = RelaySeams {
+        let seams = RelayDependencies {
             transport: Rc::new(transport),
             events: Rc::new(NullSink),
             context: context.clone(),
@@ -269,7 +269,7 @@
             caller_address: SocketAddr::new(address.ip(), address.port() + 1_000),
             limit: 1_000,
         };
-        let own = OwnGateway { vm: identity.vm, incarnation: identity.incarnation, profile };
+        let own = LocalGateway { vm: identity.vm, incarnation: identity.incarnation, profile };
         let config = RelayConfig { seeds: self.seeds.clone(), ..RelayConfig::default() };
         let relay = BackendRelay::new(own, table, config, seams);
         handlers.register("backend", relay.handler());
--- a/crates/backend/src/change_log.rs
+++ b/crates/backend/src/change_log.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
     /// The backend server or the caller itself: everybody has yet to hear.
-    Own,
+    Direct,
     /// A member of the own row: the other rows have yet to hear.
     Row,
     /// A relay of another row: nobody waits to hear it from here.
-    Far,
+    OtherRow,
     /// A sync. Says nothing of who tells it from now on.
     Sync,
 }
--- a/crates/backend/src/config.rs
+++ b/crates/backend/src/config.rs
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BackendConfig {
     /// When a backend server should announce again; 2 s.
-    pub renew_after: Duration,
+    pub renew_interval: Duration,
     /// Silence after which it is suspect: used only where nothing better is left; 5 s.
     pub suspect_after: Duration,
     /// Silence after which it is out: no new work; 10 s. This is the lease.
-    pub out_after: Duration,
+    pub lease: Duration,
     /// What relaying between gateways may add to the age of a report before the two limits above
     /// count; 4 s.
     pub relay_slack: Duration,
     /// Loads that differ little are told on only this long after the last ones; 4 s.
-    pub refresh_after: Duration,
+    pub load_refresh_interval: Duration,
     /// How long the record of one that left or fell silent is kept, so that nothing late or
     /// repeated brings an old incarnation back; 10 min.
-    pub forget_after: Duration,
+    pub retention: Duration,
     /// A restart counts as flapping together with those not longer before; 60 s.
     pub flap_window: Duration,
     /// So many restarts in a row make a backend server suspect for the window; 3.
@@ -37,11 +37,11 @@
     /// The configuration at the pace of a region.
     pub(crate) fn paced(&self, pace: &RegionPace) -> Self {
         Self {
-            renew_after: pace.stretch(self.renew_after),
+            renew_interval: pace.stretch(self.renew_interval),
             suspect_after: pace.stretch(self.suspect_after),
-            out_after: pace.stretch(self.out_after),
+            lease: pace.stretch(self.lease),
             relay_slack: pace.stretch(self.relay_slack),
-            refresh_after: pace.stretch(self.refresh_after),
+            load_refresh_interval: pace.stretch(self.load_refresh_interval),
             ..*self
         }
     }
@@ -50,12 +50,12 @@
 impl Default for BackendConfig {
     fn default() -> Self {
         Self {
-            renew_after: Duration::from_secs(2),
+            renew_interval: Duration::from_secs(2),
             suspect_after: Duration::from_secs(5),
-            out_after: Duration::from_secs(10),
+            lease: Duration::from_secs(10),
             relay_slack: Duration::from_secs(4),
-            refresh_after: Duration::from_secs(4),
-            forget_after: Duration::from_secs(600),
+            load_refresh_interval: Duration::from_secs(4),
+            retention: Duration::from_secs(600),
             flap_window: Duration::from_secs(60),
             flap_limit: 3,
             backend_limit: 4_096,
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -39,19 +39,19 @@
 pub use entry_table::{EntryAnswer, EntryGateway, EntryTable};
 pub use gateway::{GatewayLoad, GatewayProfile, GatewayRecord};
 pub use message::{
-    AgedRecord, DeltaReply, GatewayPulse, GossipDelta, LoadDelta, RelayStep, RunId, SyncReply,
+    AgedRecord, DeltaReply, GatewayHeartbeat, GossipDelta, LoadDelta, RelayStep, RunId, SyncReply,
     SyncRequest,
 };
 pub use plan::RelayPlan;
 pub use prompt::{BLOCK_TOKENS, PromptBlocks};
 pub use record::{BackendRecord, SequencedProfile};
-pub use relay::{BackendRelay, OwnGateway, RelayConfig, RelaySeams};
+pub use relay::{BackendRelay, LocalGateway, RelayConfig, RelayDependencies};
 pub use row::BackendHealth;
 pub use status::{RunStatus, StatusChange};
 pub use subset::{SubsetConfig, SubsetMember, SubsetPlan};
 pub use summary::{
-    GatewayContact, RegionDelta, RegionSummary, TargetId, TargetTotals, TotalsDelta, TotalsMove,
-    TotalsRow,
+    FullTotals, GatewayContact, LoadTotals, RegionDelta, RegionSummary, TargetId, TargetTotals,
+    TotalsDelta,
 };
 pub use table::{AnnounceOutcome, AnnounceRefusal, BackendTable};
 pub use view::{BackendTarget, BackendView};
--- a/crates/backend/src/members.rs
+++ b/crates/backend/src/members.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        AgedRecord, GatewayLoad, GatewayProfile, GatewayPulse, GatewayRecord, Origin, RunId,
+        AgedRecord, GatewayHeartbeat, GatewayLoad, GatewayProfile, GatewayRecord, Origin, RunId,
         RunStatus, ServingState, StatusChange,
         message::{low_bits, nearest_sequence},
         pace::RegionPace,
@@ -92,7 +92,7 @@
             stamp: Cell::new(0),
         };
         let aged = AgedRecord::new(record, Duration::ZERO, Duration::ZERO);
-        table.take(&aged, Origin::Own);
+        table.take(&aged, Origin::Direct);
         table
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Changes the own record; the next heartbeat tells its load.
-    fn update_own(&self, update: impl FnOnce(&mut GatewayRecord)) -> GatewayPulse {
+    fn update_own(&self, update: impl FnOnce(&mut GatewayRecord)) -> GatewayHeartbeat {
         let mut rows = self.rows.borrow_mut();
         let row = rows.get_mut(&self.own).expect("the own row is made first and never removed");
         update(&mut row.record);
@@ -123,7 +123,7 @@
     }
 
     /// Counts one more heartbeat of the own gateway and returns it.
-    pub(crate) fn beat(&self) -> GatewayPulse {
+    pub(crate) fn beat(&self) -> GatewayHeartbeat {
         self.update_own(|_| {})
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Takes in a heartbeat.
-    pub(crate) fn take_pulse(&self, pulse: &GatewayPulse, origin: Origin) -> PulseOutcome {
+    pub(crate) fn take_pulse(&self, pulse: &GatewayHeartbeat, origin: Origin) -> PulseOutcome {
         let Some(vm) = self.by_id.borrow().get(&pulse.id).cloned() else {
             return PulseOutcome::Unknown;
         };
@@ -216,7 +216,7 @@
     }
 
     /// The heartbeats taken after `mark` from the own row.
-    pub(crate) fn row_pulses_after(&self, mark: u64) -> Vec<GatewayPulse> {
+    pub(crate) fn row_pulses_after(&self, mark: u64) -> Vec<GatewayHeartbeat> {
         let rows = self.rows.borrow();
         let fresh = |row: &&MemberRow| row.origin == Origin::Row && row.stamp > mark;
         rows.values().filter(fresh).map(pulse).collect()
@@ -361,7 +361,7 @@
 impl MemberRow {
     fn new(record: GatewayRecord, heard: PastMoment) -> Self {
         let id = RunId::new(record.vm.as_str(), record.status.incarnation);
-        Self { record, id, origin: Origin::Far, heard, serving_since: heard, stamp: 0 }
+        Self { record, id, origin: Origin::OtherRow, heard, serving_since: heard, stamp: 0 }
     }
 
     fn refresh(&mut self, origin: Origin, heard: PastMoment, stamp: u64, now: MonotonicTime) {
@@ -373,7 +373,7 @@
     }
 }
 
-fn pulse(row: &MemberRow) -> GatewayPulse {
+fn pulse(row: &MemberRow) -> GatewayHeartbeat {
     let sequence = low_bits(row.record.status.sequence);
-    GatewayPulse { id: row.id, sequence, load: row.record.load }
+    GatewayHeartbeat { id: row.id, sequence, load: row.record.load }
 }
--- a/crates/backend/src/message.rs
+++ b/crates/backend/src/message.rs
@@ -43,7 +43,7 @@
     /// Which step this is.
     pub step: RelayStep,
     /// The sender's heartbeat.
-    pub pulse: GatewayPulse,
+    pub pulse: GatewayHeartbeat,
     /// A hash of the sender's membership; unequal hashes are healed by a sync.
     pub digest: [u8; 4],
     /// Backend servers whose membership changed.
@@ -53,7 +53,7 @@
     /// Loads that changed.
     pub loads: Vec<LoadDelta>,
     /// Heartbeats of the sender's row.
-    pub pulses: Vec<GatewayPulse>,
+    pub pulses: Vec<GatewayHeartbeat>,
     /// Totals of the sender's row, for gateways that speak for the region.
     pub row_totals: TotalsDelta,
     /// News of other regions.
@@ -156,7 +156,7 @@
 
 /// The heartbeat of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GatewayPulse {
+pub struct GatewayHeartbeat {
     /// The run.
     pub id: RunId,
     /// The low bits of the heartbeat's number.
--- a/crates/backend/src/plan.rs
+++ b/crates/backend/src/plan.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayPlan {
     /// The other members of its row: told what it heard itself.
-    pub mates: BTreeSet<VmName>,
+    pub row_peers: BTreeSet<VmName>,
     /// Members of other rows: told what it heard from its row and itself.
-    pub targets: BTreeSet<VmName>,
+    pub relay_targets: BTreeSet<VmName>,
     /// The mates that it calls more often, to notice their death soon: each gateway has
     /// `WATCHERS` of these watchers, of other failure domains where there are any: watchers that
     /// die together with the watched notice nothing.
@@ -47,8 +47,8 @@
         let row: Vec<&VmName> = rows.keys().filter(|vm| row_of(vm) == row_of(own)).collect();
         let others = rows.keys().filter(|vm| row_of(vm) != row_of(own));
         let relayed = deal(others, &row).into_iter().filter(|(_, relay)| **relay == own);
-        let targets = relayed.map(|(target, _)| target.clone()).collect();
-        let mates: BTreeSet<VmName> =
+        let relay_targets = relayed.map(|(target, _)| target.clone()).collect();
+        let row_peers: BTreeSet<VmName> =
             row.iter().filter(|mate| **mate != own).map(|mate| (*mate).clone()).collect();
         let is_watched = |mate: &&VmName| {
             let others = row.iter().copied().filter(|other| other != mate);
@@ -56,8 +56,8 @@
             watchers.sort_by_key(|watcher| members.get(*watcher) == members.get(*mate));
             watchers.into_iter().take(WATCHERS).any(|vm| vm == own)
         };
-        let watched = mates.iter().filter(is_watched).cloned().collect();
-        Self { mates, targets, watched, rows }
+        let watched = row_peers.iter().filter(is_watched).cloned().collect();
+        Self { row_peers, relay_targets, watched, rows }
     }
 
     /// The number of rows.
--- a/crates/backend/src/regions.rs
+++ b/crates/backend/src/regions.rs
@@ -212,7 +212,7 @@
             heard_stamp: 0,
             since: now,
             delay_millis: 0,
-            origin: Origin::Far,
+            origin: Origin::OtherRow,
         }
     }
 
--- a/crates/backend/src/relay.rs
+++ b/crates/backend/src/relay.rs
@@ -33,7 +33,7 @@
 
 /// Who the own gateway is.
 #[derive(Clone, Debug)]
-pub struct OwnGateway {
+pub struct LocalGateway {
     /// Its VM.
     pub vm: VmName,
     /// This run of it.
@@ -44,7 +44,7 @@
 
 /// What the relay needs of its process.
 #[derive(Clone)]
-pub struct RelaySeams {
+pub struct RelayDependencies {
     /// Calls other gateways.
     pub transport: Rc<dyn PeerTransport>,
     /// Takes the events of membership.
@@ -62,10 +62,10 @@
 impl BackendRelay {
     /// A relay that fills `table`. Nothing runs before [`start`](Self::start).
     pub fn new(
-        own: OwnGateway,
+        own: LocalGateway,
         table: Rc<BackendTable>,
         config: RelayConfig,
-        seams: RelaySeams,
+        seams: RelayDependencies,
     ) -> Self {
         Self { shared: Rc::new(RelayShared::new(own, table, config, seams)) }
     }
--- a/crates/backend/src/relay/handler.rs
+++ b/crates/backend/src/relay/handler.rs
@@ -6,7 +6,7 @@
         speaker::{self, TellReply},
     },
     crate::{
-        DeltaReply, GatewayPulse, GossipDelta, Origin, RegionDelta, RelayStep, StatusChange,
+        DeltaReply, GatewayHeartbeat, GossipDelta, Origin, RegionDelta, RelayStep, StatusChange,
         SyncReply, SyncRequest, members::PulseOutcome, table::gossip::LoadOutcome,
     },
     bytes::Bytes,
@@ -45,7 +45,7 @@
                 if delta.region == self.shared.own_region() {
                     return Err(PeerFault::refused("this is a gateway of your own region"));
                 }
-                self.shared.regions.take(&delta, Origin::Own);
+                self.shared.regions.take(&delta, Origin::Direct);
                 let again = self.shared.regions.note_speaker(&delta.region, &from.vm);
                 speaker::ensure_tasks(&self.shared);
                 Ok(Bytes::from(encode(&TellReply { again })))
@@ -65,7 +65,7 @@
     fn take_delta(self: &Rc<Self>, from: &VmName, delta: &GossipDelta) -> bool {
         let origin = match delta.step {
             RelayStep::Row => Origin::Row,
-            RelayStep::Across => Origin::Far,
+            RelayStep::Across => Origin::OtherRow,
         };
         delta.gateways.iter().for_each(|aged| self.take_gateway(aged, origin));
         delta.backends.iter().for_each(|aged| self.take_backend(aged, origin));
@@ -92,19 +92,19 @@
     }
 
     /// Whether this run of the sender is known here and was not taken for dead.
-    fn is_alive(&self, from: &VmName, pulse: &GatewayPulse) -> bool {
+    fn is_alive(&self, from: &VmName, pulse: &GatewayHeartbeat) -> bool {
         let is_this_run = self.members.name_of(pulse.id).as_ref() == Some(from);
         is_this_run && self.members.record(from).is_some_and(|r| !r.status.is_expired())
     }
 
     /// False: this gateway does not know who sent the heartbeat.
-    fn take_pulse(&self, from: &VmName, pulse: &GatewayPulse, origin: Origin) -> bool {
+    fn take_pulse(&self, from: &VmName, pulse: &GatewayHeartbeat, origin: Origin) -> bool {
         match self.members.take_pulse(pulse, origin) {
             PulseOutcome::Known => true,
             PulseOutcome::Unknown => false,
             PulseOutcome::Returned => {
                 if let Some(vm) = self.members.name_of(pulse.id) {
-                    self.note_gateway(&vm, if vm == *from { Origin::Own } else { origin });
+                    self.note_gateway(&vm, if vm == *from { Origin::Direct } else { origin });
                 }
                 true
             }
@@ -120,7 +120,7 @@
             return;
         }
         let since = *differing.entry(from.clone()).or_insert(self.now());
-        if self.now().since(since) >= self.table.pace().stretch(self.config.differ_limit) {
+        if self.now().since(since) >= self.table.pace().stretch(self.config.divergence_timeout) {
             differing.remove(from);
             *self.sync_with.borrow_mut() = Some(from.clone());
         }
@@ -138,12 +138,12 @@
                 ..SyncReply::default()
             };
         }
-        self.take_gateway(&request.from, Origin::Own);
+        self.take_gateway(&request.from, Origin::Direct);
         let own = self.table.part_hashes();
         let differing = (0..own.len()).filter(|part| request.parts.get(*part) != Some(&own[*part]));
         let backends = differing.flat_map(|part| self.table.aged_in_part(part)).collect();
         self.ensure_tasks();
-        let all = [Origin::Own, Origin::Row, Origin::Far, Origin::Sync];
+        let all = [Origin::Direct, Origin::Row, Origin::OtherRow, Origin::Sync];
         let regions = match request.parts.is_empty() {
             true => self.regions.deltas_after(0, &all),
             false => Vec::new(),
--- a/crates/backend/src/relay/healing.rs
+++ b/crates/backend/src/relay/healing.rs
@@ -27,7 +27,7 @@
 }
 
 async fn fetch_all(shared: &Rc<RelayShared>, addresses: Vec<SocketAddr>) {
-    let limit = shared.config.sync_limit;
+    let limit = shared.config.sync_timeout;
     join_all(addresses.into_iter().map(|address| sync(shared, address, Vec::new(), limit))).await;
 }
 
@@ -37,15 +37,15 @@
 pub(super) async fn run(shared: Rc<RelayShared>) {
     let mut last = shared.now();
     loop {
-        shared.seams.context.clock.sleep(shared.config.check_tick).await;
+        shared.seams.context.clock.sleep(shared.config.check_interval).await;
         let cut_off = is_alone(&shared) && !shared.members.lost().is_empty();
-        if !cut_off && shared.now().since(last) < shared.config.sync_tick {
+        if !cut_off && shared.now().since(last) < shared.config.sync_interval {
             continue;
         }
         let tries = if cut_off { ALONE_TRIES } else { 1 };
         let syncs = targets(&shared, tries).into_iter().map(|address| {
             let parts = shared.table.part_hashes().to_vec();
-            sync(&shared, address, parts, shared.config.heal_limit)
+            sync(&shared, address, parts, shared.config.background_sync_timeout)
         });
         join_all(syncs).await;
         last = shared.now();
@@ -97,7 +97,8 @@
 /// and stopped telling it; without this it would go on sending work to backend servers that left.
 pub(super) async fn recover(shared: &Rc<RelayShared>) {
     let plan = shared.plan();
-    let peer = plan.mates.iter().chain(&plan.targets).find_map(|vm| address_of(shared, vm));
+    let peer =
+        plan.row_peers.iter().chain(&plan.relay_targets).find_map(|vm| address_of(shared, vm));
     if let Some(address) = peer {
         catch_up(shared, address).await;
     }
@@ -106,7 +107,7 @@
 /// Fetches what differs from the peer at `address`.
 pub(super) async fn catch_up(shared: &Rc<RelayShared>, address: SocketAddr) {
     let parts = shared.table.part_hashes().to_vec();
-    sync(shared, address, parts, shared.config.sync_limit).await;
+    sync(shared, address, parts, shared.config.sync_timeout).await;
 }
 
 /// Fetches from `address` what differs from `parts`. A failure needs no report: the next try comes.
--- a/crates/backend/src/relay/housekeeping.rs
+++ b/crates/backend/src/relay/housekeeping.rs
@@ -18,8 +18,8 @@
     shared.seams.context.spawner.spawn(Box::pin(heal));
     loop {
         let begun = shared.now();
-        shared.seams.context.clock.sleep(shared.config.check_tick).await;
-        if shared.now().since(begun) >= shared.config.check_tick + STALL_LIMIT {
+        shared.seams.context.clock.sleep(shared.config.check_interval).await;
+        if shared.now().since(begun) >= shared.config.check_interval + STALL_LIMIT {
             shared.seams.events.emit(EventDraft::new("gateway.stalled").level(Level::Warn));
             healing::recover(&shared).await;
         }
@@ -33,7 +33,7 @@
 fn check_leases(shared: &RelayShared) {
     for name in shared.table.expire_silent() {
         let change = StatusChange { membership: true, ..StatusChange::default() };
-        shared.note_backend(&name, change, Origin::Own);
+        shared.note_backend(&name, change, Origin::Direct);
     }
     shared.table.sweep();
     shared.members.sweep();
--- a/crates/backend/src/relay/peer_task.rs
+++ b/crates/backend/src/relay/peer_task.rs
@@ -46,10 +46,10 @@
         let record = shared.members.record(vm);
         let incarnation = record.map(|r| r.status.incarnation).unwrap_or_default();
         self.messages += 1;
-        if incarnation != self.incarnation || self.messages >= shared.config.refresh_messages {
+        if incarnation != self.incarnation || self.messages >= shared.config.full_refresh_messages {
             *self = Self { incarnation, ..Self::default() };
         }
-        let totals = shared.table.totals(&[Origin::Own, Origin::Row]);
+        let totals = shared.table.totals(&[Origin::Direct, Origin::Row]);
         TotalsDelta::between(&mut self.told, &totals)
     }
 }
@@ -137,8 +137,8 @@
 /// fall into step.
 fn tick_of(shared: &RelayShared, vm: &VmName, duty: PeerDuty) -> Duration {
     let tick = match duty {
-        PeerDuty::Row if shared.plan().watched.contains(vm) => shared.config.watch_tick,
-        _ => shared.table.pace().stretch(shared.config.relay_tick),
+        PeerDuty::Row if shared.plan().watched.contains(vm) => shared.config.watch_interval,
+        _ => shared.table.pace().stretch(shared.config.relay_interval),
     };
     tick.mul_f64(1.0 - 0.1 * shared.seams.context.random.unit())
 }
@@ -153,11 +153,11 @@
 /// has left.
 fn is_owed(duty: PeerDuty, change: &LoggedChange) -> bool {
     match (change.origin, duty) {
-        (Origin::Own, PeerDuty::Urgent) => change.urgent,
+        (Origin::Direct, PeerDuty::Urgent) => change.urgent,
         (_, PeerDuty::Urgent) => false,
         _ if change.urgent => true,
-        (Origin::Own, _) | (Origin::Row, PeerDuty::Across) => true,
-        (Origin::Row | Origin::Far | Origin::Sync, _) => false,
+        (Origin::Direct, _) | (Origin::Row, PeerDuty::Across) => true,
+        (Origin::Row | Origin::OtherRow | Origin::Sync, _) => false,
     }
 }
 
@@ -176,12 +176,12 @@
     add_changes(shared, duty, marks, &mut delta);
     match duty {
         PeerDuty::Row => {
-            delta.loads = shared.table.loads_after(marks.loads, &[Origin::Own], None);
-            delta.regions = shared.regions.deltas_after(marks.regions, &[Origin::Own]);
+            delta.loads = shared.table.loads_after(marks.loads, &[Origin::Direct], None);
+            delta.regions = shared.regions.deltas_after(marks.regions, &[Origin::Direct]);
         }
         PeerDuty::Across => {
             let followed = shared.subset().followed_by(vm);
-            let origins = [Origin::Own, Origin::Row];
+            let origins = [Origin::Direct, Origin::Row];
             delta.loads = shared.table.loads_after(marks.loads, &origins, Some(&followed));
             delta.regions = shared.regions.deltas_after(marks.regions, &origins);
             delta.pulses = shared.members.row_pulses_after(marks.pulses);
@@ -208,7 +208,7 @@
     let Some(record) = shared.members.record(vm) else { return Ok(()) };
     let body = Bytes::from(encode(delta));
     let to = record.profile.peer_address;
-    let limit = shared.config.call_limit;
+    let limit = shared.config.call_timeout;
     let answer = shared.seams.transport.call(to, "backend.delta", body, limit).await?;
     if decode(&answer).is_ok_and(|reply: DeltaReply| !reply.known) {
         healing::catch_up(shared, to).await;
--- a/crates/backend/src/relay/shared.rs
+++ b/crates/backend/src/relay/shared.rs
@@ -1,7 +1,7 @@
 //! What the tasks of one relay share.
 
 use {
-    super::{OwnGateway, RelayConfig, RelaySeams, peer_task},
+    super::{LocalGateway, RelayConfig, RelayDependencies, peer_task},
     crate::{
         AgedRecord, Announcement, BackendRecord, BackendTable, GatewayRecord, Origin, RelayPlan,
         ServingState, StatusChange, SubsetPlan,
@@ -38,7 +38,7 @@
     pub(super) table: Rc<BackendTable>,
     pub(super) members: MemberTable,
     pub(super) config: RelayConfig,
-    pub(super) seams: RelaySeams,
+    pub(super) seams: RelayDependencies,
     pub(super) regions: RegionBook,
     pub(super) row_totals: RowTotals,
     pub(super) log: ChangeLog,
@@ -68,10 +68,10 @@
 
 impl RelayShared {
     pub(super) fn new(
-        own: OwnGateway,
+        own: LocalGateway,
         table: Rc<BackendTable>,
         config: RelayConfig,
-        seams: RelaySeams,
+        seams: RelayDependencies,
     ) -> Self {
         let clock = seams.context.clock.clone();
         let members =
@@ -131,10 +131,10 @@
     /// What this gateway owes `vm`; `None`: it is dead, or this gateway itself.
     pub(super) fn duty_to(&self, vm: &VmName) -> Option<PeerDuty> {
         let plan = self.plan();
-        if plan.mates.contains(vm) {
+        if plan.row_peers.contains(vm) {
             return Some(PeerDuty::Row);
         }
-        if plan.targets.contains(vm) {
+        if plan.relay_targets.contains(vm) {
             return Some(PeerDuty::Across);
         }
         let alive = self.members.record(vm).is_some_and(|r| !r.status.is_expired());
@@ -171,12 +171,12 @@
         if change.superseded {
             self.emit_backend("backend.superseded", &announcement.name);
         }
-        self.note_backend(&announcement.name, change, Origin::Own);
+        self.note_backend(&announcement.name, change, Origin::Direct);
     }
 
     /// Takes in a backend server's record that a peer told.
     pub(super) fn take_backend(&self, aged: &AgedRecord<BackendRecord>, origin: Origin) {
-        match self.table.take(aged, origin) {
+        match self.table.merge_record(aged, origin) {
             Ok(change) => self.note_backend(&aged.record.name, change, origin),
             Err(error) => {
                 let event = EventDraft::new("backend.refused").field("backend", &aged.record.name);
@@ -187,7 +187,7 @@
 
     /// Tells on what changed about `name`.
     pub(super) fn note_backend(&self, name: &BackendName, change: StatusChange, origin: Origin) {
-        let origin = if change.refuted { Origin::Own } else { origin };
+        let origin = if change.refuted { Origin::Direct } else { origin };
         if !change.membership && !change.refuted {
             return;
         }
@@ -211,7 +211,7 @@
         }
         if vm == self.members.own() {
             if self.members.take_echo(&aged.record) {
-                self.note_gateway(vm, Origin::Own);
+                self.note_gateway(vm, Origin::Direct);
             }
             return;
         }
@@ -248,14 +248,14 @@
         if !allowed || !self.members.expire(vm) {
             return;
         }
-        self.accused.borrow_mut().insert(vm.clone(), now + self.config.accuse_pause);
-        self.note_gateway(vm, Origin::Own);
+        self.accused.borrow_mut().insert(vm.clone(), now + self.config.dead_declaration_cooldown);
+        self.note_gateway(vm, Origin::Direct);
     }
 
     /// The own gateway drains.
     pub(super) fn drain(&self) {
         self.members.drain();
-        self.note_gateway(&self.members.own().clone(), Origin::Own);
+        self.note_gateway(&self.members.own().clone(), Origin::Direct);
     }
 
     /// Completes when every peer has been told all there is now, or after the limit.
@@ -267,7 +267,7 @@
                 let _ = self.progress.wait().await;
             }
         };
-        let limit: Duration = self.config.urgent_limit;
+        let limit: Duration = self.config.urgent_timeout;
         if timeout(&*self.seams.context.clock, limit, all_told).await.is_none() {
             self.seams.events.emit(EventDraft::new("backend.relay_slow").millis("limit", limit));
         }
--- a/crates/backend/src/relay/speaker.rs
+++ b/crates/backend/src/relay/speaker.rs
@@ -59,7 +59,7 @@
         if let Some(address) = shared.listener(&region) {
             tell(&shared, address, &mut memory).await;
         }
-        let tick = shared.config.region_tick;
+        let tick = shared.config.region_interval;
         let jitter = 1.0 - 0.1 * shared.seams.context.random.unit();
         shared.seams.context.clock.sleep(tick.mul_f64(jitter)).await;
     }
@@ -69,7 +69,7 @@
 async fn tell(shared: &RelayShared, to: SocketAddr, memory: &mut RegionMemory) {
     let body = Bytes::from(encode(&memory.delta(shared)));
     let begun = shared.now();
-    let limit = shared.config.region_limit;
+    let limit = shared.config.region_timeout;
     match shared.seams.transport.call(to, "backend.region", body, limit).await {
         Ok(reply) => {
             let delay = shared.now().since(begun) / 2;
@@ -88,7 +88,7 @@
 impl RegionMemory {
     fn delta(&mut self, shared: &RelayShared) -> RegionDelta {
         self.messages += 1;
-        if self.messages >= shared.config.refresh_messages {
+        if self.messages >= shared.config.full_refresh_messages {
             *self = Self { delay: self.delay, ..Self::default() };
         }
         let contacts = shared.own_contacts();
@@ -148,7 +148,7 @@
 
     /// What the region offers to others.
     fn region_totals(&self) -> TotalsMap {
-        let mut sum = self.table.totals(&[Origin::Own, Origin::Row]);
+        let mut sum = self.table.totals(&[Origin::Direct, Origin::Row]);
         add_totals(&mut sum, &self.row_totals.sum(&self.plan()));
         sum.values_mut().for_each(|totals| *totals = totals.stated());
         sum
--- a/crates/backend/src/row.rs
+++ b/crates/backend/src/row.rs
@@ -25,7 +25,7 @@
     /// Only where nothing better is left: it is silent, restarts often, or a dispatch just failed.
     Suspect,
     /// No: it has been silent for longer than its lease.
-    Out,
+    Expired,
     /// No: it said that it is leaving.
     Leaving,
     /// No: its profile is not known here yet.
@@ -95,7 +95,7 @@
             id: RunId::new(record.name.as_str(), record.status.incarnation),
             record,
             heard,
-            origin: Origin::Far,
+            origin: Origin::OtherRow,
             reported: heard,
             serving_since: heard,
             followed: true,
@@ -121,7 +121,7 @@
         heard: PastMoment,
         now: MonotonicTime,
     ) -> StatusChange {
-        let was_out = self.health(config, now) == BackendHealth::Out;
+        let was_out = self.health(config, now) == BackendHealth::Expired;
         let change = self.record.merge(record);
         if change.restarted {
             self.restart(config, now);
@@ -157,7 +157,7 @@
     /// Offers the newest load to peers under `stamp`, where they would decide differently by it or
     /// have not heard for `config.refresh_after`.
     pub(crate) fn offer(&mut self, config: &BackendConfig, stamp: u64, now: MonotonicTime) {
-        let stale = now.since(self.told.at) >= config.refresh_after;
+        let stale = now.since(self.told.at) >= config.load_refresh_interval;
         let relayed = self.origin == Origin::Row;
         if self.told.stamp == 0 || stale || relayed || self.differs() {
             self.told = ToldLoad { load: self.record.load, at: now, stamp };
@@ -221,12 +221,12 @@
     /// Whether it has been silent for longer than its lease, as far as this gateway would know.
     pub(crate) fn lease_over(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
         let silence = self.heard.age(now).min(now.since(self.watched_since));
-        self.record.status.is_live() && silence >= config.out_after + self.slack(config)
+        self.record.status.is_live() && silence >= config.lease + self.slack(config)
     }
 
     /// What relaying may add to the age of a report.
     fn slack(&self, config: &BackendConfig) -> Duration {
-        if self.origin == Origin::Own { Duration::ZERO } else { config.relay_slack }
+        if self.origin == Origin::Direct { Duration::ZERO } else { config.relay_slack }
     }
 
     pub(crate) fn health(&self, config: &BackendConfig, now: MonotonicTime) -> BackendHealth {
@@ -236,8 +236,8 @@
             || self.restarts.is_flapping(config, now);
         match self.record.status.state {
             ServingState::Leaving => BackendHealth::Leaving,
-            ServingState::Serving if self.record.status.is_expired() => BackendHealth::Out,
-            ServingState::Serving if silence >= config.out_after => BackendHealth::Out,
+            ServingState::Serving if self.record.status.is_expired() => BackendHealth::Expired,
+            ServingState::Serving if silence >= config.lease => BackendHealth::Expired,
             ServingState::Serving if self.record.profile.is_none() => BackendHealth::Unknown,
             ServingState::Serving if doubtful => BackendHealth::Suspect,
             ServingState::Serving => BackendHealth::Serving,
@@ -246,7 +246,7 @@
 
     /// Whether it got no work for so long that nothing old can still arrive.
     pub(crate) fn forgettable(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
-        !self.record.status.is_live() && self.heard.age(now) >= config.forget_after
+        !self.record.status.is_live() && self.heard.age(now) >= config.retention
     }
 
     /// The row for the routing decision, where the backend server may get work.
@@ -258,7 +258,9 @@
         let suspect = match self.health(config, now) {
             BackendHealth::Serving => false,
             BackendHealth::Suspect => true,
-            BackendHealth::Out | BackendHealth::Leaving | BackendHealth::Unknown => return None,
+            BackendHealth::Expired | BackendHealth::Leaving | BackendHealth::Unknown => {
+                return None;
+            }
         };
         let profile = self.record.profile()?;
         Some(BackendView {
--- a/crates/backend/src/row_totals.rs
+++ b/crates/backend/src/row_totals.rs
@@ -29,7 +29,7 @@
 
     /// Takes in what `from` told of its row.
     pub(crate) fn take(&self, plan: &RelayPlan, from: &VmName, delta: &TotalsDelta) {
-        if plan.mates.contains(from) {
+        if plan.row_peers.contains(from) {
             return;
         }
         let Some(row) = plan.row_of(from) else { return };
--- a/crates/backend/src/summary.rs
+++ b/crates/backend/src/summary.rs
@@ -112,7 +112,7 @@
 
 /// The totals of one target as they are sent when its capacity is new to the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TotalsRow {
+pub struct FullTotals {
     target: TargetId,
     engines: u32,
     slots: u32,
@@ -123,7 +123,7 @@
 
 /// The totals of one target whose capacity the receiver knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TotalsMove {
+pub struct LoadTotals {
     target: TargetId,
     free_slots: u32,
     prefill: u32,
@@ -135,9 +135,9 @@
     /// All targets are told; others are gone.
     pub whole: bool,
     /// Targets whose capacity changed; zero engines: the target is gone.
-    pub rows: Vec<TotalsRow>,
+    pub rows: Vec<FullTotals>,
     /// Targets of which only the load changed.
-    pub moves: Vec<TotalsMove>,
+    pub moves: Vec<LoadTotals>,
 }
 
 impl TotalsDelta {
@@ -193,8 +193,8 @@
     }
 }
 
-fn totals_row(target: TargetId, totals: &TargetTotals) -> TotalsRow {
-    TotalsRow {
+fn totals_row(target: TargetId, totals: &TargetTotals) -> FullTotals {
+    FullTotals {
         target,
         engines: totals.engines,
         slots: totals.slots,
@@ -204,15 +204,15 @@
     }
 }
 
-fn totals_move(target: TargetId, totals: &TargetTotals) -> TotalsMove {
-    TotalsMove { target, free_slots: totals.free_slots, prefill: units(totals.prefill_tokens) }
+fn totals_move(target: TargetId, totals: &TargetTotals) -> LoadTotals {
+    LoadTotals { target, free_slots: totals.free_slots, prefill: units(totals.prefill_tokens) }
 }
 
 fn units(tokens: u64) -> u32 {
     u32::try_from(tokens.div_ceil(TOKEN_UNIT)).unwrap_or(u32::MAX)
 }
 
-impl TotalsRow {
+impl FullTotals {
     fn totals(&self) -> TargetTotals {
         TargetTotals {
             engines: self.engines,
--- a/crates/backend/src/table.rs
+++ b/crates/backend/src/table.rs
@@ -20,7 +20,7 @@
 pub enum AnnounceRefusal {
     /// It stands elsewhere.
     #[snafu(display(
-        "{name} stands in region {region}, this gateway in {here}; announce to a gateway of {region}"
+        "{name} stands in region {region}, this gateway in {local_region}; announce to a gateway of {region}"
     ))]
     WrongRegion {
         /// The backend server.
@@ -28,7 +28,7 @@
         /// Where it says it stands.
         region: RegionName,
         /// Where this gateway stands.
-        here: RegionName,
+        local_region: RegionName,
     },
     /// Too many names.
     #[snafu(display(
@@ -91,7 +91,7 @@
         let record = BackendRecord::from(announcement);
         self.check_id(&record)?;
         let aged = AgedRecord::new(record, Duration::ZERO, Duration::ZERO);
-        let change = self.take(&aged, Origin::Own)?;
+        let change = self.merge_record(&aged, Origin::Direct)?;
         let mut rows = self.rows.borrow_mut();
         let Some(row) = rows.get_mut(&aged.record.name) else {
             let current = aged.record.status.incarnation;
@@ -111,10 +111,10 @@
         current: Incarnation,
         profile_wanted: bool,
     ) -> AnnounceReply {
-        let lease = if change.superseded { Duration::ZERO } else { self.config().out_after };
+        let lease = if change.superseded { Duration::ZERO } else { self.config().lease };
         AnnounceReply {
             lease_millis: millis(lease),
-            renew_millis: millis(self.config().renew_after),
+            renew_millis: millis(self.config().renew_interval),
             profile_wanted: profile_wanted && !change.superseded,
             superseded_by: change.superseded.then_some(current),
         }
@@ -132,7 +132,7 @@
     }
 
     /// Takes in a record, from wherever it came.
-    pub fn take(
+    pub fn merge_record(
         &self,
         aged: &AgedRecord<BackendRecord>,
         origin: Origin,
@@ -145,7 +145,7 @@
         let full = rows.len() >= self.config().backend_limit;
         let change = match rows.get_mut(&record.name) {
             Some(row) => row.merge(record, &self.config(), heard, now),
-            None if !record.status.is_live() && aged.age() >= self.config().forget_after => {
+            None if !record.status.is_live() && aged.age() >= self.config().retention => {
                 return Ok(StatusChange::default());
             }
             None if full => {
@@ -166,7 +166,7 @@
             Some(profile) if profile.region != self.region => Err(AnnounceRefusal::WrongRegion {
                 name: record.name.clone(),
                 region: profile.region.clone(),
-                here: self.region.clone(),
+                local_region: self.region.clone(),
             }),
             _ => Ok(()),
         }
@@ -174,7 +174,7 @@
 
     /// Calls `read` with every backend server that may get new work for `target` from here,
     /// ordered by name. `read` must not call back into the table.
-    pub fn read<R>(
+    pub fn with_candidates<R>(
         &self,
         target: BackendTarget<'_>,
         read: impl FnOnce(&[BackendView<'_>]) -> R,
--- a/crates/backend/src/table/gossip.rs
+++ b/crates/backend/src/table/gossip.rs
@@ -102,7 +102,7 @@
         let mut rows = self.rows.borrow_mut();
         let silent: Vec<BackendName> = rows
             .iter()
-            .filter(|row| row.origin == Origin::Own || row.is_followed())
+            .filter(|row| row.origin == Origin::Direct || row.is_followed())
             .filter(|row| row.lease_over(&self.config(), now))
             .map(|row| row.name().clone())
             .collect();
@@ -177,7 +177,7 @@
     /// Dead records are forgotten at slightly different times; those half way there are left out
     /// of comparisons, so that gateways do not hand them back to each other without end.
     fn is_compared(&self, row: &BackendRow, now: MonotonicTime) -> bool {
-        row.record.status.is_live() || row.heard.age(now) < self.config().forget_after / 2
+        row.record.status.is_live() || row.heard.age(now) < self.config().retention / 2
     }
 }
 
--- a/crates/backend/tests/membership/common.rs
+++ b/crates/backend/tests/membership/common.rs
@@ -92,7 +92,7 @@
 
 /// The names of the candidates for [`model`]; a suspect one ends with `?`.
 pub(crate) fn candidates(table: &BackendTable) -> Vec<String> {
-    table.read(BackendTarget::Model(&model()), |views| {
+    table.with_candidates(BackendTarget::Model(&model()), |views| {
         let mark = |suspect| if suspect { "?" } else { "" };
         views.iter().map(|v| format!("{}{}", v.name, mark(v.suspect))).collect()
     })
--- a/crates/backend/tests/membership/properties.rs
+++ b/crates/backend/tests/membership/properties.rs
@@ -59,7 +59,7 @@
 
 fn take(table: &BackendTable, saying: &Saying) {
     let aged = AgedRecord::new(saying.record(), Duration::ZERO, Duration::ZERO);
-    table.take(&aged, Origin::Row).unwrap();
+    table.merge_record(&aged, Origin::Row).unwrap();
 }
 
 /// What gateways must agree on.
--- a/crates/backend/tests/membership/region.rs
+++ b/crates/backend/tests/membership/region.rs
@@ -4,7 +4,7 @@
     crate::common::{announcement, candidates, name},
     gullglade_backend::{
         AnnounceReply, Announcement, BackendConfig, BackendHealth, BackendRelay, BackendTable,
-        GatewayProfile, OwnGateway, RelayConfig, RelaySeams, ServingState,
+        GatewayProfile, LocalGateway, RelayConfig, RelayDependencies, ServingState,
     },
     gullglade_event::MemorySink,
     gullglade_peer::{
@@ -143,7 +143,8 @@
         let name = identity.region.clone();
         let table = Rc::new(BackendTable::new(name.clone(), BackendConfig::default(), clock));
         let events = Rc::new(MemorySink::default());
-        let seams = RelaySeams { transport: Rc::new(transport), events: events.clone(), context };
+        let seams =
+            RelayDependencies { transport: Rc::new(transport), events: events.clone(), context };
         let config = RelayConfig { seeds: seeds(), ..RelayConfig::default() };
         let own = own_gateway(&identity, address);
         let relay = BackendRelay::new(own, table.clone(), config, seams);
@@ -210,8 +211,8 @@
     (0..3).flat_map(|region| (0..2).map(move |index| address(region, index))).collect()
 }
 
-fn own_gateway(identity: &PeerIdentity, address: SocketAddr) -> OwnGateway {
-    OwnGateway {
+fn own_gateway(identity: &PeerIdentity, address: SocketAddr) -> LocalGateway {
+    LocalGateway {
         vm: identity.vm.clone(),
         incarnation: identity.incarnation,
         profile: GatewayProfile {
--- a/crates/backend/tests/membership/relay.rs
+++ b/crates/backend/tests/membership/relay.rs
@@ -119,7 +119,7 @@
         let lease = region.announce(1, &announcement(1, 4, Serving)).lease_millis;
         region.run_millis(lease + 1_000);
         assert_eq!(region.senders(), [0; 0], "{size} gateways");
-        assert_eq!(region.healths(), only(BackendHealth::Out), "{size} gateways");
+        assert_eq!(region.healths(), only(BackendHealth::Expired), "{size} gateways");
         region.announce(2, &announcement(1, 20, Serving));
         region.run_millis(5_000);
         assert!(!region.senders().is_empty(), "{size} gateways: back after the silence");
--- a/crates/backend/tests/membership/subset.rs
+++ b/crates/backend/tests/membership/subset.rs
@@ -104,8 +104,9 @@
         let plans: BTreeMap<_, _> =
             members.keys().map(|m| (m.clone(), RelayPlan::new(m, &members))).collect();
         for (own, plan) in &plans {
-            let mut reached: Vec<&VmName> = plan.mates.iter().chain(&plan.targets).collect();
-            reached.extend(plan.mates.iter().flat_map(|mate| &plans[mate].targets));
+            let mut reached: Vec<&VmName> =
+                plan.row_peers.iter().chain(&plan.relay_targets).collect();
+            reached.extend(plan.row_peers.iter().flat_map(|mate| &plans[mate].relay_targets));
             reached.push(own);
             reached.sort();
             let once: BTreeSet<_> = reached.iter().collect();
@@ -124,11 +125,15 @@
         for vm in members.keys() {
             let watchers: Vec<_> =
                 plans.iter().filter(|(_, p)| p.watched.contains(vm)).map(|(w, _)| w).collect();
-            let mates = &plans[vm].mates;
+            let row_peers = &plans[vm].row_peers;
             let far = |mate: &&VmName| members[*mate] != members[vm];
-            assert_eq!(watchers.len(), mates.len().min(3), "{vm} of {count}");
+            assert_eq!(watchers.len(), row_peers.len().min(3), "{vm} of {count}");
             let far_watchers = watchers.iter().copied().filter(far).count();
-            assert_eq!(far_watchers, mates.iter().filter(far).count().min(3), "{vm} of {count}");
+            assert_eq!(
+                far_watchers,
+                row_peers.iter().filter(far).count().min(3),
+                "{vm} of {count}"
+            );
         }
     }
 }
--- a/crates/backend/tests/membership/table.rs
+++ b/crates/backend/tests/membership/table.rs
@@ -138,8 +138,9 @@
 #[test]
 fn own_dispatches_correct_the_report() {
     let (clock, table) = table();
-    let requests = || table.read(BackendTarget::Model(&model()), |v| v[0].requests());
-    let prefill = || table.read(BackendTarget::Model(&model()), |v| v[0].queued_prefill_tokens());
+    let requests = || table.with_candidates(BackendTarget::Model(&model()), |v| v[0].requests());
+    let prefill =
+        || table.with_candidates(BackendTarget::Model(&model()), |v| v[0].queued_prefill_tokens());
     table.announce(&announcement(1, 1, Serving)).unwrap();
     clock.advance(10);
     let mut guards: Vec<_> =
@@ -178,7 +179,8 @@
 #[test]
 fn a_return_starts_the_time_served_anew() {
     let (clock, table) = table();
-    let served = || table.read(BackendTarget::Model(&model()), |v| v[0].serving_for.as_secs());
+    let served =
+        || table.with_candidates(BackendTarget::Model(&model()), |v| v[0].serving_for.as_secs());
     for sequence in 1..=16 {
         table.announce(&announcement(1, sequence, Serving)).unwrap();
         clock.advance(2_000);
--- a/crates/demo/src/gateway_thread.rs
+++ b/crates/demo/src/gateway_thread.rs
@@ -226,7 +226,7 @@
             let models = document.models.iter().map(|m| BackendTarget::Model(&m.name));
             let plain = document.plain_services.iter().map(|p| BackendTarget::Service(&p.name));
             for target in models.chain(plain) {
-                count.near += self.node.backends().read(target, |views| views.len());
+                count.near += self.node.backends().with_candidates(target, |views| views.len());
                 let far = self.node.relay().summaries(target);
                 let reachable = far.iter().filter(|region| region.is_reachable);
                 count.far += reachable.map(|region| region.totals.engines as usize).sum::<usize>();
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -50,7 +50,7 @@
         let model = target_model(&plan.target);
         let request = self.route_request(plan, &regions, model, queue_wait);
         let policy = self.policy(plan);
-        self.backends.read(backend_target(&plan.target), |views| {
+        self.backends.with_candidates(backend_target(&plan.target), |views| {
             let retired = &plan.document.backends.retired;
             let admitted = || views.iter().filter(|view| !retired.contains(view.name));
             let allowed = || admitted().filter(|view| view.backoff_until.is_none());
@@ -121,7 +121,7 @@
         let model = target_model(target);
         let gateways = self.directory.members();
         let GladeSettings { overcommit, reserve, .. } = GladeSettings::default();
-        let capacity = self.backends.read(backend_target(target), |views| {
+        let capacity = self.backends.with_candidates(backend_target(target), |views| {
             // What one server cannot take for now must not be let through to the others. Where
             // none takes anything, requests wait for the first that does.
             let has_open = views.iter().any(|view| view.backoff_until.is_none());
--- a/crates/gateway/src/testing.rs
+++ b/crates/gateway/src/testing.rs
@@ -10,8 +10,8 @@
     bytes::Bytes,
     gullglade_admission::{AdmissionQueue, AdmissionSettings},
     gullglade_backend::{
-        Announcement, BackendConfig, BackendRelay, BackendTable, GatewayProfile, OwnGateway,
-        RelayConfig, RelaySeams,
+        Announcement, BackendConfig, BackendRelay, BackendTable, GatewayProfile, LocalGateway,
+        RelayConfig, RelayDependencies,
     },
     gullglade_claim::{ClaimKeeper, ClaimSettings, LocalClaims},
     gullglade_document::{ConfigView, FixedConfig, ServiceDocument, ServiceTarget},
@@ -177,7 +177,7 @@
         let own = own_gateway();
         let mut config = GatewayConfig::new(own.vm.clone(), region(HERE), domain());
         config.attempt_limit = attempt_limit;
-        let seams = RelaySeams {
+        let seams = RelayDependencies {
             transport: Rc::clone(&transport) as _,
             events: Rc::new(NullSink),
             context: context.clone(),
@@ -295,7 +295,7 @@
     SocketAddr::from(([127, 0, 0, 1], 10))
 }
 
-fn own_gateway() -> OwnGateway {
+fn own_gateway() -> LocalGateway {
     let profile = GatewayProfile {
         region: region(HERE),
         domain: domain(),
@@ -304,7 +304,7 @@
         limit: 64,
     };
     let vm = VmName::try_from("columbia-1").unwrap();
-    OwnGateway { vm, incarnation: Incarnation(1), profile }
+    LocalGateway { vm, incarnation: Incarnation(1), profile }
 }
 
 /// Announces an engine and a plain service.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -11,8 +11,8 @@
     },
     gullglade_admission::{AdmissionQueue, AdmissionSettings},
     gullglade_backend::{
-        BackendConfig, BackendRelay, BackendTable, GatewayLoad, GatewayProfile, OwnGateway,
-        RelayConfig, RelaySeams,
+        BackendConfig, BackendRelay, BackendTable, GatewayLoad, GatewayProfile, LocalGateway,
+        RelayConfig, RelayDependencies,
     },
     gullglade_claim::{ClaimService, ClaimSettings, GroupTable, QuorumClaims, ReplicaGroup},
     gullglade_document::ConfigSource,
@@ -273,7 +273,7 @@
     backends: &Rc<BackendTable>,
     caller_address: SocketAddr,
 ) -> BackendRelay {
-    let own = OwnGateway {
+    let own = LocalGateway {
         vm: settings.vm.clone(),
         incarnation: settings.incarnation,
         profile: GatewayProfile {
@@ -284,7 +284,7 @@
             limit: u32::try_from(settings.connection_limit).unwrap_or(u32::MAX),
         },
     };
-    let seams = RelaySeams {
+    let seams = RelayDependencies {
         transport: Rc::clone(&core.pool) as _,
         events: Rc::clone(&core.events) as _,
         context: core.context.clone(),
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -175,7 +175,7 @@
         (_, ServingState::Leaving) | (BackendHealth::Leaving, _) => "leaving",
         (BackendHealth::Serving, _) => "serving",
         (BackendHealth::Suspect, _) => "suspect",
-        (BackendHealth::Out, _) => "out",
+        (BackendHealth::Expired, _) => "out",
         (BackendHealth::Unknown, _) => "unknown",
     }
 }
--- a/examples/capacity/relay.rs
+++ b/examples/capacity/relay.rs
@@ -8,8 +8,8 @@
     },
     gullglade_backend::{
         Announcement, BackendCapacity, BackendConfig, BackendKind, BackendProfile, BackendRelay,
-        BackendTable, FencingMode, GatewayProfile, LoadReport, OwnGateway, RelayConfig, RelaySeams,
-        ServingState,
+        BackendTable, FencingMode, GatewayProfile, LoadReport, LocalGateway, RelayConfig,
+        RelayDependencies, ServingState,
     },
     gullglade_event::NullSink,
     gullglade_units::{BackendName, Incarnation, ModelName},
@@ -69,7 +69,7 @@
 
     fn start_gateway(&self, sizes: &Sizes, region: usize, number: usize) -> BackendRelay {
         let process = self.plant.join(region, number);
-        let own = OwnGateway {
+        let own = LocalGateway {
             vm: process.identity.vm.clone(),
             incarnation: Incarnation(1),
             profile: GatewayProfile {
@@ -84,7 +84,7 @@
         let table = BackendTable::new(region_name(region), BackendConfig::default(), clock);
         let seeds = seeds(sizes, region, number);
         let config = RelayConfig { seeds, ..RelayConfig::default() };
-        let seams = RelaySeams {
+        let seams = RelayDependencies {
             transport: process.transport,
             events: Rc::new(NullSink),
             context: process.context,
