--- a/crates/control/examples/recovery.rs
+++ b/crates/control/examples/recovery.rs
@@ -16,7 +16,7 @@
     futures::future::join_all,
     gullglade_control::{
         ChangeOutcome, ChangeRequest, ConfigReplica, ControlConfig, ControlNode, FileFolder,
-        FirstVoter, RegionPeers, ReplicaConfig,
+        InitialVoter, RegionPeers, ReplicaConfig,
     },
     gullglade_document::{ConfigSource, ServiceDocument, TokenHash},
     gullglade_event::NullSink,
@@ -128,7 +128,7 @@
 }
 
 async fn open(path: &Path, transport: &Rc<LoopTransport>) -> ControlNode {
-    let voters = vec![FirstVoter { vm: name("vm-a"), address: address() }];
+    let voters = vec![InitialVoter { vm: name("vm-a"), address: address() }];
     let config = ControlConfig::new("bench", name("vm-a"), name("puget"), voters);
     let folder = Rc::new(FileFolder::open(path).expect("the folder opens"));
     let context = ProcessContext::system();
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -7,7 +7,7 @@
 
 /// One of the voters that found the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FirstVoter {
+pub struct InitialVoter {
     /// Its VM.
     pub vm: VmName,
     /// Where its peer sessions are accepted.
@@ -46,7 +46,7 @@
     pub(crate) cluster: String,
     pub(crate) vm: VmName,
     pub(crate) region: RegionName,
-    pub(crate) voters: Vec<FirstVoter>,
+    pub(crate) voters: Vec<InitialVoter>,
     pub(crate) heartbeat: Duration,
     pub(crate) election_least: Duration,
     pub(crate) election_spread: Duration,
@@ -64,7 +64,7 @@
     /// The settings of the process on `vm`, with the defaults that each method below names.
     /// `voters` found the log when none of them has one: 1, 3 or 5 of them, the same list in the
     /// same order on every control process.
-    pub fn new(cluster: &str, vm: VmName, region: RegionName, voters: Vec<FirstVoter>) -> Self {
+    pub fn new(cluster: &str, vm: VmName, region: RegionName, voters: Vec<InitialVoter>) -> Self {
         Self {
             formation: Formation::Listed,
             trusts_disk: false,
--- a/crates/control/src/consensus/founding.rs
+++ b/crates/control/src/consensus/founding.rs
@@ -6,7 +6,7 @@
         message::{HELLO, HelloReply, HelloRequest},
     },
     crate::{
-        config::FirstVoter,
+        config::InitialVoter,
         entry::{
             Ballot, ClusterId, Command, LogEntry, LogIndex, Member, MemberId, MemberRole,
             Membership, Term,
@@ -145,7 +145,7 @@
     }
 }
 
-fn first_member((voter, reply): (&FirstVoter, &HelloReply)) -> Member {
+fn first_member((voter, reply): (&InitialVoter, &HelloReply)) -> Member {
     Member {
         id: reply.member,
         vm: voter.vm.clone(),
--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -112,7 +112,7 @@
 /// A read that ends early on the border of two records looks exactly like a shorter log, and the
 /// records behind it, which may be accepted changes, would be overwritten. The size in the list is
 /// the second witness.
-pub async fn read_whole(folder: &dyn DataFolder, stat: &FileStat) -> Result<Vec<u8>, DiskError> {
+pub async fn read_checked(folder: &dyn DataFolder, stat: &FileStat) -> Result<Vec<u8>, DiskError> {
     let bytes = folder.read(&stat.name).await?;
     let read = bytes.len() as u64;
     if read == stat.size {
@@ -122,7 +122,7 @@
 }
 
 /// Writes a file so that it is there whole or not at all, whatever happens meanwhile.
-pub async fn write_whole(
+pub async fn write_atomic(
     folder: &dyn DataFolder,
     name: &str,
     chunks: Vec<Vec<u8>>,
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -56,7 +56,7 @@
 
 impl MemberId {
     /// A new identity.
-    pub fn draw(random: &dyn RandomSource) -> Self {
+    pub fn generate(random: &dyn RandomSource) -> Self {
         Self(random.next_u64())
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -20,9 +20,9 @@
     AcceptedChange, ChangeConflict, ChangeOutcome, ChangeRefusal, ChangeRequest, ChangeTarget,
     ConfigOutcome, DocumentVersion, RequestError,
 };
-pub use config::{ControlConfig, FirstVoter, SeedSettings};
+pub use config::{ControlConfig, InitialVoter, SeedSettings};
 pub use consensus::{ChangeError, ControlError, MemberStatus, ReplaceError};
-pub use disk::{DataFolder, DiskError, FileFolder, FileStat, read_whole, write_whole};
+pub use disk::{DataFolder, DiskError, FileFolder, FileStat, read_checked, write_atomic};
 pub use distribution::{
     ClusterStatus, ConfigReplica, MemberRow, RegionPeers, ReplicaConfig, ReplicaReport, ReplicaRow,
     ReplicaStatus,
--- a/crates/control/src/log/identity.rs
+++ b/crates/control/src/log/identity.rs
@@ -10,7 +10,7 @@
         },
     },
     crate::{
-        disk::{DataFolder, FileStat, read_whole, write_whole},
+        disk::{DataFolder, FileStat, read_checked, write_atomic},
         entry::MemberId,
     },
     gullglade_units::{RandomSource, VmName, decode, encode},
@@ -59,7 +59,7 @@
             return Ok(identity);
         }
         check_unused(folder, &files).await?;
-        let member = MemberId::draw(random);
+        let member = MemberId::generate(random);
         let identity = Self { cluster: cluster.to_owned(), vm: vm.clone(), member, may_found };
         identity.write(folder).await?;
         Ok(identity)
@@ -70,10 +70,10 @@
     /// that others count on.
     async fn write(&self, folder: &dyn DataFolder) -> Result<(), LogError> {
         let segment = segment_frames(self.member, &RecoveredLog::default());
-        write_whole(folder, &segment_name(FIRST_SEQUENCE), segment).await?;
+        write_atomic(folder, &segment_name(FIRST_SEQUENCE), segment).await?;
         let contents = [encode(&FOLDER_FORMAT), encode(self), encode(&self.may_found)];
         let chunks = contents.iter().map(|content| frame(content)).collect();
-        Ok(write_whole(folder, IDENTITY_NAME, chunks).await?)
+        Ok(write_atomic(folder, IDENTITY_NAME, chunks).await?)
     }
 
     fn check(&self, cluster: &str, vm: &VmName) -> Result<(), LogError> {
@@ -97,7 +97,7 @@
 async fn check_unused(folder: &dyn DataFolder, files: &[FileStat]) -> Result<(), LogError> {
     for stat in files.iter().filter(|f| is_state(&f.name)) {
         let is_segment = stat.name == segment_name(FIRST_SEQUENCE);
-        if !is_segment || !is_unused_segment(&read_whole(folder, stat).await?) {
+        if !is_segment || !is_unused_segment(&read_checked(folder, stat).await?) {
             let reason = format!("{} is there but {IDENTITY_NAME} is missing", stat.name);
             return Err(LogError::Incomplete { reason });
         }
@@ -114,7 +114,7 @@
     folder: &dyn DataFolder,
     stat: &FileStat,
 ) -> Result<FolderIdentity, LogError> {
-    let bytes = read_whole(folder, stat).await?;
+    let bytes = read_checked(folder, stat).await?;
     let damaged = |offset| LogError::Damaged { name: IDENTITY_NAME.to_owned(), offset };
     let frames = scan(&bytes).map_err(|e| damaged(e.offset))?;
     let format = frames.payloads.first().ok_or_else(|| damaged(0))?;
--- a/crates/control/src/log/recovery.rs
+++ b/crates/control/src/log/recovery.rs
@@ -10,7 +10,7 @@
         },
     },
     crate::{
-        disk::{DRAFT_SUFFIX, DataFolder, FileStat, read_whole, write_whole},
+        disk::{DRAFT_SUFFIX, DataFolder, FileStat, read_checked, write_atomic},
         entry::{Ballot, LogEntry, LogIndex, MemberId},
     },
     gullglade_units::decode,
@@ -40,7 +40,7 @@
         let reason = "there is an identity but no log segment".to_owned();
         LogError::Incomplete { reason }
     })?;
-    let bytes = read_whole(folder, stat).await?;
+    let bytes = read_checked(folder, stat).await?;
     let damaged = |offset| LogError::Damaged { name: stat.name.clone(), offset };
     let frames = scan(&bytes).map_err(|e| damaged(e.offset))?;
     let mut log = replay(&frames, member, snapshot)
@@ -72,7 +72,7 @@
     folder: &dyn DataFolder,
     stat: &FileStat,
 ) -> Result<SnapshotImage, LogError> {
-    let bytes = read_whole(folder, stat).await?;
+    let bytes = read_checked(folder, stat).await?;
     let damaged = |offset| LogError::Damaged { name: stat.name.clone(), offset };
     let frames = scan(&bytes).map_err(|e| damaged(e.offset))?;
     snapshot_from(&frames.payloads).ok_or_else(|| damaged(frames.valid_bytes))
@@ -89,7 +89,7 @@
 ) -> Result<u64, LogError> {
     let chunks = segment_frames(member, log);
     let bytes = chunks.iter().map(|c| c.len() as u64).sum();
-    write_whole(folder, &segment_name(sequence), chunks).await?;
+    write_atomic(folder, &segment_name(sequence), chunks).await?;
     Ok(bytes)
 }
 
--- a/crates/control/src/log/store.rs
+++ b/crates/control/src/log/store.rs
@@ -8,7 +8,7 @@
         recovery::recover,
     },
     crate::{
-        disk::{DRAFT_SUFFIX, DataFolder, write_whole},
+        disk::{DRAFT_SUFFIX, DataFolder, write_atomic},
         entry::{Ballot, LogEntry, LogIndex, MemberId, Membership, Term},
     },
     bytes::Bytes,
@@ -137,7 +137,7 @@
         let next = self.sequence + 1;
         let chunks = segment_frames(self.member, log);
         let segment_bytes = chunks.iter().map(|c| c.len() as u64).sum();
-        write_whole(&*self.folder, &segment_name(next), chunks).await?;
+        write_atomic(&*self.folder, &segment_name(next), chunks).await?;
         (self.sequence, self.segment_bytes) = (next, segment_bytes);
         Ok(())
     }
@@ -162,7 +162,7 @@
     folder: &dyn DataFolder,
     snapshot: &SnapshotImage,
 ) -> Result<(), LogError> {
-    Ok(write_whole(folder, &snapshot_name(snapshot.index), snapshot_frames(snapshot)).await?)
+    Ok(write_atomic(folder, &snapshot_name(snapshot.index), snapshot_frames(snapshot)).await?)
 }
 
 pub(crate) fn segment_name(sequence: u64) -> String {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -75,7 +75,7 @@
     }
 
     /// Completes once the traffic configuration applied here is newer than `index`.
-    pub async fn traffic_after(&self, index: LogIndex) {
+    pub async fn wait_for_traffic_after(&self, index: LogIndex) {
         self.core.until(|s| (s.config.traffic().changed() > index).then_some(())).await;
     }
 
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -4,7 +4,7 @@
     super::disk::FakeDisk,
     gullglade_control::{
         ChangeError, ChangeOutcome, ChangeRequest, ControlConfig, ControlError, ControlNode,
-        FirstVoter, SeedSettings,
+        InitialVoter, SeedSettings,
     },
     gullglade_event::{EventSink, MemorySink},
     gullglade_peer::{
@@ -153,7 +153,7 @@
             let config = ControlConfig::seeded("prod", vm(index), region(index), settings);
             return (self.config)(config.trust_disk());
         }
-        let voters = (0..self.voters).map(|i| FirstVoter { vm: vm(i), address: address(i) });
+        let voters = (0..self.voters).map(|i| InitialVoter { vm: vm(i), address: address(i) });
         (self.config)(ControlConfig::new("prod", vm(index), region(index), voters.collect()))
     }
 
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -12,7 +12,7 @@
 
 use {
     crate::{BackendRecord, DepartedRun},
-    gullglade_control::{DataFolder, DiskError, read_whole, write_whole},
+    gullglade_control::{DataFolder, DiskError, read_checked, write_atomic},
     gullglade_poison::CrashNews,
     gullglade_units::{CodecError, decode, encode},
     serde::{Deserialize, Serialize},
@@ -61,7 +61,7 @@
     /// Replaces the file.
     pub(crate) async fn save(&self, folder: &dyn DataFolder) -> Result<(), MemoryError> {
         let bytes = encode(&(FORMAT, self));
-        Ok(write_whole(folder, FILE_NAME, vec![bytes]).await?)
+        Ok(write_atomic(folder, FILE_NAME, vec![bytes]).await?)
     }
 
     /// What the file holds; nothing where there is none, or one of another format.
@@ -70,7 +70,7 @@
         let Some(stat) = files.iter().find(|file| file.name == FILE_NAME) else {
             return Ok(Self::default());
         };
-        let bytes = read_whole(folder, stat).await?;
+        let bytes = read_checked(folder, stat).await?;
         let unreadable = |source| MemoryError::Unreadable { source };
         let (format, memory) = decode::<(u32, Self)>(&bytes).map_err(unreadable)?;
         Ok(if format == FORMAT { memory } else { Self::default() })
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -37,7 +37,7 @@
     }
 
     fn changed<'a>(&'a self, index: u64) -> LocalFuture<'a, ()> {
-        Box::pin(self.traffic_after(LogIndex(index)))
+        Box::pin(self.wait_for_traffic_after(LogIndex(index)))
     }
 
     fn confirmed_ago(&self) -> Option<Duration> {
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -6,7 +6,7 @@
         error::ControlStart,
     },
     gullglade_control::{
-        ConfigReplica, ControlConfig, ControlError, ControlNode, DataFolder, FirstVoter,
+        ConfigReplica, ControlConfig, ControlError, ControlNode, DataFolder, InitialVoter,
         RegionPeers, ReplicaConfig,
     },
     gullglade_event::EventSink,
@@ -116,8 +116,10 @@
         events: Rc<dyn EventSink>,
     ) -> Result<ControlNode, ControlError> {
         let settings = &self.settings;
-        let voter =
-            |(vm, address): &(VmName, SocketAddr)| FirstVoter { vm: vm.clone(), address: *address };
+        let voter = |(vm, address): &(VmName, SocketAddr)| InitialVoter {
+            vm: vm.clone(),
+            address: *address,
+        };
         let config = ControlConfig::new(
             settings.cluster.as_str(),
             settings.vm.clone(),
--- a/examples/capacity/control.rs
+++ b/examples/capacity/control.rs
@@ -10,7 +10,7 @@
     },
     gullglade_control::{
         ChangeOutcome, ChangeRequest, Command, ConfigOutcome, ConfigReplica, ConfigState,
-        ControlConfig, ControlNode, FirstVoter, LogEntry, LogIndex, RegionPeers, ReplicaConfig,
+        ControlConfig, ControlNode, InitialVoter, LogEntry, LogIndex, RegionPeers, ReplicaConfig,
         Term,
     },
     gullglade_event::NullSink,
@@ -60,8 +60,8 @@
 
 fn start(regions: usize, gateways: usize) -> ControlPlant {
     let plant = Plant::new();
-    let voter = |region| FirstVoter { vm: vm_name(region, 0), address: address(region, 0) };
-    let voters: Vec<FirstVoter> = (0..VOTERS).map(voter).collect();
+    let voter = |region| InitialVoter { vm: vm_name(region, 0), address: address(region, 0) };
+    let voters: Vec<InitialVoter> = (0..VOTERS).map(voter).collect();
     let mut started = ControlPlant { plant, nodes: vec![], replicas: vec![] };
     for region in 0..VOTERS {
         let process = started.plant.join(region, 0);
@@ -94,7 +94,7 @@
     process: &PlantProcess,
     region: usize,
     gateways: usize,
-    voters: &[FirstVoter],
+    voters: &[InitialVoter],
 ) -> Rc<ConfigReplica> {
     let controls = voters.iter().map(|v| v.address).collect();
     let vm = process.identity.vm.clone();
