--- a/crates/claim/examples/claim_ways.rs
+++ b/crates/claim/examples/claim_ways.rs
@@ -8,8 +8,8 @@
 use {
     bytes::Bytes,
     gullglade_claim::{
-        ClaimKeeper, ClaimOutcome, ClaimRequest, ClaimService, ClaimSettings, GroupId, GroupTable,
-        QuorumClaims, ReplicaGroup, ReplicaMember, RequestFingerprint, StoredAnswer,
+        ClaimCoordinator, ClaimOutcome, ClaimRequest, ClaimService, ClaimSettings, GroupId,
+        GroupTable, QuorumClaims, ReplicaGroup, ReplicaMember, RequestFingerprint, StoredAnswer,
     },
     gullglade_peer::{
         HandlerTable, PeerIdentity,
@@ -112,7 +112,7 @@
     context: ProcessContext,
     member: ReplicaMember,
     service: Rc<ClaimService>,
-    keeper: QuorumClaims,
+    coordinator: QuorumClaims,
     groups: Rc<GroupTable>,
 }
 
@@ -139,7 +139,7 @@
         Rc::new(ClaimService::new(context.clone(), settings, identity, transport.clone()));
     handlers.register("claim", Rc::clone(&service) as _);
     let groups = Rc::new(GroupTable::new());
-    let keeper = QuorumClaims::new(
+    let coordinator = QuorumClaims::new(
         context.clone(),
         settings,
         Rc::clone(&groups) as _,
@@ -147,7 +147,7 @@
         transport,
     );
     let member = ReplicaMember { vm, region: region_name(region), address };
-    ClaimProcess { context, member, service, keeper, groups }
+    ClaimProcess { context, member, service, coordinator, groups }
 }
 
 /// The times of claim, dispatch and storing the answer.
@@ -189,7 +189,7 @@
         received: begin,
         wait: Duration::from_secs(1),
     };
-    let outcome = gateway.keeper.claim(request).await;
+    let outcome = gateway.coordinator.claim(request).await;
     let Ok(ClaimOutcome::Granted(grant)) = outcome else { panic!("not granted: {outcome:?}") };
     let granted = clock.now();
     let permit = grant.dispatch().await.expect("nobody else wants the key");
--- a/crates/claim/src/keeper.rs
+++ b/crates/claim/src/coordinator.rs
@@ -8,7 +8,7 @@
 };
 
 /// Decides which send of a non-idempotent request may run.
-pub trait ClaimKeeper {
+pub trait ClaimCoordinator {
     /// Claims the request's key. Waits up to [`ClaimRequest::wait`] for the answer of another send
     /// that is running. Dropping the future gives up the claim, as the drop of a grant does.
     fn claim<'a>(
--- a/crates/claim/src/group.rs
+++ b/crates/claim/src/group.rs
@@ -76,37 +76,37 @@
     /// The fewest members of which any two such sets share one: a majority. With two VMs that is
     /// both of them.
     pub fn quorum(&self) -> usize {
-        quorum_of(self.members.len())
+        quorum_size_of(self.members.len())
     }
 
     /// The fewest members without which the others have no quorum.
-    pub fn blocking(&self) -> usize {
-        blocking_of(self.members.len())
+    pub fn blocking_size(&self) -> usize {
+        blocking_size_of(self.members.len())
     }
 
     /// The place of `vm` among the members.
-    pub(crate) fn place(&self, vm: &VmName) -> Option<usize> {
-        place_in(&self.members, vm)
+    pub(crate) fn position(&self, vm: &VmName) -> Option<usize> {
+        position_in(&self.members, vm)
     }
 }
 
-pub(crate) fn quorum_of(members: usize) -> usize {
+pub(crate) fn quorum_size_of(members: usize) -> usize {
     members / 2 + 1
 }
 
 /// How many of `members` have to be sealed before the epoch after theirs begins. A quorum, not
 /// just a blocking set: a member that restarts and has only old configuration must hear of the
 /// seal from whichever blocking set of the others it asks. Zero of zero.
-pub(crate) fn seal_of(members: usize) -> usize {
-    quorum_of(members).min(members)
+pub(crate) fn seal_size_of(members: usize) -> usize {
+    quorum_size_of(members).min(members)
 }
 
 /// Zero of zero: the first epoch waits for nobody of an epoch before.
-pub(crate) fn blocking_of(members: usize) -> usize {
-    (members + 1).saturating_sub(quorum_of(members))
+pub(crate) fn blocking_size_of(members: usize) -> usize {
+    (members + 1).saturating_sub(quorum_size_of(members))
 }
 
-pub(crate) fn place_in(members: &[ReplicaMember], vm: &VmName) -> Option<usize> {
+pub(crate) fn position_in(members: &[ReplicaMember], vm: &VmName) -> Option<usize> {
     members.iter().position(|member| member.vm == *vm)
 }
 
--- a/crates/claim/src/join.rs
+++ b/crates/claim/src/join.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         ReplicaGroup, ReplicaMember,
-        group::{blocking_of, place_in, seal_of},
+        group::{blocking_size_of, position_in, seal_size_of},
         message::{COPY_METHOD, CopyCall, CopyPage},
         replica::{ClaimReplica, ReplicaState},
         table::StepTime,
@@ -18,10 +18,10 @@
 };
 
 /// First pause between rounds of copying while too few members can give a copy; doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The longest such pause.
-const LAST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
 
 /// What a replica has gathered from others since it went over to its epoch.
 #[derive(Default)]
@@ -41,9 +41,9 @@
 
     /// Whether enough other members of the epoch answered that one of them would know of a later
     /// epoch, had that begun.
-    pub(crate) fn has_asked(&self, group: &ReplicaGroup) -> bool {
+    pub(crate) fn has_asked_enough(&self, group: &ReplicaGroup) -> bool {
         let answered = self.count_copied(&group.members, 0);
-        answered >= group.blocking().min(group.members.len() - 1)
+        answered >= group.blocking_size().min(group.members.len() - 1)
     }
 
     fn count_copied(&self, members: &[ReplicaMember], epoch: u64) -> usize {
@@ -52,34 +52,34 @@
         members.iter().filter(copied).count()
     }
 
-    fn note_seals(&mut self, group: &ReplicaGroup, own: &VmName, time: StepTime) {
+    fn update_seal(&mut self, group: &ReplicaGroup, own: &VmName, time: StepTime) {
         let sealed = |member: &&ReplicaMember| {
             let vm = &member.vm;
             vm == own || self.copied.contains_key(vm) || group.retired.contains(vm)
         };
         let count = group.previous.iter().filter(sealed).count();
-        if self.sealed_at.is_none() && count >= seal_of(group.previous.len()) {
+        if self.sealed_at.is_none() && count >= seal_size_of(group.previous.len()) {
             self.sealed_at = Some(time);
         }
     }
 
     /// Whether the copies hold whatever a quorum of the epoch before decided.
-    fn holds_previous(&self, replica: &ClaimReplica, group: &ReplicaGroup) -> bool {
+    fn covers_previous_epoch(&self, replica: &ClaimReplica, group: &ReplicaGroup) -> bool {
         let needed = group.epoch - 1;
-        let was_member = place_in(&group.previous, &replica.identity.vm).is_some();
+        let was_member = position_in(&group.previous, &replica.identity.vm).is_some();
         let own = usize::from(was_member && replica.complete_epoch() >= needed);
         let others = self.count_copied(&group.previous, needed);
-        let copied = own + others >= blocking_of(group.previous.len());
+        let copied = own + others >= blocking_size_of(group.previous.len());
         // In the first epoch there is nobody to copy from; the others are asked all the same. A
         // clock that was set back during a restart makes this run look older than the group, and
         // only another member's clock, or its knowledge of a later run, shows that it is not.
-        let asked = !group.previous.is_empty() || self.has_asked(group);
+        let asked = !group.previous.is_empty() || self.has_asked_enough(group);
         self.sealed_at.is_some() && copied && asked
     }
 
     /// Whether the copies hold whatever an earlier run of this replica took part in.
-    fn holds_own_past(&self, group: &ReplicaGroup) -> bool {
-        self.count_copied(&group.members, group.epoch) >= group.blocking()
+    fn covers_earlier_runs(&self, group: &ReplicaGroup) -> bool {
+        self.count_copied(&group.members, group.epoch) >= group.blocking_size()
     }
 }
 
@@ -90,8 +90,8 @@
     events: Rc<dyn EventSink>,
 ) {
     let epoch = replica.group().epoch;
-    let mut pause = FIRST_PAUSE;
-    if !replica.ran_before_epoch() {
+    let mut pause = MIN_RETRY_DELAY;
+    if !replica.started_before_epoch() {
         events.emit(replica_event("claim.replica.blind", &replica).level(Level::Warn));
     }
     loop {
@@ -105,16 +105,16 @@
             return;
         }
         if replica.group().epoch == epoch && may_complete(&replica, &group) {
-            match group.previous.is_empty() && replica.ran_before_epoch() {
-                true => replica.set_first(),
+            match group.previous.is_empty() && replica.started_before_epoch() {
+                true => replica.set_initial(),
                 false => replica.set_complete(),
             }
             let complete = replica_event("claim.replica.complete", &replica);
-            events.emit(complete.field("held", replica.held()));
+            events.emit(complete.field("held", replica.record_count()));
             return;
         }
         replica.context.clock.sleep(pause).await;
-        pause = (pause * 2).min(LAST_PAUSE);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
@@ -133,20 +133,20 @@
         return false;
     }
     let progress = replica.progress.borrow();
-    let copied = match replica.ran_before_epoch() {
-        true => progress.holds_previous(replica, group),
-        false => progress.holds_own_past(group),
+    let copied = match replica.started_before_epoch() {
+        true => progress.covers_previous_epoch(replica, group),
+        false => progress.covers_earlier_runs(group),
     };
-    copied || replica.window_passed()
+    copied || replica.unknown_keys_expired()
 }
 
 /// Up to which epoch a member's claims must be complete for a copy of them to help.
 fn needed_epoch(replica: &ClaimReplica, group: &ReplicaGroup) -> u64 {
-    if replica.ran_before_epoch() { group.epoch - 1 } else { group.epoch }
+    if replica.started_before_epoch() { group.epoch - 1 } else { group.epoch }
 }
 
 async fn copy_round(replica: &ClaimReplica, transport: &dyn PeerTransport, group: &ReplicaGroup) {
-    let newcomers = group.members.iter().filter(|m| place_in(&group.previous, &m.vm).is_none());
+    let newcomers = group.members.iter().filter(|m| position_in(&group.previous, &m.vm).is_none());
     for member in group.previous.iter().chain(newcomers) {
         let held = replica.progress.borrow().copied.get(&member.vm).copied();
         let own = member.vm == replica.identity.vm;
@@ -161,7 +161,7 @@
         complete.map(|epoch| progress.copied.insert(member.vm.clone(), epoch));
     }
     let (own, time) = (&replica.identity.vm, replica.time());
-    replica.progress.borrow_mut().note_seals(group, own, time);
+    replica.progress.borrow_mut().update_seal(group, own, time);
 }
 
 /// Copies all of one member's pages; the epoch it held completely when the copy began.
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -3,7 +3,7 @@
 //! A caller gives every such request an order key. Before a byte of the request goes to a backend
 //! server, the gateway *claims* the key at a quorum of the key's claim replicas, in two steps:
 //!
-//! 1. [`ClaimKeeper::claim`] asks whether the key is free. It returns a [`ClaimGrant`], the stored
+//! 1. [`ClaimCoordinator::claim`] asks whether the key is free. It returns a [`ClaimGrant`], the stored
 //!    answer of an earlier send, or word that another send may be running.
 //! 2. [`ClaimGrant::dispatch`] records, just before the first byte, that the request may run from
 //!    now on. Only the [`RunPermit`] it returns entitles the gateway to send that byte.
@@ -16,10 +16,10 @@
 //! whether that much is known; where it is not, the caller must be told `unknown`.
 
 mod answer;
+mod coordinator;
 mod error;
 mod group;
 mod join;
-mod keeper;
 mod key;
 mod local;
 mod message;
@@ -33,11 +33,11 @@
 mod tally;
 
 pub use answer::{AnswerError, MAX_ANSWER_HEADERS, StoredAnswer};
+pub use coordinator::{
+    ClaimCoordinator, ClaimDriver, ClaimGrant, ClaimOutcome, ReleaseProof, RunPermit, RunResult,
+};
 pub use error::ClaimError;
 pub use group::{GroupId, GroupSource, GroupTable, ReplicaGroup, ReplicaMember};
-pub use keeper::{
-    ClaimDriver, ClaimGrant, ClaimKeeper, ClaimOutcome, ReleaseProof, RunPermit, RunResult,
-};
 pub use key::{ClaimDigest, ClaimRequest, RequestFingerprint};
 pub use local::LocalClaims;
 pub use quorum::QuorumClaims;
--- a/crates/claim/src/local.rs
+++ b/crates/claim/src/local.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        ClaimDigest, ClaimError, ClaimKeeper, ClaimOutcome, ClaimReplica, ClaimRequest,
+        ClaimCoordinator, ClaimDigest, ClaimError, ClaimOutcome, ClaimReplica, ClaimRequest,
         ClaimService, ClaimSettings, GroupId, GroupSource, QuorumClaims, ReplicaGroup,
         ReplicaMember,
     },
@@ -19,7 +19,7 @@
 /// It forgets them with the process. A restarted one therefore refuses keys that may have been
 /// claimed before; see [`LocalClaims::restarted`].
 pub struct LocalClaims {
-    keeper: QuorumClaims,
+    coordinator: QuorumClaims,
     replica: Rc<ClaimReplica>,
 }
 
@@ -27,14 +27,14 @@
     /// Claims of a deployment that takes its very first orders.
     pub fn first_start(context: ProcessContext, settings: ClaimSettings) -> Self {
         let claims = Self::restarted(context, settings);
-        claims.replica.set_first();
+        claims.replica.set_initial();
         claims
     }
 
     /// Claims of a process that may have run before: until the window has passed it refuses opaque
     /// keys, and keys made before its start.
     pub fn restarted(context: ProcessContext, settings: ClaimSettings) -> Self {
-        let group = Rc::new(lone_group());
+        let group = Rc::new(single_group());
         let identity = PeerIdentity {
             vm: group.members[0].vm.clone(),
             region: group.id.region.clone(),
@@ -46,23 +46,23 @@
         let service = Rc::new(service);
         service.adopt(Rc::clone(&group));
         let replica = service.replica(&group.id).expect("the process is the group's member");
-        let groups = Rc::new(LoneGroup(group));
-        let keeper = QuorumClaims::new(context, settings, groups, service, transport);
-        Self { keeper, replica }
+        let groups = Rc::new(SingleGroup(group));
+        let coordinator = QuorumClaims::new(context, settings, groups, service, transport);
+        Self { coordinator, replica }
     }
 
     /// Keys held.
-    pub fn held(&self) -> usize {
-        self.replica.held()
+    pub fn record_count(&self) -> usize {
+        self.replica.record_count()
     }
 }
 
-impl ClaimKeeper for LocalClaims {
+impl ClaimCoordinator for LocalClaims {
     fn claim<'a>(
         &'a self,
         request: ClaimRequest<'a>,
     ) -> LocalFuture<'a, Result<ClaimOutcome, ClaimError>> {
-        self.keeper.claim(request)
+        self.coordinator.claim(request)
     }
 }
 
@@ -70,7 +70,7 @@
     parse(text).expect("a constant that is a name")
 }
 
-fn lone_group() -> ReplicaGroup {
+fn single_group() -> ReplicaGroup {
     let region = checked("local", |text| RegionName::try_from(text).ok());
     let vm = checked("local", |text| VmName::try_from(text).ok());
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -79,9 +79,9 @@
 }
 
 /// One group for the keys of all regions.
-struct LoneGroup(Rc<ReplicaGroup>);
+struct SingleGroup(Rc<ReplicaGroup>);
 
-impl GroupSource for LoneGroup {
+impl GroupSource for SingleGroup {
     fn group(&self, _region: &RegionName, _digest: &ClaimDigest) -> Option<Rc<ReplicaGroup>> {
         Some(Rc::clone(&self.0))
     }
--- a/crates/claim/src/quorum.rs
+++ b/crates/claim/src/quorum.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        ClaimDigest, ClaimDriver, ClaimError, ClaimGrant, ClaimKeeper, ClaimOutcome, ClaimRequest,
-        ClaimService, ClaimSettings, GroupSource, ReleaseProof, ReplicaGroup, ReplicaMember,
-        RequestFingerprint, RunResult,
+        ClaimCoordinator, ClaimDigest, ClaimDriver, ClaimError, ClaimGrant, ClaimOutcome,
+        ClaimRequest, ClaimService, ClaimSettings, GroupSource, ReleaseProof, ReplicaGroup,
+        ReplicaMember, RequestFingerprint, RunResult,
         error::{
             ExpiredSnafu, FromFutureSnafu, NoReplicasSnafu, RegionNotAllowedSnafu, SendTooOldSnafu,
             SupersededSnafu,
@@ -25,7 +25,7 @@
 const FINISH_RETRIES: u32 = 3;
 
 /// The first pause before an end is told again; doubles.
-const FINISH_PAUSE: Duration = Duration::from_secs(1);
+const FINISH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Claims at the replicas of each key's group.
 pub struct QuorumClaims {
@@ -56,7 +56,7 @@
     }
 }
 
-impl ClaimKeeper for QuorumClaims {
+impl ClaimCoordinator for QuorumClaims {
     fn claim<'a>(
         &'a self,
         request: ClaimRequest<'a>,
@@ -186,7 +186,7 @@
             Some(AbstainReason::Expired) => {
                 ExpiredSnafu { key, window: self.shared.settings.window }.build()
             }
-            Some(AbstainReason::FromFuture) => self.key_ahead(),
+            Some(AbstainReason::FromFuture) => self.from_future_error(),
             _ => ClaimError::NoQuorum {
                 key,
                 region: self.group.id.region.clone(),
@@ -199,7 +199,7 @@
         }
     }
 
-    fn key_ahead(&self) -> ClaimError {
+    fn from_future_error(&self) -> ClaimError {
         let made = self.scope.made.map_or(0, |made| made.0);
         let wall = self.shared.context.clock.wall().0;
         let ahead = Duration::from_millis(made.saturating_sub(wall));
@@ -230,13 +230,13 @@
     let shared = Rc::clone(&attempt.shared);
     let (settings, clock) = (shared.settings, Rc::clone(&shared.context.clock));
     let mut withdraw = WithdrawOnDrop { attempt, armed: Cell::new(true) };
-    let begin = clock.now();
+    let started = clock.now();
     let mut counter = 1;
-    let mut pause = settings.poll_first;
+    let mut pause = settings.min_poll_delay;
     loop {
         let attempt = &withdraw.attempt;
         let (verdict, denied, replies) = attempt.prepare(counter).await;
-        let waited = clock.now().since(begin);
+        let waited = clock.now().since(started);
         let mut limit = request.wait;
         match verdict {
             PrepareVerdict::Granted => {
@@ -253,8 +253,8 @@
                 return Ok(finished(accepted, result, attempt.fingerprint));
             }
             PrepareVerdict::Contended { counter: highest, split } => {
-                limit = limit.max(settings.patience * 2);
-                if split || waited >= settings.patience {
+                limit = limit.max(settings.takeover_delay * 2);
+                if split || waited >= settings.takeover_delay {
                     counter = highest + 1;
                 }
                 if split {
@@ -262,7 +262,7 @@
                 }
             }
             PrepareVerdict::NoQuorum { answered, reason } => {
-                limit = settings.patience;
+                limit = settings.takeover_delay;
                 if waited >= limit || !reason.is_some_and(AbstainReason::passes_soon) {
                     withdraw.armed.set(false);
                     return Err(attempt.no_quorum(answered, reason).await);
@@ -275,7 +275,7 @@
         }
         let jitter = Duration::from_millis(shared.context.random.below(20));
         clock.sleep(pause.min(limit - waited) + jitter).await;
-        pause = (pause * 2).min(settings.poll_last);
+        pause = (pause * 2).min(settings.max_poll_delay);
         withdraw.attempt.group = shared.attempt(request)?.group;
     }
 }
@@ -358,7 +358,7 @@
 
     async fn store(self, result: RunResult) {
         if !self.store_once(&result).await {
-            self.attempt.shared.context.spawner.spawn(Box::pin(self.clone().store_again(result)));
+            self.attempt.shared.context.spawner.spawn(Box::pin(self.clone().retry_store(result)));
         }
     }
 
@@ -388,17 +388,17 @@
         stored == Some(true)
     }
 
-    async fn store_again(self, result: RunResult) {
+    async fn retry_store(self, result: RunResult) {
         let clock = Rc::clone(&self.attempt.shared.context.clock);
         for retry in 0..FINISH_RETRIES {
-            clock.sleep(FINISH_PAUSE * 2_u32.pow(retry)).await;
+            clock.sleep(FINISH_RETRY_DELAY * 2_u32.pow(retry)).await;
             if self.store_once(&result).await {
                 return;
             }
         }
     }
 
-    async fn give_up(self, deny: bool) -> ReleaseProof {
+    async fn release_key(self, deny: bool) -> ReleaseProof {
         if !deny {
             drop(self.attempt.release(false));
             return ReleaseProof::Unknown;
@@ -419,7 +419,7 @@
     }
 
     fn release(&self, deny: bool) -> LocalFuture<'static, ReleaseProof> {
-        Box::pin(self.clone().give_up(deny))
+        Box::pin(self.clone().release_key(deny))
     }
 
     fn spawn(&self, task: LocalFuture<'static, ()>) {
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -80,7 +80,7 @@
     pub(crate) made: Option<WallMillis>,
     pub(crate) expires: MonotonicTime,
     /// The latest step.
-    pub(crate) touched: MonotonicTime,
+    pub(crate) last_step: MonotonicTime,
 }
 
 impl ClaimRecord {
@@ -98,14 +98,14 @@
             denied_at: None,
             made,
             expires,
-            touched: now,
+            last_step: now,
         }
     }
 
     /// When the record may be forgotten: where nobody may have run, sooner than otherwise.
-    pub(crate) fn due(&self, idle_limit: Duration) -> MonotonicTime {
+    pub(crate) fn evict_at(&self, idle_limit: Duration) -> MonotonicTime {
         match self.accepted.is_none() && self.result.is_none() {
-            true => self.expires.min(self.touched + idle_limit),
+            true => self.expires.min(self.last_step + idle_limit),
             false => self.expires,
         }
     }
@@ -150,8 +150,8 @@
     /// it dropped, a lower ballot could be accepted here after a higher one was granted elsewhere
     /// on the strength of a promise made here, and both would run.
     fn may_replace(&self, promised: &Ballot, ballot: &Ballot) -> bool {
-        let vacant = self.released.contains(&promised.attempt);
-        ballot.may_follow(promised) || (vacant && ballot.counter == promised.counter)
+        let is_released = self.released.contains(&promised.attempt);
+        ballot.may_follow(promised) || (is_released && ballot.counter == promised.counter)
     }
 
     /// Records that `attempt` has not run and never will. With `deny`, also that a caller may be
--- a/crates/claim/src/replica.rs
+++ b/crates/claim/src/replica.rs
@@ -88,7 +88,7 @@
     }
 
     /// Keys held.
-    pub fn held(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.table.borrow().len()
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// There was no run of this replica, and no epoch, before.
-    pub(crate) fn set_first(&self) {
+    pub(crate) fn set_initial(&self) {
         self.since.set(None);
         self.set_complete();
     }
@@ -146,16 +146,16 @@
     ///
     /// That it has held a configuration without the epoch would not show that: after a restart it
     /// may have been given an old one.
-    pub(crate) fn ran_before_epoch(&self) -> bool {
+    pub(crate) fn started_before_epoch(&self) -> bool {
         let group = self.group();
         let started = self.start.get().wall.0 + millis(self.settings.clock_error * 2);
         let ran_before = group.created.is_some_and(|created| started <= created.0);
-        ran_before || self.continues()
+        ran_before || self.continues_previous_epoch()
     }
 
     /// Whether this very run held all claims of the epoch before, since a time when this epoch had
     /// not begun: a replica becomes complete in no epoch that it knows to be over.
-    fn continues(&self) -> bool {
+    fn continues_previous_epoch(&self) -> bool {
         self.complete.get() > 0 && self.complete.get() + 1 >= self.group().epoch
     }
 
@@ -164,7 +164,7 @@
     fn epoch_is_confirmed(&self) -> bool {
         let group = self.group();
         let progress = self.progress.borrow();
-        let current = self.continues() || progress.has_asked(&group);
+        let current = self.continues_previous_epoch() || progress.has_asked_enough(&group);
         current && progress.sealed_at().is_some()
     }
 
@@ -172,7 +172,7 @@
     pub(crate) fn step(&self, call: StepCall) -> StepReply {
         let outcome = self.outcome(&call).unwrap_or_else(StepOutcome::Abstained);
         let group = self.group();
-        let known = group.members.iter().map(|member| self.known_run(&member.vm)).collect();
+        let known = group.members.iter().map(|member| self.known_incarnation(&member.vm)).collect();
         StepReply { incarnation: self.identity.incarnation, known, outcome }
     }
 
@@ -187,7 +187,7 @@
             }
             ClaimStep::Accept { acceptance, promised_by } => {
                 self.check_vote(call, time)?;
-                self.check_run(promised_by)?;
+                self.check_incarnation(promised_by)?;
                 Ok(self.vote(table.accept(scope, acceptance, time)?, time))
             }
             ClaimStep::Release { attempt, deny } => {
@@ -214,7 +214,7 @@
         StepOutcome::Vote(vote)
     }
 
-    fn check_run(&self, promised_by: Incarnation) -> Result<(), AbstainReason> {
+    fn check_incarnation(&self, promised_by: Incarnation) -> Result<(), AbstainReason> {
         match promised_by == self.identity.incarnation {
             true => Ok(()),
             false => Err(AbstainReason::Restarted),
@@ -226,7 +226,7 @@
         if call.epoch != epoch || self.is_sealed() {
             return Err(AbstainReason::WrongGroup);
         }
-        let undecided = self.epoch_is_confirmed() && self.was_undecided(&call.scope, time);
+        let undecided = self.epoch_is_confirmed() && self.cannot_have_votes(&call.scope, time);
         if undecided || self.is_complete() {
             return Ok(());
         }
@@ -235,7 +235,7 @@
 
     /// Whether neither an earlier run of this replica nor the epoch before can have voted on the
     /// key: it was made after they ended, or is past the window anyway.
-    fn was_undecided(&self, scope: &KeyScope, time: StepTime) -> bool {
+    fn cannot_have_votes(&self, scope: &KeyScope, time: StepTime) -> bool {
         let Some(since) = self.blind_since() else { return false };
         let blind_until = since.wall.0 + millis(self.settings.blind_time());
         let young = scope.made.is_some_and(|made| made.0 > blind_until);
@@ -249,13 +249,13 @@
     }
 
     /// Whether every key that it may know nothing of is past the window.
-    pub(crate) fn window_passed(&self) -> bool {
+    pub(crate) fn unknown_keys_expired(&self) -> bool {
         let now = self.context.clock.now();
         let passed = |since: StepTime| now.since(since.now) >= self.settings.retention();
         self.epoch_is_confirmed() && self.blind_since().is_some_and(passed)
     }
 
-    fn known_run(&self, vm: &VmName) -> Incarnation {
+    fn known_incarnation(&self, vm: &VmName) -> Incarnation {
         if *vm == self.identity.vm {
             return self.identity.incarnation;
         }
@@ -263,7 +263,7 @@
     }
 
     /// Learns of a run of `vm`; false where a later one is known.
-    pub(crate) fn learn_run(&self, vm: &VmName, incarnation: Incarnation) -> bool {
+    pub(crate) fn record_incarnation(&self, vm: &VmName, incarnation: Incarnation) -> bool {
         let mut known = self.known.borrow_mut();
         let latest = known.entry(vm.clone()).or_default();
         *latest = (*latest).max(incarnation);
@@ -274,7 +274,7 @@
     /// void, and votes in earlier epochs end: whatever was decided with this replica's vote is
     /// either in the pages or will not count.
     pub(crate) fn copy(&self, from: &PeerIdentity, call: &CopyCall) -> Result<CopyPage, PeerFault> {
-        if !self.learn_run(&from.vm, from.incarnation) {
+        if !self.record_incarnation(&from.vm, from.incarnation) {
             return Err(PeerFault::refused(format_args!(
                 "a later run of VM {} is known: set its clock, or give each VM its own name",
                 from.vm
@@ -307,22 +307,22 @@
     /// Takes over a page.
     pub(crate) fn merge(&self, vm: &VmName, page: CopyPage) {
         let now = self.context.clock.now();
-        self.learn_run(vm, page.incarnation);
-        self.learn_wall(page.wall);
+        self.record_incarnation(vm, page.incarnation);
+        self.advance_start(page.wall);
         self.sealed.set(self.sealed.get().max(page.sealed));
         let others = page.known.iter().filter(|(other, _)| *other != self.identity.vm);
         others.for_each(|(other, run)| {
-            self.learn_run(other, *run);
+            self.record_incarnation(other, *run);
         });
         let mut table = self.table.borrow_mut();
-        table.forget_to(page.forgotten);
+        table.raise_forgotten(page.forgotten);
         page.records.into_iter().for_each(|record| table.merge(record, now));
     }
 
     /// Another member's clock is ahead of this one's: count the start as that much later. A clock
     /// that was set back during the restart would else make keys voted on before look younger than
     /// the start, and they would run again.
-    fn learn_wall(&self, wall: WallMillis) {
+    fn advance_start(&self, wall: WallMillis) {
         let start = self.start.get();
         let elapsed = millis(self.context.clock.now().since(start.now));
         let theirs = WallMillis(wall.0.saturating_sub(elapsed));
--- a/crates/claim/src/round.rs
+++ b/crates/claim/src/round.rs
@@ -37,22 +37,22 @@
     ) -> ReplyRound {
         let replies: RoundReplies = Rc::new(RefCell::new(vec![None; group.members.len()]));
         let (sender, arrivals) = unbounded();
-        let mut waiting = 0;
-        for (place, call) in calls.into_iter().enumerate() {
+        let mut pending = 0;
+        for (index, call) in calls.into_iter().enumerate() {
             let Some(call) = call else { continue };
-            waiting += 1;
-            let member = &group.members[place];
+            pending += 1;
+            let member = &group.members[index];
             let own = own.clone().filter(|replica| replica.identity.vm == member.vm);
             let reply = self.ask(member.address, own, call);
             let (replies, sender) = (Rc::clone(&replies), sender.clone());
             self.context.spawner.spawn(Box::pin(async move {
                 let reply = reply.await;
-                replies.borrow_mut()[place] = reply;
+                replies.borrow_mut()[index] = reply;
                 // The round may be over; the reply is noted above all the same.
                 let _over = sender.unbounded_send(());
             }));
         }
-        ReplyRound { replies, arrivals, waiting }
+        ReplyRound { replies, arrivals, pending }
     }
 
     fn ask(
@@ -77,24 +77,24 @@
 pub(crate) struct ReplyRound {
     pub(crate) replies: RoundReplies,
     arrivals: UnboundedReceiver<()>,
-    waiting: usize,
+    pending: usize,
 }
 
 impl ReplyRound {
-    /// Waits until `judge` has a verdict on the replies. Its second argument says that no more
+    /// Waits until `decide` has a verdict on the replies. Its second argument says that no more
     /// replies will come; it must decide then.
     pub(crate) async fn verdict<T>(
         &mut self,
-        judge: impl Fn(&[Option<StepReply>], bool) -> Option<T>,
+        decide: impl Fn(&[Option<StepReply>], bool) -> Option<T>,
     ) -> Option<T> {
         loop {
-            let last = self.waiting == 0;
-            let verdict = judge(&self.replies.borrow(), last);
+            let last = self.pending == 0;
+            let verdict = decide(&self.replies.borrow(), last);
             if verdict.is_some() || last {
                 return verdict;
             }
             self.arrivals.next().await;
-            self.waiting -= 1;
+            self.pending -= 1;
         }
     }
 }
--- a/crates/claim/src/service.rs
+++ b/crates/claim/src/service.rs
@@ -50,7 +50,7 @@
     pub fn adopt(&self, group: Rc<ReplicaGroup>) {
         let replica = self.replica(&group.id);
         let newer = replica.as_ref().is_some_and(|replica| replica.adopt(Rc::clone(&group)));
-        let member = group.place(&self.identity.vm).is_some();
+        let member = group.position(&self.identity.vm).is_some();
         if !member || (replica.is_some() && !newer) {
             return;
         }
--- a/crates/claim/src/settings.rs
+++ b/crates/claim/src/settings.rs
@@ -6,7 +6,7 @@
 };
 
 /// A send may wait for its claim as long as for so many grants: its body may come in slowly.
-const SEND_GRANTS: u32 = 4;
+const GRANT_LIMITS_PER_SEND: u32 = 4;
 
 /// Why settings contradict each other.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -32,9 +32,9 @@
     pub(crate) clock_error: Duration,
     pub(crate) grant_limit: Duration,
     pub(crate) call_limit: Duration,
-    pub(crate) patience: Duration,
-    pub(crate) poll_first: Duration,
-    pub(crate) poll_last: Duration,
+    pub(crate) takeover_delay: Duration,
+    pub(crate) min_poll_delay: Duration,
+    pub(crate) max_poll_delay: Duration,
     pub(crate) answer_limit: usize,
     pub(crate) answer_budget: usize,
     pub(crate) claim_limit: usize,
@@ -48,9 +48,9 @@
             clock_error: Duration::from_secs(5),
             grant_limit: Duration::from_secs(60),
             call_limit: Duration::from_millis(500),
-            patience: Duration::from_secs(1),
-            poll_first: Duration::from_millis(50),
-            poll_last: Duration::from_secs(1),
+            takeover_delay: Duration::from_secs(1),
+            min_poll_delay: Duration::from_millis(50),
+            max_poll_delay: Duration::from_secs(1),
             answer_limit: 256 << 10,
             answer_budget: 64 << 20,
             claim_limit: 200_000,
@@ -96,8 +96,8 @@
 
     /// How long a send waits for another one that was granted the key but has not dispatched it,
     /// before it takes over. Default 1 s.
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn takeover_delay(mut self, takeover_delay: Duration) -> Self {
+        self.takeover_delay = takeover_delay;
         self
     }
 
@@ -142,7 +142,7 @@
 
     /// How long after it was received a send may still claim its key.
     pub(crate) fn send_limit(&self) -> Duration {
-        self.grant_limit * SEND_GRANTS
+        self.grant_limit * GRANT_LIMITS_PER_SEND
     }
 
     /// How long a replica keeps a record of a key that nobody dispatched: twice as long as a send
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -92,9 +92,9 @@
     settings: ClaimSettings,
     records: BTreeMap<ClaimDigest, ClaimRecord>,
     /// One entry for each record: when to see whether it may be forgotten, at the latest.
-    expiries: BinaryHeap<Reverse<(MonotonicTime, ClaimDigest)>>,
+    eviction_queue: BinaryHeap<Reverse<(MonotonicTime, ClaimDigest)>>,
     /// Keys with a stored answer, oldest first.
-    answers: VecDeque<ClaimDigest>,
+    answer_queue: VecDeque<ClaimDigest>,
     answer_bytes: usize,
     /// The latest making of a forgotten key. Keys up to it count as expired whatever the wall
     /// clock says: after a step back it would call forgotten keys young again, and they would run
@@ -108,8 +108,8 @@
         Self {
             settings,
             records: BTreeMap::new(),
-            expiries: BinaryHeap::new(),
-            answers: VecDeque::new(),
+            eviction_queue: BinaryHeap::new(),
+            answer_queue: VecDeque::new(),
             answer_bytes: 0,
             forgotten: WallMillis(0),
         }
@@ -179,7 +179,7 @@
         }
         let size = answer_size(&result);
         record.finish(acceptance, result);
-        self.keep_answer(scope.digest, size);
+        self.enqueue_answer(scope.digest, size);
         Ok(())
     }
 
@@ -216,7 +216,7 @@
         let before = record.result.as_deref().map_or(0, answer_size);
         record.merge(view, now);
         let after = record.result.as_deref().map_or(0, answer_size);
-        self.keep_answer(scope.digest, after - before);
+        self.enqueue_answer(scope.digest, after - before);
     }
 
     /// The latest making of a forgotten key.
@@ -225,7 +225,7 @@
     }
 
     /// Counts keys made up to `made` as forgotten, because another replica forgot them.
-    pub(crate) fn forget_to(&mut self, made: WallMillis) {
+    pub(crate) fn raise_forgotten(&mut self, made: WallMillis) {
         self.forgotten = self.forgotten.max(made);
     }
 
@@ -234,7 +234,7 @@
         scope: &KeyScope,
         time: StepTime,
     ) -> Result<&mut ClaimRecord, AbstainReason> {
-        self.purge(time.now);
+        self.evict_due(time.now);
         if !self.records.contains_key(&scope.digest) {
             self.check_new(scope, time.wall)?;
         }
@@ -247,13 +247,13 @@
         now: MonotonicTime,
         expires: MonotonicTime,
     ) -> &mut ClaimRecord {
-        let (expiries, idle) = (&mut self.expiries, self.settings.idle_limit());
+        let (eviction_queue, idle) = (&mut self.eviction_queue, self.settings.idle_limit());
         let record = self.records.entry(scope.digest).or_insert_with(|| {
             let record = ClaimRecord::new(scope.made, now, expires);
-            expiries.push(Reverse((record.due(idle), scope.digest)));
+            eviction_queue.push(Reverse((record.evict_at(idle), scope.digest)));
             record
         });
-        record.touched = now;
+        record.last_step = now;
         record
     }
 
@@ -270,39 +270,39 @@
     /// which a send may wait. Refused orders would otherwise fill the table for a day, and then new
     /// orders would be refused for want of room. By monotonic time: a wall clock that steps ahead by
     /// a day would otherwise empty the table at once.
-    fn purge(&mut self, now: MonotonicTime) {
+    fn evict_due(&mut self, now: MonotonicTime) {
         let idle = self.settings.idle_limit();
-        while let Some(Reverse((time, digest))) = self.expiries.peek().copied() {
+        while let Some(Reverse((time, digest))) = self.eviction_queue.peek().copied() {
             if time > now {
                 break;
             }
-            self.expiries.pop();
-            match self.records.get(&digest).map(|record| record.due(idle)) {
-                Some(due) if due > now => self.expiries.push(Reverse((due, digest))),
-                _ => self.forget(&digest, now),
+            self.eviction_queue.pop();
+            match self.records.get(&digest).map(|record| record.evict_at(idle)) {
+                Some(due) if due > now => self.eviction_queue.push(Reverse((due, digest))),
+                _ => self.evict(&digest, now),
             }
         }
     }
 
-    fn forget(&mut self, digest: &ClaimDigest, now: MonotonicTime) {
+    fn evict(&mut self, digest: &ClaimDigest, now: MonotonicTime) {
         let Some(record) = self.records.remove(digest) else { return };
         if record.expires <= now {
             self.forgotten = self.forgotten.max(record.made.unwrap_or_default());
         }
         self.answer_bytes -= record.result.as_deref().map_or(0, answer_size);
-        while self.answers.front().is_some_and(|digest| !self.records.contains_key(digest)) {
-            self.answers.pop_front();
+        while self.answer_queue.front().is_some_and(|digest| !self.records.contains_key(digest)) {
+            self.answer_queue.pop_front();
         }
     }
 
-    fn keep_answer(&mut self, digest: ClaimDigest, size: usize) {
+    fn enqueue_answer(&mut self, digest: ClaimDigest, size: usize) {
         if size == 0 {
             return;
         }
-        self.answers.push_back(digest);
+        self.answer_queue.push_back(digest);
         self.answer_bytes += size;
         while self.answer_bytes > self.settings.answer_budget {
-            let Some(oldest) = self.answers.pop_front() else { break };
+            let Some(oldest) = self.answer_queue.pop_front() else { break };
             self.drop_answer(&oldest);
         }
     }
--- a/crates/claim/src/tally.rs
+++ b/crates/claim/src/tally.rs
@@ -74,12 +74,12 @@
     /// promised or accepted again in its present run, without knowledge of the vote counted here.
     fn valid(&self) -> impl Iterator<Item = &'a StepReply> + Clone {
         let replies = self.replies;
-        let void = move |place: usize, reply: &StepReply| {
-            let known = replies.iter().flatten().filter_map(|other| other.known.get(place));
+        let is_void = move |index: usize, reply: &StepReply| {
+            let known = replies.iter().flatten().filter_map(|other| other.known.get(index));
             known.max().is_some_and(|latest| *latest > reply.incarnation)
         };
         let numbered = replies.iter().enumerate();
-        numbered.filter_map(move |(place, reply)| reply.as_ref().filter(|r| !void(place, r)))
+        numbered.filter_map(move |(index, reply)| reply.as_ref().filter(|r| !is_void(index, r)))
     }
 
     fn votes(&self) -> impl Iterator<Item = &'a RecordVote> + Clone {
@@ -199,7 +199,7 @@
     pub(crate) fn proves_not_run(&self) -> bool {
         let clean =
             |reply: &&StepReply| matches!(reply.outcome, StepOutcome::Released { clean: true });
-        self.valid().filter(clean).count() >= self.group.blocking()
+        self.valid().filter(clean).count() >= self.group.blocking_size()
     }
 
     /// Whether a quorum holds the result.
--- a/crates/claim/tests/local.rs
+++ b/crates/claim/tests/local.rs
@@ -4,7 +4,7 @@
 
 use {
     gullglade_claim::{
-        ClaimError, ClaimKeeper, ClaimOutcome, ClaimSettings, LocalClaims, ReleaseProof,
+        ClaimCoordinator, ClaimError, ClaimOutcome, ClaimSettings, LocalClaims, ReleaseProof,
         StoredAnswer,
     },
     gullglade_units::{
@@ -149,7 +149,7 @@
     office.run(&key, "40 t", "placed 7");
     office.world.run_for(SECOND * 25 * 3600);
     office.run(&office.key(), "1 t", "placed 8");
-    assert_eq!(office.claims.held(), 1, "the old record is forgotten");
+    assert_eq!(office.claims.record_count(), 1, "the old record is forgotten");
     office.process.set_wall_offset(-25 * 3_600_000);
     let error = office.send(&key, "40 t").unwrap_err();
     assert!(matches!(error, ClaimError::Expired { .. }), "{error}");
--- a/crates/claim/tests/quorum.rs
+++ b/crates/claim/tests/quorum.rs
@@ -256,7 +256,7 @@
     assert_eq!(region.history.borrow().runs(&first), 0);
     assert!(answered(&region.ask(1, &first, "40 t", plain())), "it was not run, so it may");
     assert!(answered(&region.ask(1, &region.key(), "40 t", plain())), "there is room");
-    let held = region.vm(1).service.replica(&region.group(0).id).unwrap().held();
+    let held = region.vm(1).service.replica(&region.group(0).id).unwrap().record_count();
     assert!(held <= 200, "{held} records, of the last eight minutes");
     region.check();
 }
--- a/crates/claim/tests/restarts.rs
+++ b/crates/claim/tests/restarts.rs
@@ -143,7 +143,7 @@
     region.run_for(HOUR * 25);
     assert_eq!(region.ask(1, &key, "40 t", plain()), Some(ToldOutcome::Unknown));
     assert!(answered(&region.ask(1, &region.key(), "1 t", plain())));
-    let held = region.vm(1).service.replica(&region.group(0).id).unwrap().held();
+    let held = region.vm(1).service.replica(&region.group(0).id).unwrap().record_count();
     assert_eq!(held, 1, "the old record is gone, so memory is bounded");
     region.check();
 }
--- a/crates/claim/tests/schedules.rs
+++ b/crates/claim/tests/schedules.rs
@@ -172,7 +172,7 @@
             .grant_limit(GRANT_LIMIT)
             .clock_error(Duration::from_millis(CLOCK_ERROR as u64));
         let settings = match schedule.hasty {
-            true => settings.call_limit(LONG_CALL).patience(SHORT_PATIENCE),
+            true => settings.call_limit(LONG_CALL).takeover_delay(SHORT_PATIENCE),
             false => settings,
         };
         let regions = if schedule.far { &FAR_REGIONS } else { &REGIONS };
--- a/crates/claim/tests/support/region.rs
+++ b/crates/claim/tests/support/region.rs
@@ -5,8 +5,8 @@
         ANSWER_TEXT, ClaimHistory, FakeLink, FakeNetwork, SendId, SentOrder, ToldOutcome, answer,
     },
     gullglade_claim::{
-        ClaimError, ClaimKeeper, ClaimOutcome, ClaimService, ClaimSettings, GroupId, GroupTable,
-        QuorumClaims, ReleaseProof, ReplicaGroup, ReplicaMember, ReplicaState,
+        ClaimCoordinator, ClaimError, ClaimOutcome, ClaimService, ClaimSettings, GroupId,
+        GroupTable, QuorumClaims, ReleaseProof, ReplicaGroup, ReplicaMember, ReplicaState,
     },
     gullglade_event::MemorySink,
     gullglade_peer::{PeerIdentity, PeerTransport},
@@ -47,7 +47,7 @@
 pub(crate) struct ClaimVm {
     pub(crate) process: FakeProcess,
     pub(crate) service: Rc<ClaimService>,
-    pub(crate) keeper: Rc<QuorumClaims>,
+    pub(crate) coordinator: Rc<QuorumClaims>,
     pub(crate) groups: Rc<GroupTable>,
     pub(crate) events: Rc<MemorySink>,
     pub(crate) member: ReplicaMember,
@@ -134,7 +134,7 @@
         let service = Rc::new(service.events(Rc::clone(&events) as _));
         self.network.put(member.address, &process, Rc::clone(&service) as _, region_name);
         let groups = Rc::new(GroupTable::new());
-        let keeper = Rc::new(QuorumClaims::new(
+        let coordinator = Rc::new(QuorumClaims::new(
             context,
             settings,
             Rc::clone(&groups) as _,
@@ -145,7 +145,7 @@
         groups.put(Rc::clone(&group));
         service.adopt(group);
         let region = region(region_name);
-        Rc::new(ClaimVm { process, service, keeper, groups, events, member, region })
+        Rc::new(ClaimVm { process, service, coordinator, groups, events, member, region })
     }
 
     pub(crate) fn vm(&self, index: usize) -> Rc<ClaimVm> {
@@ -272,7 +272,7 @@
 ) {
     let clock = Rc::clone(&vm.process.context().clock);
     let mut since = clock.now();
-    let told = match vm.keeper.claim(order.request()).await {
+    let told = match vm.coordinator.claim(order.request()).await {
         Ok(ClaimOutcome::Granted(grant)) => {
             clock.sleep(habits.queue).await;
             since = clock.now();
--- a/crates/gateway/src/claimed/tests.rs
+++ b/crates/gateway/src/claimed/tests.rs
@@ -3,8 +3,8 @@
 use {
     crate::testing::{BackendFate, DOCUMENT, TestGateway},
     gullglade_claim::{
-        ClaimDriver, ClaimError, ClaimGrant, ClaimKeeper, ClaimOutcome, ClaimRequest, ReleaseProof,
-        RunResult,
+        ClaimCoordinator, ClaimDriver, ClaimError, ClaimGrant, ClaimOutcome, ClaimRequest,
+        ReleaseProof, RunResult,
     },
     gullglade_units::LocalFuture,
     std::{future::ready, rc::Rc},
@@ -16,7 +16,7 @@
     proof: ReleaseProof,
 }
 
-impl ClaimKeeper for FixedProof {
+impl ClaimCoordinator for FixedProof {
     fn claim<'a>(
         &'a self,
         _request: ClaimRequest<'a>,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,7 +12,7 @@
     },
     gullglade_admission::{AdmissionQueue, RetryBudget, RetrySettings},
     gullglade_backend::{BackendRelay, BackendTable},
-    gullglade_claim::ClaimKeeper,
+    gullglade_claim::ClaimCoordinator,
     gullglade_document::{ConfigSource, ServiceDocument, ServiceTarget},
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_http::{ApiError, HttpClient, ReplyBody, RequestBody, RequestHandler},
@@ -42,7 +42,7 @@
     /// Other gateways and regions.
     pub directory: Rc<dyn RegionDirectory>,
     /// Claims on keys.
-    pub claims: Rc<dyn ClaimKeeper>,
+    pub claims: Rc<dyn ClaimCoordinator>,
     /// Lets requests in.
     pub admission: AdmissionQueue,
     /// Calls backend servers.
@@ -70,7 +70,7 @@
     pub(crate) backends: Rc<BackendTable>,
     pub(crate) relay: BackendRelay,
     pub(crate) directory: Rc<dyn RegionDirectory>,
-    pub(crate) claims: Rc<dyn ClaimKeeper>,
+    pub(crate) claims: Rc<dyn ClaimCoordinator>,
     pub(crate) admission: AdmissionQueue,
     pub(crate) client: Rc<dyn HttpClient>,
     pub(crate) transport: Rc<dyn PeerTransport>,
--- a/crates/gateway/src/testing.rs
+++ b/crates/gateway/src/testing.rs
@@ -13,7 +13,7 @@
         Announcement, BackendConfig, BackendRelay, BackendTable, GatewayProfile, OwnGateway,
         RelayConfig, RelaySeams,
     },
-    gullglade_claim::{ClaimKeeper, ClaimSettings, LocalClaims},
+    gullglade_claim::{ClaimCoordinator, ClaimSettings, LocalClaims},
     gullglade_document::{ConfigView, FixedConfig, ServiceDocument, ServiceTarget},
     gullglade_event::{MetricSet, NullSink},
     gullglade_http::{ReplyBody, RequestBody, RequestHandler},
@@ -135,7 +135,7 @@
         document: &str,
         engines: bool,
         fate: BackendFate,
-        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimKeeper>,
+        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimCoordinator>,
     ) -> Self {
         let setup = TestSetup { document, engines, fate, ..TestSetup::default() };
         Self::with_setup(&setup, claims)
@@ -161,7 +161,7 @@
 
     fn with_setup(
         setup: &TestSetup<'_>,
-        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimKeeper>,
+        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimCoordinator>,
     ) -> Self {
         let TestSetup { document, engines, fate, peers, offers_from, attempt_limit, has_second: _ } =
             *setup;
--- a/crates/node/src/claim_routes.rs
+++ b/crates/node/src/claim_routes.rs
@@ -116,7 +116,7 @@
                 region: id.region,
                 epoch: replica.group().epoch,
                 state: state_label(state).to_owned(),
-                held: replica.held(),
+                held: replica.record_count(),
             })
         };
         self.claims.states().into_iter().filter_map(row).collect()
--- a/crates/order/src/bucket.rs
+++ b/crates/order/src/bucket.rs
@@ -7,14 +7,14 @@
 /// It starts empty. A full one would let each new holder of the lease give a whole burst on top of
 /// its predecessor's, and the store would be asked for more than its rate after each succession.
 #[derive(Debug)]
-pub struct PacedBucket {
+pub struct TokenBucket {
     rate: u64,
     burst: u64,
     /// When the bucket will be empty of debt: tokens are `(now - empty_at) * rate`.
     empty_at: MonotonicTime,
 }
 
-impl PacedBucket {
+impl TokenBucket {
     /// A bucket of `rate` bytes a second (above zero) and `burst` bytes, empty at `start`.
     pub fn new(rate: u64, burst: u64, start: MonotonicTime) -> Self {
         Self { rate: rate.max(1), burst, empty_at: start }
@@ -35,7 +35,7 @@
     }
 
     /// Gives back `bytes` that were taken and not used.
-    pub fn put_back(&mut self, bytes: u64) {
+    pub fn refund(&mut self, bytes: u64) {
         let time = self.time_of(bytes);
         self.empty_at = MonotonicTime(self.empty_at.0.saturating_sub(time));
     }
--- a/crates/order/src/desk.rs
+++ b/crates/order/src/dispatcher.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         EngineOrder, FenceNumber, HeldLease, LeaseError, LeaseSource, OrderError, OrderSettings,
-        PacedBucket, PlatformClient, PlatformError, PlatformOrder,
+        PlatformClient, PlatformError, PlatformOrder, TokenBucket,
         error::{LeaseEndedSnafu, NotHolderSnafu, TooLargeSnafu},
-        ledger::{LedgerTicket, OrderLedger, OrderResult},
+        registry::{OrderRegistry, OrderResult, Registration},
     },
     gullglade_backend::FencingMode,
     gullglade_event::{EventDraft, EventSink, Level},
@@ -15,7 +15,7 @@
 };
 
 /// Renew when this part of the usable lease has passed.
-const RENEW_PART: u32 = 3;
+const RENEWAL_DIVISOR: u32 = 3;
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// Whether the desk may give orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DeskState {
+pub enum DispatcherState {
     /// It has the lease.
     Holding {
         /// The fencing number.
@@ -47,11 +47,11 @@
 
 /// One VM's desk for orders.
 #[derive(Clone)]
-pub struct OrderDesk {
-    shared: Rc<DeskShared>,
+pub struct OrderDispatcher {
+    shared: Rc<DispatcherShared>,
 }
 
-struct DeskShared {
+struct DispatcherShared {
     context: ProcessContext,
     settings: OrderSettings,
     holder: VmName,
@@ -59,11 +59,11 @@
     platform: Rc<dyn PlatformClient>,
     events: Rc<dyn EventSink>,
     lease: RefCell<Result<HeldLease, String>>,
-    ledger: RefCell<OrderLedger>,
-    bucket: RefCell<PacedBucket>,
+    registry: RefCell<OrderRegistry>,
+    bucket: RefCell<TokenBucket>,
 }
 
-impl OrderDesk {
+impl OrderDispatcher {
     /// A desk of VM `holder`, without the lease yet.
     pub fn new(
         context: ProcessContext,
@@ -74,8 +74,8 @@
         events: Rc<dyn EventSink>,
     ) -> Self {
         let now = context.clock.now();
-        let bucket = PacedBucket::new(settings.weight_rate, settings.weight_burst, now);
-        let shared = DeskShared {
+        let bucket = TokenBucket::new(settings.weight_rate, settings.weight_burst, now);
+        let shared = DispatcherShared {
             context,
             settings,
             holder,
@@ -83,7 +83,7 @@
             platform,
             events,
             lease: RefCell::new(Err("it has not asked for the lease yet".to_owned())),
-            ledger: RefCell::new(OrderLedger::new(settings.remembered)),
+            registry: RefCell::new(OrderRegistry::new(settings.outcome_limit)),
             bucket: RefCell::new(bucket),
         };
         Self { shared: Rc::new(shared) }
@@ -93,33 +93,33 @@
     pub async fn run(self) {
         loop {
             self.shared.acquire().await;
-            self.shared.keep().await;
+            self.shared.renew_until_lost().await;
             self.shared.context.clock.sleep(self.shared.settings.acquire_pause).await;
         }
     }
 
     /// Whether the desk may give orders now.
-    pub fn state(&self) -> DeskState {
+    pub fn state(&self) -> DispatcherState {
         match self.shared.live_lease() {
-            Ok(lease) => DeskState::Holding {
+            Ok(lease) => DispatcherState::Holding {
                 fence: lease.fence(),
                 left: lease.left(&self.shared.context),
                 predecessor_left: lease.predecessor_left(&self.shared.context),
             },
-            Err(reason) => DeskState::Waiting { reason },
+            Err(reason) => DispatcherState::Waiting { reason },
         }
     }
 
     /// Gives an order, once under its id however often it is asked for, and waits until the engine
     /// has taken it. The order goes on when the caller goes away.
-    pub async fn give(&self, order: EngineOrder) -> Result<OrderOutcome, OrderError> {
-        let ticket = self.shared.ledger.borrow_mut().enter(&order)?;
-        let result = match ticket {
-            LedgerTicket::Known(result) => result,
-            LedgerTicket::New(sender, result) => {
+    pub async fn submit(&self, order: EngineOrder) -> Result<OrderOutcome, OrderError> {
+        let registration = self.shared.registry.borrow_mut().register(&order)?;
+        let result = match registration {
+            Registration::Known(result) => result,
+            Registration::New(sender, result) => {
                 let shared = Rc::clone(&self.shared);
                 self.shared.context.spawner.spawn(Box::pin(async move {
-                    let outcome = shared.carry_out(&order).await;
+                    let outcome = shared.execute(&order).await;
                     shared.note(&order, &outcome);
                     // Nobody may be waiting any more; the ledger knows all the same.
                     let _gone = sender.send(outcome);
@@ -135,7 +135,7 @@
     NotHolderSnafu { reason }.fail()
 }
 
-impl DeskShared {
+impl DispatcherShared {
     async fn acquire(&self) {
         let (asked, asked_wall) = (self.context.clock.now(), self.context.clock.wall());
         match self.source.acquire(&self.holder).await {
@@ -143,9 +143,9 @@
                 let (context, settings) = (&self.context, &self.settings);
                 let lease = HeldLease::new(&grant, asked, asked_wall, context, settings);
                 // Until then the predecessor may go on ordering at the full rate.
-                let alone_at = context.clock.now() + lease.predecessor_left(context);
+                let predecessor_ends_at = context.clock.now() + lease.predecessor_left(context);
                 let (rate, burst) = (settings.weight_rate, settings.weight_burst);
-                *self.bucket.borrow_mut() = PacedBucket::new(rate, burst, alone_at);
+                *self.bucket.borrow_mut() = TokenBucket::new(rate, burst, predecessor_ends_at);
                 *self.lease.borrow_mut() = Ok(lease);
                 self.emit(EventDraft::new("order.lease-taken").field("fence", grant.fence.0));
             }
@@ -154,9 +154,9 @@
     }
 
     /// Renews until the lease is lost.
-    async fn keep(&self) {
+    async fn renew_until_lost(&self) {
         while let Ok(lease) = self.live_lease() {
-            let pause = lease.left(&self.context) / RENEW_PART;
+            let pause = lease.left(&self.context) / RENEWAL_DIVISOR;
             self.context.clock.sleep(pause.max(Duration::from_millis(10))).await;
             if !self.renew(lease).await {
                 return;
@@ -171,7 +171,7 @@
         let left = lease.left(&self.context);
         let clock = &*self.context.clock;
         match timeout(clock, left, self.source.renew(lease.fence())).await {
-            Some(Ok(duration)) => self.lengthen(lease.fence(), |lease| {
+            Some(Ok(duration)) => self.extend(lease.fence(), |lease| {
                 lease.renewed(duration, asked, asked_wall, &self.settings)
             }),
             Some(Err(LeaseError::Unavailable { .. })) => true,
@@ -185,7 +185,7 @@
 
     /// Only a lease that is still live may be lengthened: an engine may have told meanwhile that
     /// there is a newer holder.
-    fn lengthen(&self, fence: FenceNumber, renewed: impl Fn(HeldLease) -> HeldLease) -> bool {
+    fn extend(&self, fence: FenceNumber, renewed: impl Fn(HeldLease) -> HeldLease) -> bool {
         let Ok(lease) = self.live_lease() else { return false };
         if lease.fence() != fence {
             return false;
@@ -210,22 +210,22 @@
         }
     }
 
-    async fn carry_out(&self, order: &EngineOrder) -> OrderResult {
+    async fn execute(&self, order: &EngineOrder) -> OrderResult {
         let lease = self.live_lease().or_else(|reason| not_holder(&reason))?;
         let bytes = order.action.weight_bytes();
-        if self.knows(order).await {
+        if self.has_taken(order).await {
             return Ok(OrderOutcome::AlreadyTaken);
         }
-        self.wait_turn(order, &lease, bytes).await?;
+        self.wait_until_allowed(order, &lease, bytes).await?;
         let result = self.send(order, lease.fence()).await;
-        if matches!(&result, Err(OrderError::Platform { source, .. }) if nothing_taken(source)) {
-            self.bucket.borrow_mut().put_back(bytes);
+        if matches!(&result, Err(OrderError::Platform { source, .. }) if is_not_taken(source)) {
+            self.bucket.borrow_mut().refund(bytes);
         }
         result
     }
 
     /// Whether the engine says that it has taken the order, perhaps from an earlier holder.
-    async fn knows(&self, order: &EngineOrder) -> bool {
+    async fn has_taken(&self, order: &EngineOrder) -> bool {
         let (clock, limit) = (&*self.context.clock, self.settings.send_limit);
         let asked = timeout(clock, limit, self.platform.orders(&order.target)).await;
         asked.is_some_and(|orders| orders.is_ok_and(|orders| orders.taken.contains(&order.id)))
@@ -233,21 +233,21 @@
 
     /// Waits for the weight store's turn and, where the engine would obey anybody, for the end of
     /// the predecessor's lease.
-    async fn wait_turn(
+    async fn wait_until_allowed(
         &self,
         order: &EngineOrder,
         lease: &HeldLease,
         bytes: u64,
     ) -> Result<(), OrderError> {
         let now = self.context.clock.now();
-        let pace = self.bucket.borrow_mut().take(bytes, now);
+        let rate_wait = self.bucket.borrow_mut().take(bytes, now);
         let burst = self.settings.weight_burst;
-        let pace = pace.context(TooLargeSnafu { id: order.id.clone(), bytes, burst })?;
-        let alone = match order.target.fencing {
+        let rate_wait = rate_wait.context(TooLargeSnafu { id: order.id.clone(), bytes, burst })?;
+        let predecessor_wait = match order.target.fencing {
             FencingMode::Checks => Duration::ZERO,
             FencingMode::Ignores => lease.predecessor_left(&self.context),
         };
-        self.context.clock.sleep(pace.max(alone)).await;
+        self.context.clock.sleep(rate_wait.max(predecessor_wait)).await;
         Ok(())
     }
 
@@ -264,12 +264,12 @@
                 Ok(()) => return Ok(OrderOutcome::Taken),
                 Err(error) => error,
             };
-            self.heed(&error);
+            self.handle_stale_fence(&error);
             let final_error = matches!(error, PlatformError::Refused { .. });
             if final_error || attempt >= self.settings.send_tries {
                 return Err(OrderError::Platform { id: order.id.clone(), source: error });
             }
-            if !nothing_taken(&error) {
+            if !is_not_taken(&error) {
                 taken = "it may have been taken";
             }
             self.context.clock.sleep(pause).await;
@@ -305,14 +305,14 @@
 
     /// An engine that has seen a higher number proves that there is a newer holder: stop at once,
     /// also towards engines that would obey.
-    fn heed(&self, error: &PlatformError) {
+    fn handle_stale_fence(&self, error: &PlatformError) {
         if let PlatformError::StaleFence { seen, .. } = error {
             self.set_lost(&format!("an engine has orders under fencing number {seen}"));
         }
     }
 
     fn note(&self, order: &EngineOrder, outcome: &OrderResult) {
-        self.ledger.borrow_mut().end(&order.id, outcome.is_ok());
+        self.registry.borrow_mut().end(&order.id, outcome.is_ok());
         let event = match outcome {
             Ok(_) => EventDraft::new("order.taken"),
             Err(_) => EventDraft::new("order.failed").level(Level::Warn),
@@ -326,6 +326,6 @@
 }
 
 /// Whether the engine certainly did not take the order.
-fn nothing_taken(error: &PlatformError) -> bool {
+fn is_not_taken(error: &PlatformError) -> bool {
     !matches!(error, PlatformError::Unanswered { .. })
 }
--- a/crates/order/src/http.rs
+++ b/crates/order/src/http.rs
@@ -35,7 +35,7 @@
 #[derive(Deserialize)]
 struct AnsweredOrder {
     order: OrderIdPart,
-    outcome: TakenOutcome,
+    outcome: AnsweredOutcome,
 }
 
 #[derive(Deserialize)]
@@ -46,7 +46,7 @@
 
 #[derive(Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-enum TakenOutcome {
+enum AnsweredOutcome {
     Obeyed,
     #[serde(other)]
     Other,
@@ -89,7 +89,7 @@
 fn client_error(target: &EngineTarget, error: &ClientError) -> PlatformError {
     let (backend, reason) = (target.backend.clone(), error.to_string());
     match error.nothing_sent() {
-        true => PlatformError::Unreached { backend, reason },
+        true => PlatformError::Unreachable { backend, reason },
         false => PlatformError::Unanswered { backend, reason },
     }
 }
@@ -139,7 +139,7 @@
                 let reason = format!("its list of orders is not understood: {error}");
                 PlatformError::Refused { backend: target.backend.clone(), reason }
             })?;
-            let obeyed = answer.orders.into_iter().filter(|o| o.outcome == TakenOutcome::Obeyed);
+            let obeyed = answer.orders.into_iter().filter(|o| o.outcome == AnsweredOutcome::Obeyed);
             let taken = obeyed.filter_map(|order| order.order.id).collect();
             Ok(EngineOrders { fence: answer.fence, taken })
         })
--- a/crates/order/src/lease.rs
+++ b/crates/order/src/lease.rs
@@ -80,7 +80,7 @@
     since_wall: WallMillis,
     usable: Duration,
     /// When no predecessor's order can reach an engine any more.
-    alone_at: MonotonicTime,
+    predecessor_ends_at: MonotonicTime,
 }
 
 impl HeldLease {
@@ -93,13 +93,13 @@
         context: &ProcessContext,
         settings: &OrderSettings,
     ) -> Self {
-        let wait = settings.wait_out(grant.predecessor_left);
+        let wait = settings.predecessor_wait(grant.predecessor_left);
         Self {
             fence: grant.fence,
             since: asked,
             since_wall: asked_wall,
             usable: settings.usable(grant.duration),
-            alone_at: context.clock.now() + wait,
+            predecessor_ends_at: context.clock.now() + wait,
         }
     }
 
@@ -135,6 +135,6 @@
 
     /// How long until engines that ignore fencing may be given orders.
     pub fn predecessor_left(&self, context: &ProcessContext) -> Duration {
-        self.alone_at.since(context.clock.now())
+        self.predecessor_ends_at.since(context.clock.now())
     }
 }
--- a/crates/order/src/lib.rs
+++ b/crates/order/src/lib.rs
@@ -5,22 +5,22 @@
 //! themselves. Others obey whoever speaks, so the holder stops before its lease ends
 //! ([`HeldLease`]) and its successor waits until that end has passed by every clock's error.
 //!
-//! An [`OrderDesk`] holds the lease, gives each order once by its id, and paces whatever loads
-//! weights under the rate of the weight store, which all regions share ([`PacedBucket`]).
+//! An [`OrderDispatcher`] holds the lease, gives each order once by its id, and paces whatever loads
+//! weights under the rate of the weight store, which all regions share ([`TokenBucket`]).
 
 mod action;
 mod bucket;
-mod desk;
+mod dispatcher;
 mod error;
 mod http;
 mod lease;
-mod ledger;
 mod platform;
+mod registry;
 mod settings;
 
 pub use action::{EngineOrder, EngineRole, EngineTarget, OrderAction, PlatformOrder};
-pub use bucket::PacedBucket;
-pub use desk::{DeskState, OrderDesk, OrderOutcome};
+pub use bucket::TokenBucket;
+pub use dispatcher::{DispatcherState, OrderDispatcher, OrderOutcome};
 pub use error::OrderError;
 pub use http::HttpPlatform;
 pub use lease::{FenceNumber, HeldLease, LeaseError, LeaseGrant, LeaseSource};
--- a/crates/order/src/platform.rs
+++ b/crates/order/src/platform.rs
@@ -27,7 +27,7 @@
     },
     /// No byte of the order reached the engine.
     #[snafu(display("engine {backend} cannot be reached: {reason}; check that it runs"))]
-    Unreached {
+    Unreachable {
         /// The engine.
         backend: BackendName,
         /// What failed.
--- a/crates/order/src/ledger.rs
+++ b/crates/order/src/registry.rs
@@ -13,13 +13,13 @@
 /// What became of an order.
 pub(crate) type OrderResult = Result<OrderOutcome, OrderError>;
 
-struct LedgerEntry {
+struct RegistryEntry {
     order: EngineOrder,
     result: Shared<Receiver<OrderResult>>,
 }
 
 /// What to do with an order that was asked for.
-pub(crate) enum LedgerTicket {
+pub(crate) enum Registration {
     /// It is new: carry it out and report to the sender.
     New(Sender<OrderResult>, Shared<Receiver<OrderResult>>),
     /// It is under way or done.
@@ -27,32 +27,32 @@
 }
 
 /// Orders by id, a bounded number of those that are done.
-pub(crate) struct OrderLedger {
-    entries: BTreeMap<ChangeId, LedgerEntry>,
+pub(crate) struct OrderRegistry {
+    entries: BTreeMap<ChangeId, RegistryEntry>,
     done: VecDeque<ChangeId>,
-    remembered: usize,
+    outcome_limit: usize,
 }
 
-impl OrderLedger {
-    pub(crate) fn new(remembered: usize) -> Self {
-        Self { entries: BTreeMap::new(), done: VecDeque::new(), remembered }
+impl OrderRegistry {
+    pub(crate) fn new(outcome_limit: usize) -> Self {
+        Self { entries: BTreeMap::new(), done: VecDeque::new(), outcome_limit }
     }
 
     /// Enters an order; refuses another order under a known id.
-    pub(crate) fn enter(&mut self, order: &EngineOrder) -> Result<LedgerTicket, OrderError> {
+    pub(crate) fn register(&mut self, order: &EngineOrder) -> Result<Registration, OrderError> {
         if let Some(entry) = self.entries.get(&order.id) {
             let same = entry.order.action == order.action
                 && entry.order.target.backend == order.target.backend;
             return match same {
-                true => Ok(LedgerTicket::Known(entry.result.clone())),
+                true => Ok(Registration::Known(entry.result.clone())),
                 false => Err(OrderError::IdReused { id: order.id.clone() }),
             };
         }
         let (sender, receiver) = channel();
         let result = receiver.shared();
-        let entry = LedgerEntry { order: order.clone(), result: result.clone() };
+        let entry = RegistryEntry { order: order.clone(), result: result.clone() };
         self.entries.insert(order.id.clone(), entry);
-        Ok(LedgerTicket::New(sender, result))
+        Ok(Registration::New(sender, result))
     }
 
     /// Notes the end of an order. A failed one is forgotten, so that a resend tries again.
@@ -62,7 +62,7 @@
             return;
         }
         self.done.push_back(id.clone());
-        while self.done.len() > self.remembered {
+        while self.done.len() > self.outcome_limit {
             let oldest = self.done.pop_front();
             oldest.and_then(|oldest| self.entries.remove(&oldest));
         }
--- a/crates/order/src/settings.rs
+++ b/crates/order/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// Parts of a duration by which a clock may run too fast or too slow: one in a hundred, far above
 /// the few in a million of real oscillators, since VMs are also slewed by time daemons.
-const DRIFT_PARTS: u32 = 100;
+const DRIFT_DIVISOR: u32 = 100;
 
 /// Times and rates; the same in every process of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     pub(crate) acquire_pause: Duration,
     pub(crate) weight_rate: u64,
     pub(crate) weight_burst: u64,
-    pub(crate) remembered: usize,
+    pub(crate) outcome_limit: usize,
 }
 
 impl Default for OrderSettings {
@@ -29,7 +29,7 @@
             acquire_pause: Duration::from_secs(1),
             weight_rate: 1 << 30,
             weight_burst: 256 << 30,
-            remembered: 10_000,
+            outcome_limit: 10_000,
         }
     }
 }
@@ -63,22 +63,22 @@
     }
 
     /// How many orders a desk remembers the outcome of. Default 10,000.
-    pub fn remembered(mut self, orders: usize) -> Self {
-        self.remembered = orders;
+    pub fn outcome_limit(mut self, orders: usize) -> Self {
+        self.outcome_limit = orders;
         self
     }
 
     /// How much of a lease its holder uses: less the time to send an order and the clocks' drift.
     pub(crate) fn usable(&self, duration: Duration) -> Duration {
-        let drift = duration / DRIFT_PARTS;
+        let drift = duration / DRIFT_DIVISOR;
         duration.saturating_sub(drift + self.send_limit)
     }
 
     /// How long a new holder waits before it gives orders to engines that ignore fencing.
-    pub(crate) fn wait_out(&self, predecessor_left: Duration) -> Duration {
+    pub(crate) fn predecessor_wait(&self, predecessor_left: Duration) -> Duration {
         if predecessor_left.is_zero() {
             return self.delivery_limit;
         }
-        predecessor_left + predecessor_left / DRIFT_PARTS + self.delivery_limit
+        predecessor_left + predecessor_left / DRIFT_DIVISOR + self.delivery_limit
     }
 }
--- a/crates/order/tests/desk.rs
+++ b/crates/order/tests/dispatcher.rs
@@ -3,15 +3,15 @@
 mod support;
 
 use {
-    gullglade_order::{DeskState, FenceNumber, OrderError, OrderOutcome, OrderSettings},
+    gullglade_order::{DispatcherState, FenceNumber, OrderError, OrderOutcome, OrderSettings},
     std::time::Duration,
     support::{LEASE, OrderVm, OrderWorld, SECOND, load},
 };
 
 fn holds(vm: &OrderVm) -> Option<FenceNumber> {
-    match vm.desk.state() {
-        DeskState::Holding { fence, .. } => Some(fence),
-        DeskState::Waiting { .. } => None,
+    match vm.dispatcher.state() {
+        DispatcherState::Holding { fence, .. } => Some(fence),
+        DispatcherState::Waiting { .. } => None,
     }
 }
 
@@ -41,14 +41,14 @@
     assert_eq!(holds(&second), Some(FenceNumber(2)));
     world.world.run_for(SECOND * 3600);
     assert_eq!(holds(&first), None);
-    assert_eq!(world.fault(), None);
+    assert_eq!(world.ordering_fault(), None);
     let fences: Vec<_> = world.records("ignores").iter().map(|record| record.fence.0).collect();
     assert!(fences.contains(&1) && fences.contains(&2), "both gave orders in their time");
 
     first.cut_off.set(false);
     world.world.run_for(SECOND * 30);
     assert_eq!(holds(&first), None, "it does not take up its old lease");
-    let refused = world.give(&first, load("late", "ignores", 0)).unwrap_err();
+    let refused = world.submit(&first, load("late", "ignores", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::NotHolder { .. }), "{refused}");
 }
 
@@ -62,12 +62,12 @@
     world.revoke();
     let second = started(&world, "second");
     let begin = world.world.now();
-    assert_eq!(world.give(&second, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
+    assert_eq!(world.submit(&second, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
     assert!(world.world.now().since(begin) < SECOND);
-    assert_eq!(world.give(&second, load("b", "ignores", 0)), Ok(OrderOutcome::Taken));
+    assert_eq!(world.submit(&second, load("b", "ignores", 0)), Ok(OrderOutcome::Taken));
     assert!(world.world.now().since(begin) > SECOND * 5, "it waited for the first one's end");
     drop(first);
-    assert_eq!(world.fault(), None);
+    assert_eq!(world.ordering_fault(), None);
 }
 
 #[test]
@@ -80,12 +80,12 @@
     first.cut_off.set(true);
     world.revoke();
     let second = started(&world, "second");
-    assert_eq!(world.give(&second, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
+    assert_eq!(world.submit(&second, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
     let begin = world.world.now();
-    let refused = world.give(&first, load("b", "checks", 0)).unwrap_err();
+    let refused = world.submit(&first, load("b", "checks", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::LeaseEnded { .. }), "{refused}");
     assert!(world.world.now().since(begin) < SECOND, "its own count would last longer");
-    let refused = world.give(&first, load("c", "ignores", 0)).unwrap_err();
+    let refused = world.submit(&first, load("c", "ignores", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::NotHolder { .. }), "{refused}");
 }
 
@@ -98,7 +98,7 @@
     let first = started(&world, "first");
     first.cut_off.set(true);
     first.process.set_wall_offset(3_600_000);
-    let refused = world.give(&first, load("a", "ignores", 0)).unwrap_err();
+    let refused = world.submit(&first, load("a", "ignores", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::NotHolder { .. }), "{refused}");
     assert!(world.records("ignores").is_empty());
 }
@@ -123,7 +123,7 @@
         world.world.run_for(SECOND / 10);
     }
     world.world.run_for(LEASE * 2);
-    assert_eq!(world.fault(), None);
+    assert_eq!(world.ordering_fault(), None);
     assert!(world.records("ignores").iter().any(|record| record.fence == FenceNumber(3)));
 }
 
@@ -135,18 +135,18 @@
     let first = started(&world, "first");
     world.lose_answers("checks", 1);
     world.start(&first, load("a", "checks", 0));
-    let again = world.give(&first, load("a", "checks", 0));
+    let again = world.submit(&first, load("a", "checks", 0));
     assert_eq!(again, Ok(OrderOutcome::Taken), "the resend waits for the same outcome");
-    assert_eq!(world.give(&first, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
+    assert_eq!(world.submit(&first, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
     let sent = world.records("checks").len();
     assert_eq!(sent, 2, "once, and once more because its answer was lost");
 
     first.process.kill();
     world.revoke();
     let second = started(&world, "second");
-    assert_eq!(world.give(&second, load("a", "checks", 0)), Ok(OrderOutcome::AlreadyTaken));
+    assert_eq!(world.submit(&second, load("a", "checks", 0)), Ok(OrderOutcome::AlreadyTaken));
     assert_eq!(world.records("checks").len(), sent);
-    let reused = world.give(&second, load("a", "checks", 5)).unwrap_err();
+    let reused = world.submit(&second, load("a", "checks", 5)).unwrap_err();
     assert_eq!(reused, OrderError::IdReused { id: load("a", "checks", 5).id });
 }
 
@@ -159,10 +159,10 @@
     let world = OrderWorld::new(1, settings);
     let first = started(&world, "first");
     first.cut_off.set(true);
-    let refused = world.give(&first, load("a", "checks", 60 << 20)).unwrap_err();
+    let refused = world.submit(&first, load("a", "checks", 60 << 20)).unwrap_err();
     assert!(matches!(refused, OrderError::LeaseEnded { .. }), "{refused}");
     assert!(world.records("checks").is_empty());
-    let refused = world.give(&first, load("b", "checks", 2 << 30)).unwrap_err();
+    let refused = world.submit(&first, load("b", "checks", 2 << 30)).unwrap_err();
     assert!(matches!(refused, OrderError::NotHolder { .. }), "{refused}");
 }
 
@@ -185,7 +185,7 @@
         world.start(&second, load(&format!("second-{round}"), "ignores", 0));
         world.world.run_for(SECOND / 10);
     }
-    assert_eq!(world.fault(), None);
+    assert_eq!(world.ordering_fault(), None);
     let fences: Vec<_> = world.records("ignores").iter().map(|record| record.fence.0).collect();
     assert!(fences.contains(&1) && fences.contains(&2), "{fences:?}");
 }
--- a/crates/order/tests/pacing.rs
+++ b/crates/order/tests/pacing.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    gullglade_order::{OrderSettings, PacedBucket},
+    gullglade_order::{OrderSettings, TokenBucket},
     gullglade_units::MonotonicTime,
     quickcheck::{Gen, QuickCheck, TestResult},
     std::time::Duration,
@@ -38,12 +38,12 @@
 #[test]
 fn a_bucket_starts_empty_and_never_holds_more_than_its_burst() {
     let at = |seconds| MonotonicTime(Duration::from_secs(seconds));
-    let mut bucket = PacedBucket::new(RATE, BURST, at(0));
+    let mut bucket = TokenBucket::new(RATE, BURST, at(0));
     assert_eq!(bucket.take(5_000, at(0)), Some(SECOND * 5), "it starts empty");
     assert_eq!(bucket.take(BURST + 1, at(0)), None, "never so much");
     assert_eq!(bucket.take(BURST, at(1_000)), Some(Duration::ZERO), "full, no more");
     assert_eq!(bucket.take(1_000, at(1_000)), Some(SECOND));
-    bucket.put_back(1_000);
+    bucket.refund(1_000);
     assert_eq!(bucket.take(2_000, at(1_000)), Some(SECOND * 2));
 }
 
@@ -99,9 +99,9 @@
             world.world.run_for(SECOND * u32::from(*pause) / 40);
         }
         world.world.run_for(SECOND * 60);
-        match world.fault() {
+        match world.ordering_fault() {
             None => TestResult::passed(),
-            Some(fault) => TestResult::error(fault),
+            Some(ordering_fault) => TestResult::error(ordering_fault),
         }
     }
     quick_check(5).quickcheck(holds as fn(Vec<(u8, u8, u8)>) -> TestResult);
--- a/crates/order/tests/platform.rs
+++ b/crates/order/tests/platform.rs
@@ -79,6 +79,6 @@
         let target = engine(FencingMode::Checks, stub.address());
         stub.kill();
         let gone = platform.send(&target, &order("order-3", 8, "new")).await.unwrap_err();
-        assert!(matches!(gone, PlatformError::Unreached { .. }), "{gone}");
+        assert!(matches!(gone, PlatformError::Unreachable { .. }), "{gone}");
     });
 }
--- a/crates/order/tests/support/mod.rs
+++ b/crates/order/tests/support/mod.rs
@@ -8,7 +8,7 @@
     gullglade_event::NullSink,
     gullglade_order::{
         EngineOrder, EngineOrders, EngineTarget, FenceNumber, LeaseError, LeaseGrant, LeaseSource,
-        OrderAction, OrderDesk, OrderError, OrderOutcome, OrderSettings, PlatformClient,
+        OrderAction, OrderDispatcher, OrderError, OrderOutcome, OrderSettings, PlatformClient,
         PlatformError, PlatformOrder,
     },
     gullglade_units::{
@@ -34,7 +34,7 @@
 
 /// The control log's view of the lease.
 #[derive(Default)]
-pub(crate) struct LeaseBook {
+pub(crate) struct LeaseState {
     fence: Cell<u64>,
     holder: RefCell<Option<VmName>>,
     ends: Cell<MonotonicTime>,
@@ -55,21 +55,21 @@
     highest: FenceNumber,
     records: Vec<EngineRecord>,
     /// Answers to lose.
-    lose_answers: usize,
+    lost_answers: usize,
 }
 
 /// Everything outside of the desks.
 pub(crate) struct OrderWorld {
     pub(crate) world: FakeWorld,
     pub(crate) settings: OrderSettings,
-    book: Rc<LeaseBook>,
+    lease_state: Rc<LeaseState>,
     engines: Rc<RefCell<BTreeMap<BackendName, FakeEngine>>>,
 }
 
 /// One VM that may hold the lease.
 pub(crate) struct OrderVm {
     pub(crate) process: FakeProcess,
-    pub(crate) desk: OrderDesk,
+    pub(crate) dispatcher: OrderDispatcher,
     /// Cut off from the control log.
     pub(crate) cut_off: Rc<Cell<bool>>,
     /// How much longer its orders take to reach engines, and the source's answers to reach it.
@@ -78,7 +78,7 @@
 
 struct FakeSource {
     process: FakeProcess,
-    book: Rc<LeaseBook>,
+    lease_state: Rc<LeaseState>,
     cut_off: Rc<Cell<bool>>,
     slow: Rc<Cell<Duration>>,
 }
@@ -105,17 +105,19 @@
     fn acquire<'a>(&'a self, vm: &'a VmName) -> LocalFuture<'a, Result<LeaseGrant, LeaseError>> {
         Box::pin(async move {
             self.reach().await?;
-            let (book, now) = (&self.book, self.now());
-            let holder = book.holder.borrow().clone();
-            if let Some(holder) = holder.filter(|holder| holder != vm && book.ends.get() > now) {
-                let fence = FenceNumber(book.fence.get());
+            let (lease_state, now) = (&self.lease_state, self.now());
+            let holder = lease_state.holder.borrow().clone();
+            if let Some(holder) =
+                holder.filter(|holder| holder != vm && lease_state.ends.get() > now)
+            {
+                let fence = FenceNumber(lease_state.fence.get());
                 return Err(LeaseError::Held { holder, fence });
             }
-            let predecessor_left = book.ends.get().since(now);
-            book.fence.set(book.fence.get() + 1);
-            *book.holder.borrow_mut() = Some(vm.clone());
-            book.ends.set(now + LEASE);
-            let fence = FenceNumber(book.fence.get());
+            let predecessor_left = lease_state.ends.get().since(now);
+            lease_state.fence.set(lease_state.fence.get() + 1);
+            *lease_state.holder.borrow_mut() = Some(vm.clone());
+            lease_state.ends.set(now + LEASE);
+            let fence = FenceNumber(lease_state.fence.get());
             self.answer().await;
             Ok(LeaseGrant { fence, duration: LEASE, predecessor_left })
         })
@@ -124,10 +126,10 @@
     fn renew(&self, fence: FenceNumber) -> LocalFuture<'_, Result<Duration, LeaseError>> {
         Box::pin(async move {
             self.reach().await?;
-            if fence != FenceNumber(self.book.fence.get()) {
+            if fence != FenceNumber(self.lease_state.fence.get()) {
                 return Err(LeaseError::Lost { fence });
             }
-            self.book.ends.set(self.now() + LEASE);
+            self.lease_state.ends.set(self.now() + LEASE);
             self.answer().await;
             Ok(LEASE)
         })
@@ -160,8 +162,8 @@
                 let (id, bytes) = (order.id.clone(), order.action.weight_bytes());
                 let record = EngineRecord { at: clock.now(), fence: order.fence, id, bytes };
                 engine.records.push(record);
-                if engine.lose_answers > 0 {
-                    engine.lose_answers -= 1;
+                if engine.lost_answers > 0 {
+                    engine.lost_answers -= 1;
                     let reason = "answer lost".to_owned();
                     return Err(PlatformError::Unanswered { backend, reason });
                 }
@@ -191,7 +193,12 @@
         let engines: BTreeMap<_, _> = [("checks", true), ("ignores", false)]
             .map(|(name, checks)| (backend(name), FakeEngine { checks, ..Default::default() }))
             .into();
-        Self { world, settings, book: Rc::default(), engines: Rc::new(RefCell::new(engines)) }
+        Self {
+            world,
+            settings,
+            lease_state: Rc::default(),
+            engines: Rc::new(RefCell::new(engines)),
+        }
     }
 
     /// A VM that tries to hold the lease from now on.
@@ -200,14 +207,14 @@
         let (cut_off, slow) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(Duration::ZERO)));
         let source = FakeSource {
             process: process.clone(),
-            book: Rc::clone(&self.book),
+            lease_state: Rc::clone(&self.lease_state),
             cut_off: Rc::clone(&cut_off),
             slow: Rc::clone(&slow),
         };
         let engines = Rc::clone(&self.engines);
         let platform = FakePlatform { process: process.clone(), engines, slow: Rc::clone(&slow) };
         let context = process.context().clone();
-        let desk = OrderDesk::new(
+        let dispatcher = OrderDispatcher::new(
             context.clone(),
             self.settings,
             VmName::try_from(name).unwrap(),
@@ -215,17 +222,17 @@
             Rc::new(platform),
             Rc::new(NullSink),
         );
-        context.spawner.spawn(Box::pin(desk.clone().run()));
-        OrderVm { process, desk, cut_off, slow }
+        context.spawner.spawn(Box::pin(dispatcher.clone().run()));
+        OrderVm { process, dispatcher, cut_off, slow }
     }
 
     /// The control log takes the lease from its holder at once, as on an operator's word.
     pub(crate) fn revoke(&self) {
-        *self.book.holder.borrow_mut() = None;
+        *self.lease_state.holder.borrow_mut() = None;
     }
 
     pub(crate) fn lose_answers(&self, engine: &str, count: usize) {
-        self.engines.borrow_mut().get_mut(&backend(engine)).unwrap().lose_answers = count;
+        self.engines.borrow_mut().get_mut(&backend(engine)).unwrap().lost_answers = count;
     }
 
     /// The orders that reached an engine, in the order of their arrival.
@@ -234,24 +241,24 @@
     }
 
     /// Gives an order and waits for its outcome.
-    pub(crate) fn give(
+    pub(crate) fn submit(
         &self,
         vm: &OrderVm,
         order: EngineOrder,
     ) -> Result<OrderOutcome, OrderError> {
-        self.world.run_until(vm.desk.give(order))
+        self.world.run_until(vm.dispatcher.submit(order))
     }
 
     /// Gives an order and lets it go on by itself.
     pub(crate) fn start(&self, vm: &OrderVm, order: EngineOrder) {
-        let desk = vm.desk.clone();
+        let dispatcher = vm.dispatcher.clone();
         vm.process.context().spawner.spawn(Box::pin(async move {
-            let _outcome = desk.give(order).await;
+            let _outcome = dispatcher.submit(order).await;
         }));
     }
 
     /// An engine that obeyed an older holder after a newer one, if any did.
-    pub(crate) fn fault(&self) -> Option<String> {
+    pub(crate) fn ordering_fault(&self) -> Option<String> {
         self.engines.borrow().iter().find_map(|(name, engine)| {
             let back = engine.records.windows(2).find(|pair| pair[1].fence < pair[0].fence)?;
             Some(format!("engine {name} obeyed an old holder: {back:?}"))
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -104,7 +104,7 @@
     pub(crate) fn new(parts: QuotaParts) -> Rc<Self> {
         let profile = parts.fleet.profile();
         let settings = QuotaSettings {
-            own: profile.vm.clone(),
+            vm: profile.vm.clone(),
             region: profile.region.clone(),
             regions: parts.regions.clone(),
             run: profile.run,
@@ -178,7 +178,7 @@
             true => regions.iter().filter_map(|region| self.listener(&gateways, region)).collect(),
             false => Vec::new(),
         };
-        self.ledger.borrow_mut().set_places(vms, &regions, self.boot());
+        self.ledger.borrow_mut().set_gateways(vms, &regions, self.boot());
         self.places.replace(ReportTargets { peers, regions: listeners });
     }
 
@@ -240,7 +240,7 @@
     }
 
     fn give_back(self: &Rc<Self>, charge: QuotaCharge) {
-        self.ledger.borrow_mut().give_back(charge, self.boot());
+        self.ledger.borrow_mut().refund(charge, self.boot());
         self.schedule();
     }
 
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -13,16 +13,16 @@
 const REGION_RATE: f64 = 1.4;
 
 /// About the time in which regions detect a partition.
-const CUT_DELAY: Duration = Duration::from_millis(250);
+const PARTITION_DETECTION_DELAY: Duration = Duration::from_millis(250);
 
 /// The part of a burst that is used by all regions together where the tolerance is small.
 const SHARED_BURST: f64 = 0.75;
 
 /// The part of a burst that one region uses at least.
-const REGION_BURST: f64 = 0.18;
+const MIN_REGION_BURST: f64 = 0.18;
 
 /// The part of its own that a region has after a restart of all gateways, which may come again.
-const FIRST_PART: f64 = 0.4;
+const INITIAL_PART: f64 = 0.4;
 
 /// How large the buckets of one workspace are.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,9 +39,9 @@
     /// Units a second.
     rate: f64,
     /// The most units that it holds.
-    most: f64,
+    capacity: f64,
     /// The units that a new one holds: nobody knows what was spent before all gateways started.
-    first: f64,
+    initial: f64,
 }
 
 impl BucketSizes {
@@ -49,14 +49,14 @@
     /// partitioned.
     pub(crate) fn new(quota: &WorkspaceQuota, tolerance: &QuotaTolerance, regions: usize) -> Self {
         let WorkspaceQuota { rate, burst, .. } = *quota;
-        let before_detection = REGION_RATE * rate * CUT_DELAY.as_secs_f64();
-        let for_each = tolerance.margin(quota) / regions.max(1) as f64 - before_detection;
-        let region = for_each.clamp(REGION_BURST * burst, burst);
-        let first = for_each.clamp(0.0, region) * FIRST_PART;
+        let before_detection = REGION_RATE * rate * PARTITION_DETECTION_DELAY.as_secs_f64();
+        let per_region = tolerance.margin(quota) / regions.max(1) as f64 - before_detection;
+        let region = per_region.clamp(MIN_REGION_BURST * burst, burst);
+        let initial = per_region.clamp(0.0, region) * INITIAL_PART;
         let shared = if region < burst { SHARED_BURST * burst } else { burst };
         Self {
-            shared: BucketSize { rate: SHARED_RATE * rate, most: shared.max(region), first },
-            region: BucketSize { rate: REGION_RATE * rate, most: region, first },
+            shared: BucketSize { rate: SHARED_RATE * rate, capacity: shared.max(region), initial },
+            region: BucketSize { rate: REGION_RATE * rate, capacity: region, initial },
         }
     }
 }
@@ -73,7 +73,7 @@
 impl SharedBucket {
     /// One of a gateway that has just started.
     pub(crate) fn new(size: BucketSize, now: BootTime) -> Self {
-        Self { size, level: size.first, filled: now }
+        Self { size, level: size.initial, filled: now }
     }
 
     /// Units a second.
@@ -91,7 +91,7 @@
     }
 
     pub(crate) fn set_level(&mut self, level: f64) {
-        self.level = level.min(self.size.most);
+        self.level = level.min(self.size.capacity);
     }
 
     /// Fills it up to `now`. Returns what its rate brought meanwhile.
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -4,7 +4,7 @@
     crate::{
         QuotaSettings, RegionSpend, SpendCount, SpendNotice, VmSpend,
         bucket::{BucketSizes, SharedBucket},
-        source::{FadingSpend, RegionTable, SourceTable},
+        source::{DecayingSpend, RegionTable, SourceTable},
     },
     gullglade_traffic::{TrafficWorkspace, WorkspaceQuota},
     gullglade_units::{BootTime, RegionName, VmName, WorkspaceName},
@@ -24,22 +24,22 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A region's share of a limit is not learned anew while more of it than this is silent.
-const MOSTLY_HEARD: f64 = 0.5;
+const MAX_SILENT_PART: f64 = 0.5;
 
 /// Each region's share is learned as if it had spent the whole limit for this long before: where
 /// little was spent, the first to spend would be given all of the limit.
-const PRIOR: Duration = Duration::from_secs(1);
+const SHARE_PRIOR: Duration = Duration::from_secs(1);
 
 /// Nor after this silence. Partitioned regions go on spending, and each would learn a larger share
 /// for itself before it detects the partition.
-const LEARNING_SILENCE: Duration = Duration::from_millis(130);
+const MAX_LEARNING_SILENCE: Duration = Duration::from_millis(130);
 
 /// Where gateways without contact go on, a region without gateways is assumed to spend for this
 /// long.
-const LONGEST_ASSUMPTION: Duration = Duration::from_secs(60);
+const MAX_ASSUMPTION: Duration = Duration::from_secs(60);
 
 /// The most counts of one message: a datagram holds so many of the longest names.
-const MOST_COUNTS: usize = 10;
+const MAX_COUNTS: usize = 10;
 
 /// What a request has taken out of its workspace's quota.
 #[derive(Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
 /// What is known of one region's spending for a workspace.
 #[derive(Debug, Default)]
 struct RegionAccount {
-    spent: FadingSpend,
+    spent: DecayingSpend,
     /// Its share of the limit, learned while it reported.
     share: f64,
     /// The part of it that is silent, 0 to 1.
@@ -100,9 +100,9 @@
     quota: WorkspaceQuota,
     bucket: SharedBucket,
     /// Limits what the own region spends before the others know of it.
-    pace: SharedBucket,
+    region_bucket: SharedBucket,
     /// Whether no other gateway has reported the level yet.
-    is_new: bool,
+    is_level_unknown: bool,
     /// What this gateway spent.
     own: ReportedCount,
     /// What the gateways of the own region spent, as far as this one knows.
@@ -124,8 +124,8 @@
         Self {
             quota,
             bucket: SharedBucket::new(sizes.shared, now),
-            pace: SharedBucket::new(sizes.region, now),
-            is_new: true,
+            region_bucket: SharedBucket::new(sizes.region, now),
+            is_level_unknown: true,
             own: ReportedCount::default(),
             region: ReportedCount::default(),
             regions: BTreeMap::new(),
@@ -135,9 +135,9 @@
     /// Fills the bucket up to `now`, less what silent regions are assumed to spend.
     fn fill(&mut self, contacts: &[RegionContact], now: BootTime) {
         let added = self.bucket.fill(now);
-        self.pace.fill(now);
+        self.region_bucket.fill(now);
         let (level, rate) = (self.bucket.level(), self.bucket.rate());
-        let prior = rate * PRIOR.as_secs_f64();
+        let prior = rate * SHARE_PRIOR.as_secs_f64();
         let total: f64 = self.regions.values().map(|region| region.spent.at(now)).sum();
         for contact in contacts {
             let RegionContact { region, silent, silence } = contact;
@@ -146,7 +146,7 @@
             let new =
                 || RegionAccount { share: equal, silent: *silent, ..RegionAccount::default() };
             let region = self.regions.entry(region.clone()).or_insert_with(new);
-            if *silent < MOSTLY_HEARD && *silence < LEARNING_SILENCE {
+            if *silent < MAX_SILENT_PART && *silence < MAX_LEARNING_SILENCE {
                 let whole = total + prior * contacts.len() as f64;
                 region.share = (region.spent.at(now) + prior) / whole;
             }
@@ -168,12 +168,12 @@
     fn set_quota(&mut self, quota: WorkspaceQuota, sizes: BucketSizes) {
         self.quota = quota;
         self.bucket.resize(sizes.shared);
-        self.pace.resize(sizes.region);
+        self.region_bucket.resize(sizes.region);
     }
 
     /// Notes what gateways of the own region are known to have spent.
     fn spend_here(&mut self, own: &RegionName, units: f64, now: BootTime) {
-        self.pace.take(units);
+        self.region_bucket.take(units);
         self.region.add(units);
         self.spend(own, units, now);
     }
@@ -194,9 +194,9 @@
     /// Other regions that may have gateways, and since when none of them is known.
     regions: BTreeMap<RegionName, Option<BootTime>>,
     /// Reports of gateways of the own region.
-    neighbours: SourceTable,
+    own_region: SourceTable,
     /// Reports of other regions.
-    others: BTreeMap<RegionName, RegionTable>,
+    other_regions: BTreeMap<RegionName, RegionTable>,
     sequence: u64,
     /// When this gateway last reported to those of its region.
     reported: BootTime,
@@ -205,15 +205,15 @@
 impl QuotaLedger {
     /// A ledger in which nothing is known.
     pub fn new(settings: QuotaSettings, now: BootTime) -> Self {
-        let others = settings.regions.iter().filter(|region| **region != settings.region);
-        let regions = others.map(|region| (region.clone(), Some(now))).collect();
+        let other_regions = settings.regions.iter().filter(|region| **region != settings.region);
+        let regions = other_regions.map(|region| (region.clone(), Some(now))).collect();
         Self {
             settings,
             accounts: HashMap::new(),
             peers: Vec::new(),
             regions,
-            neighbours: SourceTable::default(),
-            others: BTreeMap::new(),
+            own_region: SourceTable::default(),
+            other_regions: BTreeMap::new(),
             sequence: 0,
             reported: BootTime::default(),
         }
@@ -242,7 +242,7 @@
     }
 
     /// Takes the gateways of the own region that take callers, and the other regions that have some.
-    pub fn set_places(
+    pub fn set_gateways(
         &mut self,
         peers: Vec<VmName>,
         regions: &BTreeSet<RegionName>,
@@ -257,7 +257,7 @@
                 gone.get_or_insert(now);
             }
         }
-        let horizon = self.settings.revocation.unwrap_or(LONGEST_ASSUMPTION);
+        let horizon = self.settings.revocation.unwrap_or(MAX_ASSUMPTION);
         self.regions.retain(|_, gone| gone.is_none_or(|gone| now.since(gone) < horizon));
     }
 
@@ -277,8 +277,8 @@
         let mut level = account.bucket.level();
         let mut wait = account.bucket.wait();
         if !self.regions.is_empty() {
-            level = level.min(account.pace.level());
-            wait = wait.max(account.pace.wait());
+            level = level.min(account.region_bucket.level());
+            wait = wait.max(account.region_bucket.wait());
         }
         if level <= 0.0 {
             return Err(QuotaRefusal { wait, level, quota: account.quota });
@@ -288,7 +288,7 @@
     }
 
     /// Gives back what a request took that has not run.
-    pub fn give_back(&mut self, charge: QuotaCharge, now: BootTime) {
+    pub fn refund(&mut self, charge: QuotaCharge, now: BootTime) {
         let QuotaCharge { workspace, units } = charge;
         self.fill(&workspace, now);
         self.spend_own(&workspace, -(units as f64), now);
@@ -315,36 +315,36 @@
 
     /// How much of each region reports, the own one included.
     fn contacts(&self, now: BootTime) -> Vec<RegionContact> {
-        let silent = self.silent_here(now);
-        let silence = if silent < MOSTLY_HEARD { Duration::ZERO } else { GATEWAY_SILENCE };
+        let silent = self.silent_part(now);
+        let silence = if silent < MAX_SILENT_PART { Duration::ZERO } else { GATEWAY_SILENCE };
         let own = RegionContact { region: self.settings.region.clone(), silent, silence };
         let elsewhere = self.regions.keys().map(|region| {
-            let heard = self.others.get(region).and_then(RegionTable::last_heard);
+            let heard = self.other_regions.get(region).and_then(RegionTable::last_heard);
             let silence =
                 heard.map_or(REGION_SILENCE, |heard| now.since(heard).min(REGION_SILENCE));
-            let overdue = silence.saturating_sub(LEARNING_SILENCE).as_secs_f64();
-            let silent = overdue / (REGION_SILENCE - LEARNING_SILENCE).as_secs_f64();
+            let overdue = silence.saturating_sub(MAX_LEARNING_SILENCE).as_secs_f64();
+            let silent = overdue / (REGION_SILENCE - MAX_LEARNING_SILENCE).as_secs_f64();
             RegionContact { region: region.clone(), silent, silence }
         });
         std::iter::once(own).chain(elsewhere).collect()
     }
 
     /// The part of the own region's gateways that is silent.
-    fn silent_here(&self, now: BootTime) -> f64 {
+    fn silent_part(&self, now: BootTime) -> f64 {
         let limit = now.earlier(GATEWAY_SILENCE).unwrap_or_default();
-        let heard: BTreeSet<&VmName> = self.neighbours.heard_after(limit).collect();
-        let is_silent = |vm: &&VmName| **vm != self.settings.own && !heard.contains(*vm);
+        let heard: BTreeSet<&VmName> = self.own_region.heard_after(limit).collect();
+        let is_silent = |vm: &&VmName| **vm != self.settings.vm && !heard.contains(*vm);
         let silent = self.peers.iter().filter(is_silent).count();
         silent as f64 / self.peers.len().max(1) as f64
     }
 
     /// What this gateway spent since the last report, for the gateways of its region.
     pub fn own_report(&mut self, now: BootTime) -> Vec<VmSpend> {
-        let counts = self.news(now, |account| &mut account.own);
+        let counts = self.changed_counts(now, |account| &mut account.own);
         if !counts.is_empty() {
             self.reported = now;
         }
-        counts.chunks(MOST_COUNTS).map(|counts| self.message(counts)).collect()
+        counts.chunks(MAX_COUNTS).map(|counts| self.message(counts)).collect()
     }
 
     /// A report without counts, where the last one to the gateways of the region is some time ago.
@@ -359,9 +359,9 @@
     /// What the gateways of this region spent since the last report, for other regions; a report
     /// without counts where that is nothing.
     pub fn region_report(&mut self, now: BootTime) -> Vec<RegionSpend> {
-        let counts = self.news(now, |account| &mut account.region);
+        let counts = self.changed_counts(now, |account| &mut account.region);
         let mut messages: Vec<_> =
-            counts.chunks(MOST_COUNTS).map(|counts| self.message(counts)).collect();
+            counts.chunks(MAX_COUNTS).map(|counts| self.message(counts)).collect();
         if messages.is_empty() {
             messages.push(self.message(&[]));
         }
@@ -374,7 +374,7 @@
         self.accounts.is_empty()
     }
 
-    fn news(
+    fn changed_counts(
         &mut self,
         now: BootTime,
         count: impl Fn(&mut WorkspaceAccount) -> &mut ReportedCount,
@@ -395,49 +395,49 @@
 
     fn message(&mut self, counts: &[SpendCount]) -> VmSpend {
         self.sequence += 1;
-        let QuotaSettings { own, run, .. } = &self.settings;
-        VmSpend { vm: own.clone(), run: *run, sequence: self.sequence, counts: counts.to_vec() }
+        let QuotaSettings { vm, run, .. } = &self.settings;
+        VmSpend { vm: vm.clone(), run: *run, sequence: self.sequence, counts: counts.to_vec() }
     }
 
     /// Takes in a message. Returns what is to be passed on to the gateways of the own region.
     pub fn note(&mut self, notice: SpendNotice, now: BootTime) -> Option<SpendNotice> {
         match notice {
             SpendNotice::Own(spend) => {
-                self.note_neighbour(spend, now);
+                self.receive_own(spend, now);
                 None
             }
             SpendNotice::Region { spend, is_relayed } => {
                 let relay = SpendNotice::Region { spend: spend.clone(), is_relayed: true };
-                self.note_region(spend, now);
+                self.receive_region(spend, now);
                 (!is_relayed).then_some(relay)
             }
         }
     }
 
-    fn note_neighbour(&mut self, spend: VmSpend, now: BootTime) {
-        if spend.vm == self.settings.own {
+    fn receive_own(&mut self, spend: VmSpend, now: BootTime) {
+        if spend.vm == self.settings.vm {
             return;
         }
-        for news in self.neighbours.note(spend, now) {
-            self.fill(&news.workspace, now);
-            let Some(account) = self.accounts.get_mut(&news.workspace) else { continue };
-            account.spend_here(&self.settings.region, news.units, now);
-            if std::mem::take(&mut account.is_new) {
-                account.bucket.set_level(news.level);
+        for delta in self.own_region.note(spend, now) {
+            self.fill(&delta.workspace, now);
+            let Some(account) = self.accounts.get_mut(&delta.workspace) else { continue };
+            account.spend_here(&self.settings.region, delta.units, now);
+            if std::mem::take(&mut account.is_level_unknown) {
+                account.bucket.set_level(delta.level);
             }
         }
     }
 
-    fn note_region(&mut self, spend: RegionSpend, now: BootTime) {
+    fn receive_region(&mut self, spend: RegionSpend, now: BootTime) {
         let RegionSpend { region, by } = spend;
         if region == self.settings.region {
             return;
         }
         let limit = now.earlier(REGION_SILENCE).unwrap_or_default();
-        for news in self.others.entry(region.clone()).or_default().note(by, limit, now) {
-            self.fill(&news.workspace, now);
-            if let Some(account) = self.accounts.get_mut(&news.workspace) {
-                account.spend(&region, news.units, now);
+        for delta in self.other_regions.entry(region.clone()).or_default().note(by, limit, now) {
+            self.fill(&delta.workspace, now);
+            if let Some(account) = self.accounts.get_mut(&delta.workspace) {
+                account.spend(&region, delta.units, now);
             }
         }
     }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct QuotaSettings {
     /// The VM of its gateway.
-    pub own: VmName,
+    pub vm: VmName,
     /// The region of its gateway.
     pub region: RegionName,
     /// The regions of the deployment. Until it is known which of them have gateways, all may.
--- a/crates/quota/src/source.rs
+++ b/crates/quota/src/source.rs
@@ -10,23 +10,23 @@
 };
 
 /// Spending counts half in a source's share of the limit after this.
-const PART_HALF_LIFE: Duration = Duration::from_secs(4);
+const SHARE_HALF_LIFE: Duration = Duration::from_secs(4);
 
 /// Spending that decays with time: its proportions are the shares that sources have of a limit.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct FadingSpend {
+pub(crate) struct DecayingSpend {
     units: f64,
     at: BootTime,
 }
 
-impl FadingSpend {
+impl DecayingSpend {
     pub(crate) fn note(&mut self, units: f64, now: BootTime) {
         self.units = (self.at(now) + units).max(0.0);
         self.at = now;
     }
 
     pub(crate) fn at(&self, now: BootTime) -> f64 {
-        let halves = now.since(self.at).as_secs_f64() / PART_HALF_LIFE.as_secs_f64();
+        let halves = now.since(self.at).as_secs_f64() / SHARE_HALF_LIFE.as_secs_f64();
         self.units * 0.5_f64.powf(halves)
     }
 }
--- a/crates/quota/tests/bound.rs
+++ b/crates/quota/tests/bound.rs
@@ -143,7 +143,7 @@
     play_for(&mut play, 2_000, &[0.0]);
     for _ in 0..200 {
         let charge = play.request(0, UNITS).expect("nothing was used");
-        play.give_back(0, charge, UNITS);
+        play.refund(0, charge, UNITS);
         play.advance();
     }
     assert!(play.ran.is_empty());
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -140,7 +140,7 @@
 
     fn ledger(&self, vm: &VmName, region_index: usize, run: u64) -> QuotaLedger {
         let settings = QuotaSettings {
-            own: vm.clone(),
+            vm: vm.clone(),
             region: region(region_index),
             regions: (0..self.regions).map(region).collect(),
             run,
@@ -242,7 +242,7 @@
         let own = self.gateways[index].region;
         let vms = self.gateways.iter().filter(|g| g.region == own).map(|g| g.vm.clone()).collect();
         let others: BTreeSet<_> = (0..self.regions).filter(|r| *r != own).map(region).collect();
-        self.gateways[index].ledger.set_places(vms, &others, now);
+        self.gateways[index].ledger.set_gateways(vms, &others, now);
     }
 
     fn tell(&mut self, index: usize) {
@@ -325,9 +325,9 @@
     }
 
     /// Gives back what a request took that has not run after all.
-    pub(crate) fn give_back(&mut self, index: usize, charge: QuotaCharge, units: u64) {
+    pub(crate) fn refund(&mut self, index: usize, charge: QuotaCharge, units: u64) {
         let now = self.now();
-        self.gateways[index].ledger.give_back(charge, now);
+        self.gateways[index].ledger.refund(charge, now);
         let at = self.ran.iter().rposition(|(_, ran)| *ran == units).expect("it ran");
         self.ran.remove(at);
     }
--- a/examples/capacity/claims.rs
+++ b/examples/capacity/claims.rs
@@ -8,8 +8,8 @@
     },
     bytes::Bytes,
     gullglade_claim::{
-        ClaimKeeper, ClaimOutcome, ClaimRequest, ClaimService, ClaimSettings, GroupId, GroupTable,
-        QuorumClaims, ReplicaGroup, ReplicaMember, RequestFingerprint, StoredAnswer,
+        ClaimCoordinator, ClaimOutcome, ClaimRequest, ClaimService, ClaimSettings, GroupId,
+        GroupTable, QuorumClaims, ReplicaGroup, ReplicaMember, RequestFingerprint, StoredAnswer,
     },
     gullglade_units::{OrderKey, ProcessContext, WallMillis, WorkspaceName},
     std::{rc::Rc, time::Duration},
