--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: what an operator asks, and what is answered.
+//! Requests to change the configuration, and their outcomes.
 
 use {
     crate::{
@@ -13,57 +13,58 @@
     std::{fmt, rc::Rc},
 };
 
-/// The version of a service's document: 0 before the first, then one more with each change.
+/// The version of a service's document: 0 before the first change, incremented by each accepted
+/// change.
 pub type DocumentVersion = u64;
 
-/// The most bytes of an author's name.
+/// The maximum length of an author's name, in bytes.
 const MAX_AUTHOR_BYTES: usize = 64;
 
-/// One compare-and-set: "`service` stands at version `base`; make it this document".
+/// A compare-and-set request: if `service` is at version `base`, replace its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// The operator's id for this change; a resend carries the same.
+    /// The operator's id for this change. A resend carries the same id.
     pub id: ChangeId,
-    /// The service.
+    /// The service to change.
     pub service: ServiceName,
-    /// The version the change was made from.
+    /// The version on which the change is based.
     pub base: DocumentVersion,
-    /// The new document's text, or `None` to remove the service.
+    /// The text of the new document, or `None` to remove the service.
     pub text: Option<Rc<str>>,
-    /// Who asks.
+    /// The author of the change.
     pub author: String,
 }
 
-/// Why a change is refused before it reaches the log. Such a refusal is not remembered: the same
-/// request would be refused again.
+/// Reasons to reject a change before it is proposed to the log. The rejection is not recorded:
+/// validating the same request again gives the same result.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum RequestError {
-    /// The document is not acceptable.
+    /// The document is invalid.
     #[snafu(display("the document is refused: {source}"))]
     Document {
-        /// Why.
+        /// The validation error.
         source: DocumentError,
     },
-    /// The document speaks of another service.
+    /// The document names another service.
     #[snafu(display(
         "the change is for service {service} but the document says {named}; make them the same"
     ))]
     OtherService {
-        /// The change's service.
+        /// The service in the request.
         service: ServiceName,
-        /// The document's service.
+        /// The service in the document.
         named: ServiceName,
     },
     /// The author's name is empty or too long.
     #[snafu(display("the author's name has {length} bytes; give 1 to {MAX_AUTHOR_BYTES}"))]
     Author {
-        /// Bytes given.
+        /// The length given, in bytes.
         length: usize,
     },
 }
 
 impl ChangeRequest {
-    /// Checks everything that does not depend on what stands in the log.
+    /// Validates everything that does not depend on the state of the log.
     pub fn check(&self) -> Result<(), RequestError> {
         check_author(&self.author)?;
         let Some(text) = &self.text else { return Ok(()) };
@@ -76,7 +77,7 @@
     }
 }
 
-/// Whether the author's name has a length that is kept.
+/// Checks the length of an author's name.
 pub(crate) fn check_author(author: &str) -> Result<(), RequestError> {
     match author.len() {
         1..=MAX_AUTHOR_BYTES => Ok(()),
@@ -84,7 +85,7 @@
     }
 }
 
-/// What a change is about.
+/// The object of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeTarget {
     /// A service's document.
@@ -94,7 +95,7 @@
 }
 
 impl ChangeTarget {
-    /// The command that shows what stands.
+    /// Returns the operator command that shows the current state of the target.
     fn command(&self) -> String {
         match self {
             Self::Service(service) => format!("gladectl get {service}"),
@@ -112,20 +113,20 @@
     }
 }
 
-/// A change of configuration of either kind, on its way through the log.
+/// A configuration change of any kind, as it is proposed to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ConfigChange {
-    /// Of a service's document.
+    /// A change to a service's document.
     Service(ChangeRequest),
-    /// Of a region's claim group.
+    /// A change to a region's claim group.
     ClaimGroup(GroupRequest),
-    /// Of the traffic configuration.
+    /// A change to the traffic configuration.
     Traffic(TrafficChange),
 }
 
 impl ConfigChange {
-    /// The change as the table of outcomes knows it; `None` for a change that needs no id, since
-    /// deciding it again has the same outcome.
+    /// Returns the change as a key of the table of outcomes, or `None` for a change that needs no
+    /// id because deciding it again has the same outcome.
     pub(crate) fn identified(&self) -> Option<IdentifiedChange<'_>> {
         match self {
             Self::Service(request) => Some(IdentifiedChange::Service(request)),
@@ -143,12 +144,12 @@
     }
 }
 
-/// A change that an operator gave an id, so that a resend gets the first outcome.
+/// A change with an operator-assigned id, by which a resend receives the first outcome.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum IdentifiedChange<'a> {
-    /// Of a service's document.
+    /// A change to a service's document.
     Service(&'a ChangeRequest),
-    /// Of a region's claim group.
+    /// A change to a region's claim group.
     ClaimGroup(&'a GroupRequest),
 }
 
@@ -168,51 +169,52 @@
     }
 }
 
-/// What became of a change of either kind.
+/// The outcome of a configuration change of any kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigOutcome {
-    /// Of a service's document.
+    /// The outcome of a change to a service's document.
     Service(ChangeOutcome),
-    /// Of a region's claim group.
+    /// The outcome of a change to a region's claim group.
     ClaimGroup(GroupOutcome),
-    /// Of the traffic configuration.
+    /// The outcome of a change to the traffic configuration.
     Traffic(TrafficOutcome),
 }
 
-/// The change that stands at a version.
+/// An accepted change to a service's document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The operator's id for it.
+    /// The operator's id for the change.
     pub id: ChangeId,
-    /// Who asked.
+    /// The author of the change.
     pub author: String,
-    /// The service.
+    /// The service that was changed.
     pub service: ServiceName,
-    /// The version it made.
+    /// The version that the change created.
     pub version: DocumentVersion,
-    /// Its place in the log.
+    /// The index of the log entry that carries the change.
     pub index: LogIndex,
-    /// When the leader placed it.
+    /// The leader's wall time when it appended the entry.
     pub wall: WallMillis,
 }
 
-/// What became of a change; decided once, in the log's order, the same on every member.
+/// The outcome of a change. It is decided once, when the log entry is applied, and is identical on
+/// every member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It won.
+    /// The change took effect.
     Accepted(AcceptedChange),
-    /// The service stood at another version.
+    /// The service was not at the version on which the change was based.
     Conflict(ChangeConflict),
 }
 
-/// The loser's answer.
+/// A change that was not accepted because another one preceded it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeConflict {
-    /// The version the change was made from.
+    /// The version on which the change was based.
     pub base: DocumentVersion,
-    /// The version that stands.
+    /// The current version.
     pub version: DocumentVersion,
-    /// The change that made it, where there is one.
+    /// The change that created the current version, if any.
     pub winner: Option<AcceptedChange>,
 }
 
@@ -223,8 +225,8 @@
             Some(winner) => write!(
                 f,
                 "{service} stands at version {version}, which change {id} of {author} made; read \
-                 it with `gladectl get {service}`, bring your change into it and apply that with \
-                 --base {version}",
+                 it with `gladectl get {service}`, merge your change into it and apply the result \
+                 with --base {version}",
                 service = winner.service,
                 version = self.version,
                 id = winner.id,
@@ -235,34 +237,34 @@
     }
 }
 
-/// Why the log decided nothing about a change.
+/// Reasons for which the log gives a change no outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum ChangeRefusal {
-    /// The id was used for another change.
+    /// The id belongs to a different change.
     #[snafu(display(
         "change id {id} was used before for another change ({target}, base {base}); give this one \
          a new --change-id"
     ))]
     IdReused {
-        /// The id.
+        /// The change id.
         id: ChangeId,
-        /// What the first change was about.
+        /// The target of the change that used the id first.
         target: ChangeTarget,
-        /// What the first change was made from.
+        /// The base version or epoch of the change that used the id first.
         base: DocumentVersion,
     },
-    /// The id is older than outcomes are kept.
+    /// The id is older than the retention period of outcomes.
     #[snafu(display(
-        "change id {id} was made more than {days} days ago and outcomes are kept no longer; look \
-         at `{}` whether the change of {target} stands, else send it with a new id",
+        "change id {id} is more than {days} days old, and outcomes are not kept longer; check with \
+         `{}` whether the change of {target} took effect, and if not, send it with a new id",
         target.command()
     ))]
     IdExpired {
-        /// The id.
+        /// The change id.
         id: ChangeId,
-        /// What the change is about.
+        /// The target of the change.
         target: ChangeTarget,
-        /// How long outcomes are kept.
+        /// The retention period of outcomes, in days.
         days: u64,
     },
 }
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -5,36 +5,39 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// One of the voters that found the log.
+/// A member of the initial voter set, which founds the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InitialVoter {
-    /// Its VM.
+    /// The VM on which it runs.
     pub vm: VmName,
-    /// Where its peer sessions are accepted.
+    /// The address on which it accepts peer sessions.
     pub address: SocketAddr,
 }
 
-/// How a control process finds the others, where nobody lists the voters.
+/// Settings for discovering the other control processes through seeds, used when no voter list is
+/// configured.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeedSettings {
-    /// Where this process's own peer sessions are accepted.
+    /// The address on which this process accepts peer sessions.
     pub own: SocketAddr,
-    /// Peer addresses of some control processes, this one's among them or not. At the first start
-    /// of a deployment all processes are given the same ones, and those found the log.
+    /// Peer addresses of some control processes, which may include this one. At the first start of
+    /// a deployment all processes are given the same seeds, and the seeds found the log.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole deployment. Kept in the data folder when that
-    /// is created: a folder that was lost and made anew later never founds a log.
+    /// Whether this is the first start of the whole deployment. The value is stored in the data
+    /// folder when the folder is created, so that a folder recreated after a loss never founds a
+    /// second log.
     pub is_first_start: bool,
-    /// The most voters. Twice the number of disks that may be lost at once, and one more.
+    /// The maximum number of voters: 2f + 1 to survive the simultaneous loss of f disks.
     pub max_voters: usize,
 }
 
-/// How the members of a log come together.
+/// The way in which the members of a log are determined.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Formation {
-    /// An operator lists the first voters and orders each replacement.
+    /// The operator lists the initial voters and requests each replacement.
     Listed,
-    /// The seeds found the log; everybody else joins, and lost voters are replaced, by themselves.
+    /// The seeds found the log. Other processes join, and lost voters are replaced, without an
+    /// operator.
     Seeded(SeedSettings),
 }
 
@@ -48,8 +51,8 @@
     pub(crate) region: RegionName,
     pub(crate) voters: Vec<InitialVoter>,
     pub(crate) heartbeat: Duration,
-    pub(crate) election_least: Duration,
-    pub(crate) election_spread: Duration,
+    pub(crate) election_min: Duration,
+    pub(crate) election_jitter: Duration,
     pub(crate) call_limit: Duration,
     pub(crate) change_limit: Duration,
     pub(crate) snapshot_limit: Duration,
@@ -61,8 +64,8 @@
 }
 
 impl ControlConfig {
-    /// The settings of the process on `vm`, with the defaults that each method below names.
-    /// `voters` found the log when none of them has one: 1, 3 or 5 of them, the same list in the
+    /// Creates the settings of the process on `vm`, with the defaults stated at each method below.
+    /// `voters` found the log if none of them has one yet: 1, 3 or 5 of them, the same list in the
     /// same order on every control process.
     pub fn new(cluster: &str, vm: VmName, region: RegionName, voters: Vec<InitialVoter>) -> Self {
         Self {
@@ -73,8 +76,8 @@
             region,
             voters,
             heartbeat: Duration::from_millis(250),
-            election_least: Duration::from_millis(1_200),
-            election_spread: Duration::from_millis(1_200),
+            election_min: Duration::from_millis(1_200),
+            election_jitter: Duration::from_millis(1_200),
             call_limit: Duration::from_millis(600),
             change_limit: Duration::from_secs(5),
             snapshot_limit: Duration::from_secs(20),
@@ -86,20 +89,20 @@
         }
     }
 
-    /// The settings of a process that finds the others through seeds and takes its place among
-    /// them by itself.
+    /// Creates the settings of a process that discovers the other control processes through seeds
+    /// and joins them without an operator.
     pub fn seeded(cluster: &str, vm: VmName, region: RegionName, seeds: SeedSettings) -> Self {
         let mut config = Self::new(cluster, vm, region, Vec::new());
         config.formation = Formation::Seeded(seeds);
         config
     }
 
-    /// States that the disk keeps what it reports as synced. A damaged end of the log is then
-    /// always the remains of an append that was never acknowledged, and casts no doubt on this
-    /// member's vote. Default no.
+    /// Declares that the disk retains everything it has reported as synced. A damaged tail of the
+    /// log is then always the remains of an append that was never acknowledged, and does not make
+    /// this member's vote doubtful. Off by default.
     ///
-    /// Without it, voters that all lost power during an append elect nobody unless every voter
-    /// answers, which one lost disk makes impossible.
+    /// Without this setting, if all voters lose power during an append, no leader can be elected
+    /// until every voter answers, which a single lost disk prevents.
     pub fn trust_disk(mut self) -> Self {
         self.trusts_disk = true;
         self
@@ -112,54 +115,58 @@
         }
     }
 
-    /// How often a leader speaks to each member. Default 250 ms: two round trips between regions.
+    /// Sets the interval of a leader's heartbeats to each member. The default is 250 ms, two round
+    /// trips between regions.
     pub fn heartbeat(mut self, interval: Duration) -> Self {
         self.heartbeat = interval;
         self
     }
 
-    /// How long a member waits without a leader before it asks to be one: at least `least`, and a
-    /// random part of `spread` more, so that not all ask at once. Default 1.2 s and 1.2 s: one lost
-    /// call (600 ms) and a heartbeat must fit into the least.
-    pub fn election_timeout(mut self, least: Duration, spread: Duration) -> Self {
-        self.election_least = least;
-        self.election_spread = spread;
+    /// Sets the election timeout: a member campaigns after it has not heard from a leader for
+    /// `min` plus a random part of `jitter`, which keeps members from campaigning at the same
+    /// time. Both default to 1.2 s: a lost call (600 ms) and a heartbeat must fit into `min`.
+    pub fn election_timeout(mut self, min: Duration, jitter: Duration) -> Self {
+        self.election_min = min;
+        self.election_jitter = jitter;
         self
     }
 
-    /// The limit on one call to another member. Default 600 ms.
+    /// Sets the timeout of a call to another member. The default is 600 ms.
     pub fn call_limit(mut self, limit: Duration) -> Self {
         self.call_limit = limit;
         self
     }
 
-    /// How long an operator's change may take before its outcome is called unknown. Default 5 s.
+    /// Sets the time after which the outcome of an operator's change is reported as unknown. The
+    /// default is 5 s.
     pub fn change_limit(mut self, limit: Duration) -> Self {
         self.change_limit = limit;
         self
     }
 
-    /// Compact the log when it holds this many entries, or this many bytes. Default 4,096 entries
-    /// or 32 MiB.
+    /// Sets the number of entries and of bytes at either of which the log is compacted. The
+    /// defaults are 4,096 entries and 32 MiB.
     pub fn compact_after(mut self, entries: usize, bytes: u64) -> Self {
         self.compact_entries = entries;
         self.compact_bytes = bytes;
         self
     }
 
-    /// The bytes of entries in one call to another member; one entry at least. Default 256 KiB.
+    /// Sets the maximum size in bytes of the entries in one append request, which carries at least
+    /// one entry. The default is 256 KiB.
     pub fn batch_bytes(mut self, bytes: usize) -> Self {
         self.batch_bytes = bytes;
         self
     }
 
-    /// The bytes of one chunk of a snapshot on its way to another member. Default 1 MiB.
+    /// Sets the size in bytes of a chunk when a snapshot is sent to another member. The default is
+    /// 1 MiB.
     pub fn chunk_bytes(mut self, bytes: usize) -> Self {
         self.chunk_bytes = bytes;
         self
     }
 
-    /// How long a request for newer configuration waits for some. Default 2 s.
+    /// Sets the long-poll timeout of a request for newer configuration. The default is 2 s.
     pub fn poll_hold(mut self, hold: Duration) -> Self {
         self.poll_hold = hold;
         self
--- a/crates/control/src/consensus/change.rs
+++ b/crates/control/src/consensus/change.rs
@@ -1,4 +1,4 @@
-//! Requests that only the leader can answer: changes, replacements, reads.
+//! Requests that only the leader can answer: changes, replacements and reads.
 
 use {
     super::{
@@ -23,17 +23,17 @@
     std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How long to wait before asking for the leader again.
-const LEADER_PAUSE: Duration = Duration::from_millis(100);
+/// The interval between attempts to reach the leader.
+const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where a request for the leader goes.
-enum LeaderPlace {
-    Here,
-    There(SocketAddr),
+/// The process that is the leader.
+enum LeaderLocation {
+    Local,
+    Remote(SocketAddr),
 }
 
 impl ControlCore {
-    /// Has a document's change decided, here or by the leader.
+    /// Has a change to a document decided, by this process or by a remote leader.
     pub(crate) async fn change(
         &self,
         request: ChangeRequest,
@@ -41,11 +41,11 @@
         request.check()?;
         match self.decide(ConfigChange::Service(request)).await? {
             ConfigOutcome::Service(outcome) => Ok(outcome),
-            ConfigOutcome::ClaimGroup(_) | ConfigOutcome::Traffic(_) => Err(other_kind()),
+            ConfigOutcome::ClaimGroup(_) | ConfigOutcome::Traffic(_) => Err(mismatched_outcome()),
         }
     }
 
-    /// Has a claim group's change decided, here or by the leader.
+    /// Has a change to a claim group decided, by this process or by a remote leader.
     pub(crate) async fn change_group(
         &self,
         request: GroupRequest,
@@ -55,79 +55,77 @@
         self.check_documents(&request)?;
         match self.decide(ConfigChange::ClaimGroup(request)).await? {
             ConfigOutcome::ClaimGroup(outcome) => Ok(outcome),
-            ConfigOutcome::Service(_) | ConfigOutcome::Traffic(_) => Err(other_kind()),
+            ConfigOutcome::Service(_) | ConfigOutcome::Traffic(_) => Err(mismatched_outcome()),
         }
     }
 
-    /// Has a change of the traffic configuration decided, here or by the leader.
+    /// Has a change to the traffic configuration decided, by this process or by a remote leader.
     pub(crate) async fn change_traffic(
         &self,
         change: TrafficChange,
     ) -> Result<TrafficOutcome, ChangeError> {
         match self.decide(ConfigChange::Traffic(change)).await? {
             ConfigOutcome::Traffic(outcome) => Ok(outcome),
-            ConfigOutcome::Service(_) | ConfigOutcome::ClaimGroup(_) => Err(other_kind()),
+            ConfigOutcome::Service(_) | ConfigOutcome::ClaimGroup(_) => Err(mismatched_outcome()),
         }
     }
 
-    /// A resend of a change that was decided is answered, whatever the documents say by now.
+    /// Checks the region of a claim group against the documents. A resend of a decided change skips
+    /// the check, since it is answered even if the documents have changed since.
     fn check_documents(&self, request: &GroupRequest) -> Result<(), ChangeError> {
         let state = self.state.borrow();
         let change = ConfigChange::ClaimGroup(request.clone());
-        if state.config.earlier(&change).is_some() {
+        if state.config.recorded_outcome(&change).is_some() {
             return Ok(());
         }
         let texts = state.config.services().filter_map(|record| record.text.as_deref());
         Ok(request.check_documents(texts)?)
     }
 
-    /// Waits for a leader where there is none.
+    /// Has a change decided, and waits for a leader if none is known.
     async fn decide(&self, change: ConfigChange) -> ChangeReply {
-        if let Some(earlier) = self.state.borrow().config.earlier(&change) {
-            return Ok(earlier?);
+        if let Some(recorded) = self.state.borrow().config.recorded_outcome(&change) {
+            return Ok(recorded?);
         }
         let call = ChangeCall { change };
         let limit = self.config.change_limit;
-        let is_handed_over = Cell::new(false);
-        let deciding = self.change_at_leader(&call, &is_handed_over);
+        let is_submitted = Cell::new(false);
+        let deciding = self.change_at_leader(&call, &is_submitted);
         match timeout(&*self.context.clock, limit, deciding).await {
-            Some(Err(ChangeError::Stopped { reason })) if is_handed_over.get() => {
+            Some(Err(ChangeError::Stopped { reason })) if is_submitted.get() => {
                 Err(ChangeError::Unknown { reason })
             }
             Some(reply) => reply,
-            None if is_handed_over.get() => {
+            None if is_submitted.get() => {
                 Err(ChangeError::Unknown { reason: format!("no outcome within {limit:?}") })
             }
             None => Err(ChangeError::NoLeader),
         }
     }
 
-    /// Tries until the log has decided: a resend is safe, since the change id makes it one change.
-    /// `is_handed_over` says whether a leader may have the change.
-    async fn change_at_leader(
-        &self,
-        call: &ChangeCall,
-        is_handed_over: &Cell<bool>,
-    ) -> ChangeReply {
+    /// Retries until the log has decided the change. A resend is safe, since the change id makes it
+    /// take effect at most once. `is_submitted` records whether a leader may have received the
+    /// change.
+    async fn change_at_leader(&self, call: &ChangeCall, is_submitted: &Cell<bool>) -> ChangeReply {
         loop {
             let leader = self.find_leader().await?;
-            let was_handed_over = is_handed_over.replace(true);
+            let was_submitted = is_submitted.replace(true);
             let reply = match leader {
-                LeaderPlace::Here => self.change_here(&call.change).await,
-                LeaderPlace::There(address) => self.change_there(address, call).await,
+                LeaderLocation::Local => self.change_locally(&call.change).await,
+                LeaderLocation::Remote(address) => self.forward_change(address, call).await,
             };
             match reply {
-                Err(ChangeError::NoLeader) => is_handed_over.set(was_handed_over),
+                Err(ChangeError::NoLeader) => is_submitted.set(was_submitted),
                 Err(ChangeError::Unknown { .. }) => {}
                 reply => return reply,
             }
-            self.sleep(LEADER_PAUSE).await;
+            self.sleep(LEADER_RETRY_INTERVAL).await;
         }
     }
 
-    async fn change_here(&self, change: &ConfigChange) -> ChangeReply {
-        if let Some(earlier) = self.state.borrow().config.earlier(change) {
-            return Ok(earlier?);
+    async fn change_locally(&self, change: &ConfigChange) -> ChangeReply {
+        if let Some(recorded) = self.state.borrow().config.recorded_outcome(change) {
+            return Ok(recorded?);
         }
         if let ConfigChange::Traffic(change) = change
             && let Some(outcome) = self.unchanged_traffic(change).await?
@@ -135,17 +133,19 @@
             return Ok(ConfigOutcome::Traffic(outcome));
         }
         let outcome = self.propose(change.command()).await?;
-        let lost = || ChangeError::Unknown { reason: "the log gave no outcome".to_owned() };
-        outcome.ok_or_else(lost)
+        let no_outcome =
+            || ChangeError::Unknown { reason: "the log returned no outcome".to_owned() };
+        outcome.ok_or_else(no_outcome)
     }
 
-    /// The outcome of a change of the traffic configuration that changes nothing: a resend or an
-    /// older version. It takes no place in the log, where each copy would hold the whole text.
+    /// Returns the outcome of a change to the traffic configuration that has no effect, such as a
+    /// resend or an older version. It is not appended to the log, where each copy would hold the
+    /// whole text.
     async fn unchanged_traffic(
         &self,
         change: &TrafficChange,
     ) -> Result<Option<TrafficOutcome>, ChangeError> {
-        self.wait_for_growth().await;
+        self.wait_for_joins().await;
         let effect = |s: &NodeState| s.config.traffic().effect(change);
         if effect(&self.state.borrow()) == TrafficEffect::Applied {
             return Ok(None);
@@ -156,7 +156,7 @@
         Ok((effect(&state) == TrafficEffect::Unchanged).then_some(outcome))
     }
 
-    async fn change_there(&self, address: SocketAddr, call: &ChangeCall) -> ChangeReply {
+    async fn forward_change(&self, address: SocketAddr, call: &ChangeCall) -> ChangeReply {
         let reply = self.call(address, CHANGE, call, self.config.change_limit / 2).await;
         reply.unwrap_or_else(|error| {
             if error.nothing_sent() {
@@ -166,30 +166,30 @@
         })
     }
 
-    /// The leader this process knows; waits until it knows one.
-    async fn find_leader(&self) -> Result<LeaderPlace, ChangeError> {
-        self.until(|s| {
+    /// Waits until a leader is known.
+    async fn find_leader(&self) -> Result<LeaderLocation, ChangeError> {
+        self.wait_until(|s| {
             if let Some(error) = &s.stopped {
                 return Some(Err(ChangeError::Stopped { reason: error.to_string() }));
             }
             if s.is_leader() {
-                return Some(Ok(LeaderPlace::Here));
+                return Some(Ok(LeaderLocation::Local));
             }
             let address = s.membership()?.member(s.leader?)?.address;
-            Some(Ok(LeaderPlace::There(address)))
+            Some(Ok(LeaderLocation::Remote(address)))
         })
         .await
     }
 
-    /// Has a voter replaced, by the leader.
+    /// Has the leader begin the replacement of a voter.
     pub(crate) async fn replace(&self, old: VmName, address: SocketAddr) -> ReplaceReply {
         let not_now = |reason: String| ReplaceError::NotNow { reason };
         let limit = self.config.change_limit;
         let leader = timeout(&*self.context.clock, limit, self.find_leader()).await;
         let leader = leader.unwrap_or(Err(ChangeError::NoLeader));
         match leader.map_err(|e| not_now(e.to_string()))? {
-            LeaderPlace::Here => self.begin_replacement(old, address).await,
-            LeaderPlace::There(leader) => {
+            LeaderLocation::Local => self.begin_replacement(old, address).await,
+            LeaderLocation::Remote(leader) => {
                 let call = ReplaceCall { old, address };
                 let reply = self.call(leader, REPLACE, &call, limit).await;
                 reply.unwrap_or_else(|e| Err(not_now(e.to_string())))
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Waits until everything accepted before the call is applied here.
+    /// Waits until every change accepted before the call is applied by this process.
     pub(crate) async fn catch_up(&self) -> Result<LogIndex, ChangeError> {
         let limit = self.config.change_limit;
         let caught_up = timeout(&*self.context.clock, limit, self.catch_up_with_leader()).await;
@@ -206,58 +206,60 @@
 
     async fn catch_up_with_leader(&self) -> Result<LogIndex, ChangeError> {
         let index = match self.find_leader().await? {
-            LeaderPlace::Here => self.read_index().await?,
-            LeaderPlace::There(leader) => {
+            LeaderLocation::Local => self.read_index().await?,
+            LeaderLocation::Remote(leader) => {
                 let reply: Result<ReadReply, _> =
                     self.call(leader, READ, &(), self.config.change_limit).await;
                 reply.map_err(|_| ChangeError::NoLeader)??
             }
         };
-        self.until(|s| (s.config.applied() >= index).then_some(())).await;
+        self.wait_until(|s| (s.config.applied() >= index).then_some(())).await;
         Ok(index)
     }
 
-    async fn answer(self: &Rc<Self>, method: &str, body: &Bytes) -> Result<Bytes, PeerFault> {
+    async fn dispatch(self: &Rc<Self>, method: &str, body: &Bytes) -> Result<Bytes, PeerFault> {
         let core = Rc::clone(self);
         match method {
             HELLO => {
-                let request: HelloRequest = read(body)?;
+                let request: HelloRequest = decode_body(body)?;
                 Ok(reply(&self.hello(request.member)))
             }
             STATUS => Ok(reply(&self.status())),
             VOTE => {
-                let request = read(body)?;
+                let request = decode_body(body)?;
                 let work = async move { core.handle_vote(request).await };
-                self.detached(work).await?.map(|r| reply(&r))
+                self.run_detached(work).await?.map(|r| reply(&r))
             }
             APPEND => {
-                let request = read(body)?;
-                self.detached(core.handle_append(request)).await?.map(|r| reply(&r))
+                let request = decode_body(body)?;
+                self.run_detached(core.handle_append(request)).await?.map(|r| reply(&r))
             }
             SNAPSHOT => {
-                let request = read(body)?;
-                self.detached(core.handle_snapshot(request)).await?.map(|r| reply(&r))
+                let request = decode_body(body)?;
+                self.run_detached(core.handle_snapshot(request)).await?.map(|r| reply(&r))
             }
             CHANGE => {
-                let call: ChangeCall = read(body)?;
-                Ok(reply(&self.change_here(&call.change).await))
+                let call: ChangeCall = decode_body(body)?;
+                Ok(reply(&self.change_locally(&call.change).await))
             }
             REPLACE => {
-                let call: ReplaceCall = read(body)?;
+                let call: ReplaceCall = decode_body(body)?;
                 Ok(reply(&self.begin_replacement(call.old, call.address).await))
             }
-            JOIN => Ok(reply(&self.handle_join(read(body)?))),
+            JOIN => Ok(reply(&self.handle_join(decode_body(body)?))),
             READ => Ok(reply(&self.read_index().await)),
             other => Err(PeerFault::unknown_method(other)),
         }
     }
 }
 
-fn other_kind() -> ChangeError {
-    ChangeError::Unknown { reason: "the log answered about a change of another kind".to_owned() }
+fn mismatched_outcome() -> ChangeError {
+    ChangeError::Unknown {
+        reason: "the log returned the outcome of another kind of change".to_owned(),
+    }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, PeerFault> {
+fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, PeerFault> {
     decode(body).map_err(PeerFault::malformed)
 }
 
@@ -265,7 +267,7 @@
     Bytes::from(encode(value))
 }
 
-/// Serves the methods "log.*".
+/// Handles the peer methods `log.*`.
 pub(crate) struct LogHandler(pub(crate) Rc<ControlCore>);
 
 impl PeerHandler for LogHandler {
@@ -275,6 +277,6 @@
         method: &'a str,
         body: Bytes,
     ) -> LocalFuture<'a, Result<Bytes, PeerFault>> {
-        Box::pin(async move { self.0.answer(method, &body).await })
+        Box::pin(async move { self.0.dispatch(method, &body).await })
     }
 }
--- a/crates/control/src/consensus/core.rs
+++ b/crates/control/src/consensus/core.rs
@@ -1,11 +1,11 @@
-//! One member: its durable state, what it knows, and what all of its tasks use.
+//! A member of the log: its durable state, its in-memory state, and operations shared by its tasks.
 
 use {
     super::{
+        disk_full::open_when_space,
         error::ControlError,
         joining::JoinTable,
         message::{Envelope, MemberStatus},
-        space::open_with_space,
         state::NodeState,
         tail::LogTail,
     },
@@ -30,16 +30,16 @@
     std::{cell::RefCell, future::Future, net::SocketAddr, rc::Rc, task::Poll, time::Duration},
 };
 
-/// A number that no other run on this VM has, also where the wall clock is set back.
+/// Returns a number that is unique among the runs on this VM, even if the wall clock is set back.
 fn run_number(clock: &dyn Clock) -> u64 {
     clock.wall().0.rotate_left(32) ^ clock.boot().0.as_nanos() as u64
 }
 
-/// Marks that durable state could not be written: the member has stopped, or its disk is full.
+/// Durable state could not be written: the member has stopped, or its disk is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct NotWritten;
+pub(crate) struct WriteUnavailable;
 
-/// One member of the log.
+/// A member of the log.
 pub(crate) struct ControlCore {
     pub(crate) config: ControlConfig,
     pub(crate) context: ProcessContext,
@@ -47,26 +47,26 @@
     pub(crate) events: Rc<dyn EventSink>,
     pub(crate) folder: Rc<dyn DataFolder>,
     pub(crate) me: MemberId,
-    /// Tells this run's clock readings from those of its other runs.
+    /// Identifies this run, so that clock readings of different runs are not compared.
     pub(crate) run: u64,
-    /// Whether this member's folder was there at the first start of the deployment.
+    /// Whether this member's folder was created at the first start of the deployment.
     pub(crate) may_found: bool,
-    /// Control processes that ask this one, as leader, to be taken in.
+    /// Control processes that have asked this process, as the leader, to join.
     pub(crate) joining: JoinTable,
-    /// Held by whoever writes durable state, from the decision what to write until it is in
+    /// Held while durable state is written, from the decision what to write until the result is in
     /// [`state`](Self::state).
     pub(crate) store: Mutex<LogStore>,
     pub(crate) state: RefCell<NodeState>,
     pub(crate) signal: WakeSignal,
-    /// Held by whoever writes a snapshot.
+    /// Held while a snapshot is written.
     pub(crate) snapshots: Mutex<()>,
-    /// What gateways say that they have in force.
+    /// The latest report of each gateway on its configuration.
     pub(crate) reports: ReportTable,
-    pub(crate) incoming: RefCell<Option<super::snapshot::IncomingSnapshot>>,
+    pub(crate) incoming_snapshot: RefCell<Option<super::snapshot::IncomingSnapshot>>,
 }
 
 impl ControlCore {
-    /// Opens the folder and brings back what it holds.
+    /// Opens the folder and recovers its state.
     pub(crate) async fn open(
         config: ControlConfig,
         context: ProcessContext,
@@ -74,7 +74,7 @@
         folder: Rc<dyn DataFolder>,
         events: Rc<dyn EventSink>,
     ) -> Result<Rc<Self>, ControlError> {
-        let (identity, store, log) = open_with_space(&config, &context, &folder, &*events).await?;
+        let (identity, store, log) = open_when_space(&config, &context, &folder, &*events).await?;
         let now = context.clock.now();
         let run = run_number(&*context.clock);
         let state = restore(now, log)?;
@@ -93,18 +93,18 @@
             signal: WakeSignal::default(),
             snapshots: Mutex::new(()),
             reports: ReportTable::default(),
-            incoming: RefCell::default(),
+            incoming_snapshot: RefCell::default(),
         }))
     }
 
-    /// Starts the tasks that a member always runs.
+    /// Starts the tasks that run for the lifetime of a member.
     pub(crate) fn start(self: &Rc<Self>) {
         match self.config.formation {
             Formation::Listed => self.spawn(Rc::clone(self).run_founding()),
             Formation::Seeded(_) => self.spawn(Rc::clone(self).run_seeding()),
         }
-        self.spawn(Rc::clone(self).ask_witnesses());
-        self.spawn(Rc::clone(self).run_space_watch());
+        self.spawn(Rc::clone(self).check_acknowledged_position());
+        self.spawn(Rc::clone(self).run_disk_recovery());
         self.spawn(Rc::clone(self).run_elections());
     }
 
@@ -112,9 +112,9 @@
         self.context.spawner.spawn(Box::pin(task));
     }
 
-    /// Runs `work` to its end even where the caller goes away. A write that is abandoned between
-    /// the disk and the memory would leave records on the disk that later appends contradict.
-    pub(crate) async fn detached<T: 'static>(
+    /// Runs `work` to completion even if the caller is cancelled. A write that was abandoned
+    /// between the disk and the memory would leave records on disk that later appends contradict.
+    pub(crate) async fn run_detached<T: 'static>(
         &self,
         work: impl Future<Output = T> + 'static,
     ) -> Result<T, PeerFault> {
@@ -135,8 +135,8 @@
         self.context.clock.sleep(duration).await;
     }
 
-    /// Completes once `check` finds what it looks for.
-    pub(crate) async fn until<T>(&self, mut check: impl FnMut(&NodeState) -> Option<T>) -> T {
+    /// Waits until `check` returns `Some`.
+    pub(crate) async fn wait_until<T>(&self, mut check: impl FnMut(&NodeState) -> Option<T>) -> T {
         poll_fn(|cx| {
             if let Some(found) = check(&self.state.borrow()) {
                 return Poll::Ready(found);
@@ -147,24 +147,24 @@
         .await
     }
 
-    /// As [`until`](Self::until), for at most `limit`.
-    pub(crate) async fn until_within<T>(
+    /// Waits as [`wait_until`](Self::wait_until) does, for at most `limit`.
+    pub(crate) async fn wait_until_timeout<T>(
         &self,
         limit: Duration,
         check: impl FnMut(&NodeState) -> Option<T>,
     ) -> Option<T> {
-        timeout(&*self.context.clock, limit, self.until(check)).await
+        timeout(&*self.context.clock, limit, self.wait_until(check)).await
     }
 
     /// Makes records durable; the caller holds the store. After a failure the member has stopped,
-    /// or writes nothing until its disk has space again.
+    /// or pauses its writes until the disk has space again.
     pub(crate) async fn write(
         &self,
         store: &mut LogStore,
         records: &[LogRecord],
-    ) -> Result<(), NotWritten> {
+    ) -> Result<(), WriteUnavailable> {
         if !self.state.borrow().can_write() {
-            return Err(NotWritten);
+            return Err(WriteUnavailable);
         }
         store.append(records).await.map_err(|error| match error.is_disk_full() {
             true => self.pause_writes(&error),
@@ -172,10 +172,10 @@
         })
     }
 
-    /// Stops the member: it leads, votes and acknowledges no more. A failed write or sync leaves
-    /// it unknown what is on the disk, and a second sync may report success for pages that the
-    /// first one dropped, so only a restart, which reads the disk again, helps.
-    pub(crate) fn stop(&self, error: ControlError) -> NotWritten {
+    /// Stops the member: it no longer leads, votes or acknowledges. After a failed write or sync
+    /// the contents of the disk are unknown, and a second sync may report success for pages that
+    /// the first one dropped. Only a restart, which reads the disk again, resolves this.
+    pub(crate) fn stop(&self, error: ControlError) -> WriteUnavailable {
         let event = EventDraft::new("control.stopped").level(Level::Error);
         self.events.emit(event.error("reason", &error));
         let mut state = self.state.borrow_mut();
@@ -183,10 +183,10 @@
         state.stopped.get_or_insert(error);
         drop(state);
         self.signal.notify();
-        NotWritten
+        WriteUnavailable
     }
 
-    /// Joins a later term, if `term` is one.
+    /// Adopts `term` if it is later than the current term.
     pub(crate) async fn observe_term(&self, term: Term) {
         let mut store = self.store.lock().await;
         if term <= self.state.borrow().ballot.term {
@@ -199,13 +199,14 @@
         }
     }
 
-    /// Who this member is to `to`; `None` before it knows the log it belongs to.
+    /// Returns the envelope for a message to `to`, or `None` if this member does not know its log
+    /// yet.
     pub(crate) fn envelope(&self, to: MemberId) -> Option<Envelope> {
         let cluster = self.state.borrow().membership()?.cluster;
         Some(Envelope { cluster, from: self.me, to })
     }
 
-    /// Refuses what is meant for another folder or another log.
+    /// Rejects a message that is meant for another data folder or another log.
     pub(crate) fn check_envelope(&self, envelope: &Envelope) -> Result<(), PeerFault> {
         if envelope.to != self.me {
             return Err(PeerFault::refused(format_args!(
@@ -216,7 +217,7 @@
         }
         let state = self.state.borrow();
         if state.stopped.is_some() {
-            return Err(super::voting::not_written(NotWritten));
+            return Err(super::voting::write_unavailable(WriteUnavailable));
         }
         match state.membership() {
             Some(membership) if membership.cluster != envelope.cluster => {
@@ -242,15 +243,15 @@
         decode(&reply).map_err(|e| PeerFault::malformed(e).into())
     }
 
-    /// Tells the time line what the log has decided. Only a leader does, so that each decision
-    /// stands there once.
-    pub(crate) fn tell_outcomes(&self, outcomes: &[ConfigOutcome]) {
+    /// Emits an event for each decided change. Only the leader does so, so that each decision is
+    /// reported once.
+    pub(crate) fn emit_outcomes(&self, outcomes: &[ConfigOutcome]) {
         if !self.state.borrow().is_leader() {
             return;
         }
         for outcome in outcomes {
             self.events.emit(match outcome {
-                ConfigOutcome::Service(outcome) => outcome_event(outcome),
+                ConfigOutcome::Service(outcome) => document_event(outcome),
                 ConfigOutcome::ClaimGroup(outcome) => group_event(outcome),
                 ConfigOutcome::Traffic(outcome) => traffic_event(outcome),
             });
@@ -274,7 +275,7 @@
     }
 }
 
-fn outcome_event(outcome: &ChangeOutcome) -> EventDraft {
+fn document_event(outcome: &ChangeOutcome) -> EventDraft {
     match outcome {
         ChangeOutcome::Accepted(change) => EventDraft::new("change.accepted")
             .field("change", &change.id)
@@ -314,8 +315,8 @@
         .field("index", outcome.index.0)
 }
 
-/// The state that a recovered log holds. What is behind the snapshot counts as committed only once
-/// a leader says so.
+/// Builds the state from a recovered log. Entries after the snapshot count as committed only once a
+/// leader reports them as such.
 pub(super) fn restore(now: MonotonicTime, log: RecoveredLog) -> Result<NodeState, ControlError> {
     let (mut tail, config) = match log.snapshot {
         None => (LogTail::default(), ConfigState::default()),
@@ -326,7 +327,7 @@
         }
     };
     for entry in log.entries {
-        tail.place(entry);
+        tail.put(entry);
     }
     let mut state = NodeState::new(now, log.ballot, tail, config);
     state.is_doubtful = log.doubtful;
--- a/crates/control/src/consensus/space.rs
+++ b/crates/control/src/consensus/disk_full.rs
@@ -1,14 +1,15 @@
-//! A disk without space: the member stays up without what needs the disk, and comes back by itself.
+//! Handling of a full disk: the member keeps running with reduced functions and recovers without an
+//! operator.
 //!
-//! A full disk refuses a write and damages nothing that it holds. A process that ended there would
-//! be started again, find the disk as full and end again, and would serve nobody meanwhile. So the
-//! member only gives up what it cannot make durable: the lead, its vote, entries. Its segment may
-//! end in a torn frame; the segment is replaced by a new one, written from memory, as soon as the
-//! disk takes that.
+//! A full disk rejects a write and damages nothing that it stores. If the process exited, it would
+//! be restarted, find the disk full again and exit again, and would serve no one meanwhile. The
+//! member therefore gives up only what it cannot make durable: leadership, votes and new entries.
+//! Its segment may end in a torn frame, so a new segment is written from memory as soon as the disk
+//! has space for it.
 
 use {
     super::{
-        core::{ControlCore, NotWritten},
+        core::{ControlCore, WriteUnavailable},
         error::ControlError,
     },
     crate::{
@@ -21,27 +22,27 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often a full disk is tried again. An election takes longer, so a shorter time brings
-/// nothing back sooner.
-pub(super) const SPACE_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval at which a write to a full disk is retried. An election takes longer, so a shorter
+/// interval would not shorten the outage.
+pub(super) const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ControlCore {
-    /// Writes nothing more until the disk has space; the lead goes to a member that can write.
-    pub(super) fn pause_writes(&self, error: &LogError) -> NotWritten {
-        tell_full(&*self.events, error);
+    /// Pauses writes until the disk has space, and gives up leadership to a member that can write.
+    pub(super) fn pause_writes(&self, error: &LogError) -> WriteUnavailable {
+        emit_disk_full(&*self.events, error);
         let mut state = self.state.borrow_mut();
         state.end_leadership("the leader's disk is full");
         state.is_disk_full = true;
         drop(state);
         self.signal.notify();
-        NotWritten
+        WriteUnavailable
     }
 
-    /// Brings the member back whenever its disk was full and has space again.
-    pub(super) async fn run_space_watch(self: Rc<Self>) {
+    /// Resumes writes whenever a full disk has space again.
+    pub(super) async fn run_disk_recovery(self: Rc<Self>) {
         loop {
-            self.until(|s| s.is_disk_full.then_some(())).await;
-            self.sleep(SPACE_INTERVAL).await;
+            self.wait_until(|s| s.is_disk_full.then_some(())).await;
+            self.sleep(DISK_RETRY_INTERVAL).await;
             match self.renew_segment().await {
                 Ok(()) => {
                     self.state.borrow_mut().is_disk_full = false;
@@ -57,31 +58,32 @@
         }
     }
 
-    /// Writes all that this member holds behind its snapshot into a new segment.
+    /// Writes all entries after the snapshot into a new segment.
     async fn renew_segment(&self) -> Result<(), LogError> {
         let mut store = self.store.lock().await;
         let base = self.state.borrow().tail.base();
         let snapshot = (base.0 > 0).then_some(base);
-        let log = self.log_behind(base);
-        store.start_behind(snapshot, &log).await
+        let log = self.log_after(base);
+        store.start_segment_after(snapshot, &log).await
     }
 }
 
-/// Opens the folder; where the disk has no space to mend what a crash left, waits for it.
-pub(super) async fn open_with_space(
+/// Opens the folder. If the disk has no space for the repair of interrupted writes, waits until it
+/// has.
+pub(super) async fn open_when_space(
     config: &ControlConfig,
     context: &ProcessContext,
     folder: &Rc<dyn DataFolder>,
     events: &dyn EventSink,
 ) -> Result<(FolderIdentity, LogStore, RecoveredLog), ControlError> {
-    let mut is_told = false;
+    let mut is_reported = false;
     loop {
         match open(config, context, folder).await {
             Err(error) if error.is_disk_full() => {
-                if !std::mem::replace(&mut is_told, true) {
-                    tell_full(events, &error);
+                if !std::mem::replace(&mut is_reported, true) {
+                    emit_disk_full(events, &error);
                 }
-                context.clock.sleep(SPACE_INTERVAL).await;
+                context.clock.sleep(DISK_RETRY_INTERVAL).await;
             }
             opened => return Ok(opened?),
         }
@@ -100,7 +102,7 @@
     Ok((identity, store, log))
 }
 
-fn tell_full(events: &dyn EventSink, error: &LogError) {
+fn emit_disk_full(events: &dyn EventSink, error: &LogError) {
     let event = EventDraft::new("control.disk.full").level(Level::Error);
     events.emit(event.error("reason", error));
 }
--- a/crates/control/src/consensus/election.rs
+++ b/crates/control/src/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Asking to lead.
+//! Leader election: the candidate.
 
 use {
     super::{
@@ -15,50 +15,53 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// The votes for one candidate, each with whether the voter may have lost acknowledged entries.
+/// The votes granted to a candidate. The value is whether the voter may have lost acknowledged
+/// entries.
 #[derive(Default)]
 struct VoteCount {
     granted: BTreeMap<MemberId, bool>,
 }
 
 impl VoteCount {
-    /// Whether the votes suffice.
+    /// Returns whether the votes suffice.
     ///
-    /// A quorum of sure votes contains a voter that holds each accepted entry. A doubtful voter
-    /// may be the one that held it, so its vote counts only where every voter agrees: then the
-    /// other holders of the entry are among them.
+    /// A quorum of voters that are not doubtful includes one that holds each accepted entry. A
+    /// doubtful voter may be the one that has lost it, so its vote counts only if every voter
+    /// grants its vote: the other holders of the entry are then among them.
     fn is_won(&self, membership: &Membership) -> bool {
-        let sure = self.granted.values().filter(|is_doubtful| !**is_doubtful).count();
-        sure >= membership.quorum() || self.granted.len() == membership.voters().count()
+        let certain = self.granted.values().filter(|is_doubtful| !**is_doubtful).count();
+        certain >= membership.quorum() || self.granted.len() == membership.voters().count()
     }
 }
 
 impl ControlCore {
-    /// Asks to lead whenever no leader has been heard of for a random time.
+    /// Campaigns whenever no leader has been heard from for the election timeout.
     pub(super) async fn run_elections(self: Rc<Self>) {
         loop {
-            self.wait_for_silence().await;
+            self.wait_for_election_timeout().await;
             self.state.borrow_mut().leader = None;
             self.signal.notify();
-            self.state.borrow_mut().is_asking = true;
-            let term = self.ask_to_lead().await;
-            self.state.borrow_mut().is_asking = false;
+            self.state.borrow_mut().is_campaigning = true;
+            let term = self.campaign().await;
+            self.state.borrow_mut().is_campaigning = false;
             if let Some(term) = term {
-                self.lead(term);
+                self.become_leader(term);
             }
         }
     }
 
-    async fn wait_for_silence(&self) {
-        let wait = self.draw_wait();
-        let asked = self.now();
+    async fn wait_for_election_timeout(&self) {
+        let timeout = self.random_election_timeout();
+        let last_campaign = self.now();
         loop {
-            self.until(|s| (!s.is_leader() && s.can_write() && self.is_electable(s)).then_some(()))
-                .await;
-            if self.is_alone() {
+            self.wait_until(|s| {
+                (!s.is_leader() && s.can_write() && self.is_electable(s)).then_some(())
+            })
+            .await;
+            if self.is_only_voter() {
                 return;
             }
-            let due = self.election_due(asked, wait);
+            let due = self.election_due(last_campaign, timeout);
             if self.now() >= due {
                 return;
             }
@@ -66,41 +69,44 @@
         }
     }
 
-    /// How long this member waits for a leader before it asks to lead.
+    /// Returns a random election timeout.
     ///
-    /// A leader that works calls a member that has just started within two heartbeats. Where all
-    /// voters were started at once there is none, and everyone waits for its election. They then
-    /// ask one after the other, in the order in which they go first: voters that drew their times
-    /// from so short a span asked within a round trip of each other, and split their votes for
-    /// three terms in a row.
-    fn draw_wait(&self) -> Duration {
+    /// A working leader calls a member that has just started within two heartbeats. If all voters
+    /// are started at once, there is no leader and each of them waits for an election. They then
+    /// campaign one after another in order of rank. With random times from so short a span, voters
+    /// campaigned within a round trip of each other and split their votes for three terms in a row.
+    fn random_election_timeout(&self) -> Duration {
         let config = &self.config;
-        // Without trust in the disk nobody votes sooner after a start.
-        let waits_whole = self.state.borrow().has_heard || !config.trusts_disk;
-        let (least, spread) = match waits_whole {
-            true => (config.election_least, config.election_spread),
+        // If the disk is not trusted, no member votes earlier after a start.
+        let uses_full_timeout = self.state.borrow().has_heard_leader || !config.trusts_disk;
+        let (min, jitter) = match uses_full_timeout {
+            true => (config.election_min, config.election_jitter),
             false => (config.heartbeat * (1 + self.rank()), config.heartbeat / 3),
         };
-        least + Duration::from_micros(self.context.random.below(spread.as_micros() as u64 + 1))
+        min + Duration::from_micros(self.context.random.below(jitter.as_micros() as u64 + 1))
     }
 
-    /// How many voters go before this one where all logs end alike.
+    /// Returns the number of voters that take precedence over this one if all logs end at the same
+    /// position.
     fn rank(&self) -> u32 {
         let state = self.state.borrow();
         let Some(membership) = state.membership() else { return 0 };
         membership.voters().filter(|voter| voter.id > self.me).count() as u32
     }
 
-    /// When this member may ask to lead, `wait` after it last asked or heard of a leader. One that
-    /// was promised this member's vote leads by then, or has failed.
-    fn election_due(&self, asked: MonotonicTime, wait: Duration) -> MonotonicTime {
+    /// Returns the time at which this member may campaign: `timeout` after its last campaign or
+    /// contact with a leader. A candidate whose pre-vote this member granted has become leader by
+    /// then, or has failed.
+    fn election_due(&self, last_campaign: MonotonicTime, timeout: Duration) -> MonotonicTime {
         let state = self.state.borrow();
-        let due = state.heard.max(asked) + wait;
-        state.yielded.map_or(due, |yielded| due.max(yielded.at + self.config.call_limit))
+        let due = state.leader_heard_at.max(last_campaign) + timeout;
+        state
+            .granted_poll
+            .map_or(due, |granted_poll| due.max(granted_poll.at + self.config.call_limit))
     }
 
-    /// Whether there is no other voter to wait for.
-    fn is_alone(&self) -> bool {
+    /// Returns whether this member is the only voter.
+    fn is_only_voter(&self) -> bool {
         let state = self.state.borrow();
         state.membership().is_some_and(|m| m.voters().all(|v| v.id == self.me))
     }
@@ -110,10 +116,10 @@
             && state.known_commit <= state.tail.last()
     }
 
-    /// Polls the voters, and only where they would agree raises the term and asks for votes:
-    /// otherwise a member that cannot win would raise terms for ever and depose the leader that
-    /// the others follow.
-    async fn ask_to_lead(&self) -> Option<Term> {
+    /// Campaigns: requests pre-votes, and only if they suffice increments the term and requests
+    /// votes. Otherwise a member that cannot win would keep incrementing the term and depose the
+    /// leader that the other members follow.
+    async fn campaign(&self) -> Option<Term> {
         let next = self.state.borrow().ballot.term.next();
         if !self.collect_votes(next, true).await {
             return None;
@@ -139,11 +145,11 @@
         count.granted.insert(self.me, self.state.borrow().is_doubtful);
         let others = membership.voters().filter(|m| m.id != self.me);
         let mut replies: FuturesUnordered<_> =
-            others.map(|m| async { (m.id, self.ask_for_vote(m, term, is_poll).await) }).collect();
+            others.map(|m| async { (m.id, self.request_vote(m, term, is_poll).await) }).collect();
         let mut refused = 0_usize;
         while !count.is_won(&membership) {
             let Some((id, reply)) = replies.next().await else {
-                self.tell_failed(term, is_poll, &count, refused);
+                self.emit_election_failed(term, is_poll, &count, refused);
                 return false;
             };
             let Some(reply) = reply else { continue };
@@ -153,7 +159,7 @@
             }
             refused += 1;
             if reply.term > term || (is_poll && reply.term >= term) {
-                self.tell_failed(term, is_poll, &count, refused);
+                self.emit_election_failed(term, is_poll, &count, refused);
                 self.observe_term(reply.term).await;
                 return false;
             }
@@ -161,28 +167,29 @@
         true
     }
 
-    /// Tells why nobody leads yet: the voters that are missing did not answer in time.
-    fn tell_failed(&self, term: Term, is_poll: bool, count: &VoteCount, refused: usize) {
+    /// Reports an election that was not won. Voters that neither granted nor refused did not answer
+    /// in time.
+    fn emit_election_failed(&self, term: Term, is_poll: bool, count: &VoteCount, refused: usize) {
         let voters = self.state.borrow().membership().map_or(0, |m| m.voters().count());
         let event = EventDraft::new("control.election.failed").field("term", term.0);
         let event = event.field("poll", is_poll).field("granted", count.granted.len());
         self.events.emit(event.field("refused", refused).field("voters", voters));
     }
 
-    async fn ask_for_vote(
+    async fn request_vote(
         &self,
         voter: &crate::entry::Member,
         term: Term,
         is_poll: bool,
     ) -> Option<VoteReply> {
         let envelope = self.envelope(voter.id)?;
-        let last = self.state.borrow().end();
+        let last = self.state.borrow().log_end();
         let request = VoteRequest { envelope, is_poll, term, last };
         self.call(voter.address, VOTE, &request, self.config.call_limit).await.ok()
     }
 
-    /// Begins to lead, unless the term has ended meanwhile.
-    fn lead(self: &Rc<Self>, term: Term) {
+    /// Becomes the leader, unless the term has ended meanwhile.
+    fn become_leader(self: &Rc<Self>, term: Term) {
         {
             let mut state = self.state.borrow_mut();
             if state.ballot.term != term || !state.can_write() {
--- a/crates/control/src/consensus/error.rs
+++ b/crates/control/src/consensus/error.rs
@@ -1,4 +1,4 @@
-//! Why a control process cannot do what it was asked.
+//! Errors of a control process.
 
 use {
     crate::{
@@ -13,34 +13,34 @@
     std::net::SocketAddr,
 };
 
-/// Why a control process does not start or has stopped.
+/// Reasons for which a control process does not start or has stopped.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// The data folder cannot be used, or the disk failed.
+    /// The data folder cannot be used, or a disk operation failed.
     #[snafu(display("{source}"), context(false))]
     Log {
-        /// How.
+        /// The error of the data folder.
         source: LogError,
     },
-    /// The snapshot does not hold a state.
+    /// The image in the snapshot does not decode.
     #[snafu(display(
-        "the snapshot at {} does not decode: {reason}; start the version of gullglade that wrote \
-         it, or empty the data folder and run `gladectl control replace`", index.0
+        "the snapshot at index {} does not decode: {reason}; start the version of gullglade that \
+         wrote it, or empty the data folder and run `gladectl control replace`", index.0
     ))]
     Image {
-        /// The snapshot.
+        /// The index of the snapshot.
         index: LogIndex,
-        /// The decoder's words.
+        /// The message of the decoder.
         reason: String,
     },
-    /// A leader asks to undo what is committed.
+    /// A leader's log conflicts with a committed entry.
     #[snafu(display(
-        "the leader holds another entry at {}, which this member knows as accepted; stop the \
+        "the entry at index {} is committed on this member, but differs on the leader; stop the \
          control processes, compare their data folders, and report this fault", index.0
     ))]
     Diverged {
-        /// The entry.
+        /// The index of the conflicting entry.
         index: LogIndex,
     },
 }
@@ -51,35 +51,35 @@
     }
 }
 
-/// Why a change has no outcome here.
+/// Reasons for which a change has no outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(visibility(pub(crate)))]
 pub enum ChangeError {
-    /// The change is refused before it reaches the log. It did not take effect and will not.
+    /// The change was rejected before it was proposed. It has not taken effect and never will.
     #[snafu(display("{reason}"))]
     Invalid {
-        /// Why.
+        /// The reason for the rejection.
         reason: String,
     },
-    /// The log refuses to decide it.
+    /// The log gives the change no outcome.
     #[snafu(display("{source}"), context(false))]
     Refused {
-        /// Why.
+        /// The reason.
         source: ChangeRefusal,
     },
-    /// No leader is known here. The change was not passed on.
+    /// No leader is known. The change was not sent to one.
     #[snafu(display(
         "no control leader is known on this VM; the change was not run: try again in a few \
          seconds, and see `gladectl status` if it lasts"
     ))]
     NoLeader,
-    /// Too many changes wait. The change was not run.
+    /// Too many changes are waiting. The change was not run.
     #[snafu(display(
-        "{waiting} changes wait for the control log; the change was not run: try again in a few \
-         seconds"
+        "{waiting} changes are waiting for the control log; the change was not run: try again in a \
+         few seconds"
     ))]
     Overloaded {
-        /// How many wait.
+        /// The number of waiting changes.
         waiting: usize,
     },
     /// The outcome is unknown.
@@ -88,19 +88,19 @@
          --change-id: it takes effect at most once"
     ))]
     Unknown {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
     /// This process has stopped.
     #[snafu(display("this control process has stopped: {reason}"))]
     Stopped {
-        /// Why.
+        /// The reason for the stop.
         reason: String,
     },
 }
 
 impl ChangeError {
-    /// Whether the change may have been run, or may yet be.
+    /// Returns whether the change may have been run, or may still be.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unknown { .. })
     }
@@ -118,14 +118,14 @@
     }
 }
 
-/// Why a voter is not replaced.
+/// Reasons for which a replacement of a voter is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReplaceError {
-    /// No such voter.
+    /// The VM is not a voter.
     #[snafu(display("{vm} is not a control voter; `gladectl status` lists them"))]
     NoSuchVoter {
-        /// The VM named.
+        /// The VM named in the request.
         vm: VmName,
     },
     /// A replacement is in progress.
@@ -135,7 +135,7 @@
     InProgress {
         /// The voter being replaced.
         old: MemberId,
-        /// The member taking its place.
+        /// The member replacing it.
         new: MemberId,
     },
     /// The new member does not answer.
@@ -144,25 +144,25 @@
          control and an empty --data-dir, then try again"
     ))]
     Unreachable {
-        /// Where.
+        /// The address of the new member.
         address: SocketAddr,
-        /// The transport's words.
+        /// The message of the transport.
         reason: String,
     },
-    /// The new member keeps a log already.
+    /// The new member already belongs to a log.
     #[snafu(display(
         "the control process at {address} already keeps a log ({found}); give it an empty --data-dir"
     ))]
     NotEmpty {
-        /// Where.
+        /// The address of the new member.
         address: SocketAddr,
-        /// What it keeps.
+        /// The identity of that log.
         found: String,
     },
-    /// The leader cannot do it now.
+    /// The leader cannot begin a replacement at present.
     #[snafu(display("the replacement was not begun: {reason}; try again in a few seconds"))]
     NotNow {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
--- a/crates/control/src/consensus/feed.rs
+++ b/crates/control/src/consensus/feed.rs
@@ -1,4 +1,4 @@
-//! A control process serves configuration from its log.
+//! Serves configuration to gateways from the log of a control process.
 
 use {
     super::{
@@ -8,8 +8,8 @@
     },
     crate::{
         distribution::{
-            ClusterStatus, ConfigFeed, ControlPlaces, FeedPage, FeedRange, FeedSummary, MemberRow,
-            ReplicaRow, ReportRow, ReportTable, STATUS, groups_between, page_of,
+            ClusterStatus, ConfigFeed, ControlEndpoints, FeedPage, FeedRange, FeedSummary,
+            MemberRow, ReplicaRow, ReportRow, ReportTable, STATUS, build_page, groups_between,
         },
         entry::{LogIndex, Member},
         groups::GroupRecord,
@@ -21,22 +21,22 @@
 };
 
 impl ControlCore {
-    /// A time at which the state here was everything that control had accepted.
+    /// Returns a time at which the state of this process included every accepted change.
     pub(crate) fn confirmed(&self, state: &NodeState) -> Option<BootTime> {
         match &state.role {
             Role::Leader(leadership) if state.is_settled(leadership.term) => {
-                state.quorum_followed(self.me, self.boot())
+                state.quorum_acked_boot(self.me, self.boot())
             }
             _ => state.confirmed,
         }
     }
 
-    /// How long ago that was.
+    /// Returns the time elapsed since [`confirmed`](Self::confirmed).
     pub(crate) fn confirmed_ago(&self, state: &NodeState) -> Option<Duration> {
         self.confirmed(state).map(|confirmed| self.boot().since(confirmed))
     }
 
-    /// Asks all members what they know, and merges it.
+    /// Collects the status of all members and merges their reports on gateways.
     pub(crate) async fn cluster_status(&self) -> ClusterStatus {
         let (index, leader, members) = {
             let state = self.state.borrow();
@@ -45,17 +45,17 @@
         };
         let answers = join_all(members.iter().map(|m| self.ask_member(m))).await;
         let mut rows: BTreeMap<VmName, ReplicaRow> = BTreeMap::new();
-        let mut merge = |row: ReplicaRow| {
+        let mut merge_row = |row: ReplicaRow| {
             let old = rows.get(&row.vm).map(|old| old.heard_ms);
             if old.is_none_or(|old| old > row.heard_ms) {
                 rows.insert(row.vm.clone(), row);
             }
         };
         let own = self.reports.rows(self.now()).into_iter().map(ReplicaRow::from);
-        own.for_each(&mut merge);
+        own.for_each(&mut merge_row);
         let mut status_rows = Vec::new();
         for (member, (status, replicas)) in members.into_iter().zip(answers) {
-            replicas.into_iter().for_each(&mut merge);
+            replicas.into_iter().for_each(&mut merge_row);
             status_rows.push(MemberRow { member, status });
         }
         ClusterStatus {
@@ -87,7 +87,7 @@
         let cluster = state.membership()?.cluster;
         let ago = self.confirmed_ago(&state);
         let confirmed = ago.map(|ago| MonotonicTime(self.now().0.saturating_sub(ago)));
-        // Before the founding entry is committed there may never be such a log.
+        // Until the founding entry is committed, this log may still turn out never to exist.
         let applied = Some(state.config.applied()).filter(|index| *index > LogIndex(0))?;
         Some(FeedSummary { cluster, applied, confirmed })
     }
@@ -95,16 +95,16 @@
     fn page(&self, range: FeedRange, limit: usize) -> FeedPage {
         let state = self.state.borrow();
         let config = &state.config;
-        page_of(config.changed_after(range.cursor), range, limit, Some(config.applied()))
+        build_page(config.changed_after(range.cursor), range, limit, Some(config.applied()))
     }
 
     fn groups(&self, after: LogIndex, end: LogIndex) -> Vec<GroupRecord> {
         groups_between(self.state.borrow().config.groups(), after, end)
     }
 
-    fn places(&self) -> ControlPlaces {
+    fn control_endpoints(&self) -> ControlEndpoints {
         let state = self.state.borrow();
-        ControlPlaces::of(state.tail.membership_index(), state.membership().map(|m| &**m))
+        ControlEndpoints::of(state.tail.membership_index(), state.membership().map(|m| &**m))
     }
 
     fn signal(&self) -> &WakeSignal {
--- a/crates/control/src/consensus/founding.rs
+++ b/crates/control/src/consensus/founding.rs
@@ -1,4 +1,4 @@
-//! The first start: how a log comes to be, once and never again.
+//! Founding of the log by listed voters, which happens at most once per deployment.
 
 use {
     super::{
@@ -18,23 +18,23 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How long to wait before asking the other first voters again.
-const FOUNDING_PAUSE: Duration = Duration::from_millis(500);
+/// The interval at which the other initial voters are asked.
+const FOUNDING_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long to wait before saying again that this member has no part in the log.
-const REMINDER_PAUSE: Duration = Duration::from_secs(30);
+/// The interval at which a process that is not a member logs the remedy.
+const REMINDER_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What the other first voters say.
+/// The situation of this process, according to the other initial voters.
 enum FoundingView {
-    /// All have answered, none has a log, and this member is the one to found it.
+    /// All voters have answered, none of them has a log, and this member is to found it.
     Found(Vec<Member>),
-    /// There is a log, and this member is one of those who keep it.
-    Belong,
-    /// There is a log, and the voter of this VM in it is another one.
+    /// A log exists, and this process is a member of it.
+    AlreadyMember,
+    /// A log exists in which the voter on this VM has another identity: its disk was lost.
     LostDisk,
-    /// There is a log without this member.
-    Outside,
-    /// Nobody has a log yet; another member founds it, or some have not answered.
+    /// A log exists in which this process is not a member.
+    NotMember,
+    /// No log is known. Another member founds it, or some voters have not answered.
     Wait,
 }
 
@@ -59,63 +59,63 @@
         reply.map_err(|error| error.to_string())
     }
 
-    /// Finds this member's place: founds the log where there is none, or waits to be taken in.
+    /// Founds the log if none exists, or waits until this process is added to it.
     ///
-    /// The log is founded by the first voter of the list, and only after every other one has said
-    /// that it has no log. Anything less could found a second, empty log beside the first after a
-    /// disk was lost, and revert every change.
+    /// Only the first voter of the list founds the log, and only after every other one has
+    /// confirmed that it has no log. Anything less could found a second, empty log after the loss
+    /// of a disk, which would revert every change.
     pub(super) async fn run_founding(self: Rc<Self>) {
         while self.state.borrow().membership().is_none() {
-            let pause = match self.view_founding().await {
+            let pause = match self.founding_view().await {
                 FoundingView::Found(members) => {
                     self.found(members).await;
                     return;
                 }
-                FoundingView::Belong => return,
-                FoundingView::Wait => FOUNDING_PAUSE,
-                FoundingView::Outside => {
-                    self.remind("control.member.waiting", Level::Info);
-                    REMINDER_PAUSE
+                FoundingView::AlreadyMember => return,
+                FoundingView::Wait => FOUNDING_RETRY_INTERVAL,
+                FoundingView::NotMember => {
+                    self.emit_reminder("control.member.waiting", Level::Info);
+                    REMINDER_INTERVAL
                 }
                 FoundingView::LostDisk => {
-                    self.remind("control.voter.refused", Level::Error);
-                    REMINDER_PAUSE
+                    self.emit_reminder("control.voter.refused", Level::Error);
+                    REMINDER_INTERVAL
                 }
             };
             let joined = |s: &super::state::NodeState| s.membership().map(|_| ());
-            self.until_within(pause, joined).await;
+            self.wait_until_timeout(pause, joined).await;
         }
     }
 
-    fn remind(&self, kind: &'static str, level: Level) {
+    fn emit_reminder(&self, kind: &'static str, level: Level) {
         let event = EventDraft::new(kind).level(level);
         let remedy = "run `gladectl control replace` to make this member a voter";
         self.events.emit(event.field("remedy", remedy));
     }
 
-    async fn view_founding(&self) -> FoundingView {
+    async fn founding_view(&self) -> FoundingView {
         let others = self.config.voters.iter().filter(|v| v.vm != self.config.vm);
         let replies = join_all(others.map(|v| self.ask_hello(v.address))).await;
-        let known: Vec<_> = replies.into_iter().flatten().collect();
-        if let Some(membership) = known.iter().find_map(|r| r.membership.as_ref()) {
-            return self.place_in(membership);
+        let answers: Vec<_> = replies.into_iter().flatten().collect();
+        if let Some(membership) = answers.iter().find_map(|r| r.membership.as_ref()) {
+            return self.view_of(membership);
         }
         let is_first = self.config.voters.first().is_some_and(|v| v.vm == self.config.vm);
         let own = self.hello(self.me);
-        let all_agree = known.iter().all(|r| r.voters == own.voters);
-        if !is_first || known.len() + 1 < self.config.voters.len() || !all_agree {
+        let all_agree = answers.iter().all(|r| r.voters == own.voters);
+        if !is_first || answers.len() + 1 < self.config.voters.len() || !all_agree {
             return FoundingView::Wait;
         }
-        let replies = std::iter::once(&own).chain(&known);
-        FoundingView::Found(self.config.voters.iter().zip(replies).map(first_member).collect())
+        let replies = std::iter::once(&own).chain(&answers);
+        FoundingView::Found(self.config.voters.iter().zip(replies).map(initial_voter).collect())
     }
 
-    fn place_in(&self, membership: &Membership) -> FoundingView {
+    fn view_of(&self, membership: &Membership) -> FoundingView {
         if membership.member(self.me).is_some() {
-            return FoundingView::Belong;
+            return FoundingView::AlreadyMember;
         }
         let is_lost = membership.voters().any(|m| m.vm == self.config.vm);
-        if is_lost { FoundingView::LostDisk } else { FoundingView::Outside }
+        if is_lost { FoundingView::LostDisk } else { FoundingView::NotMember }
     }
 
     pub(super) async fn found(&self, members: Vec<Member>) {
@@ -138,14 +138,14 @@
         }
         let mut state = self.state.borrow_mut();
         state.set_ballot(ballot);
-        state.tail.place(entry);
+        state.tail.put(entry);
         drop(state);
         self.events.emit(EventDraft::new("control.log.founded"));
         self.signal.notify();
     }
 }
 
-fn first_member((voter, reply): (&InitialVoter, &HelloReply)) -> Member {
+fn initial_voter((voter, reply): (&InitialVoter, &HelloReply)) -> Member {
     Member {
         id: reply.member,
         vm: voter.vm.clone(),
--- a/crates/control/src/consensus/joining.rs
+++ b/crates/control/src/consensus/joining.rs
@@ -1,4 +1,4 @@
-//! Asking to be taken into a log that exists, and noting who asks.
+//! Joining an existing log, and recording the processes that ask to join.
 
 use {
     super::{
@@ -17,35 +17,37 @@
     },
 };
 
-/// How long to wait between two rounds of asking.
-const JOIN_PAUSE: Duration = Duration::from_millis(400);
+/// The interval between rounds of join requests.
+const JOIN_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A wish is old after this; the process that has it asks again several times before.
-const JOIN_EXPIRY: Duration = Duration::from_secs(3);
+/// The time after which a join request expires. A process that still wants to join repeats its
+/// request several times before that.
+const JOIN_REQUEST_EXPIRY: Duration = Duration::from_secs(3);
 
-/// A member that has not heard its leader for this long may have been removed without learning of
-/// it, since a removed member is no longer sent the log. Longer than an election takes.
-const LEADER_SILENCE: Duration = Duration::from_secs(4);
+/// The time without contact to a leader after which a member asks to join again. It may have been
+/// removed without learning of it, since the log is no longer sent to a removed member. Longer than
+/// an election.
+const LEADER_SILENCE_LIMIT: Duration = Duration::from_secs(4);
 
-/// The processes that asked this one to be taken in, each with when it asked last, and other
-/// addresses that are worth asking.
+/// The processes that asked to join, each with the time of its last request, and further addresses
+/// to ask.
 #[derive(Default)]
 pub(crate) struct JoinTable {
-    asked: RefCell<BTreeMap<MemberId, (Member, MonotonicTime)>>,
+    requests: RefCell<BTreeMap<MemberId, (Member, MonotonicTime)>>,
     contacts: RefCell<BTreeSet<SocketAddr>>,
 }
 
 impl JoinTable {
-    fn note(&self, member: Member, now: MonotonicTime) {
+    fn record(&self, member: Member, now: MonotonicTime) {
         self.contacts.borrow_mut().insert(member.address);
-        self.asked.borrow_mut().insert(member.id, (member, now));
+        self.requests.borrow_mut().insert(member.id, (member, now));
     }
 
-    /// Those who asked lately.
+    /// Returns the processes whose requests have not expired.
     pub(super) fn recent(&self, now: MonotonicTime) -> Vec<Member> {
-        let mut asked = self.asked.borrow_mut();
-        asked.retain(|_, (_, at)| now.since(*at) <= JOIN_EXPIRY);
-        asked.values().map(|(member, _)| member.clone()).collect()
+        let mut requests = self.requests.borrow_mut();
+        requests.retain(|_, (_, at)| now.since(*at) <= JOIN_REQUEST_EXPIRY);
+        requests.values().map(|(member, _)| member.clone()).collect()
     }
 
     /// Adds addresses at which control processes may be found.
@@ -55,24 +57,24 @@
 }
 
 impl ControlCore {
-    /// Asks whenever this process is outside, for as long as it runs.
+    /// Asks to join whenever this process is not part of the log, for as long as it runs.
     pub(super) async fn run_joining(&self) {
         loop {
-            self.sleep(JOIN_PAUSE).await;
-            if self.is_outside() {
+            self.sleep(JOIN_INTERVAL).await;
+            if self.needs_to_join() {
                 self.ask_to_join().await;
             }
         }
     }
 
-    fn is_outside(&self) -> bool {
+    fn needs_to_join(&self) -> bool {
         let state = self.state.borrow();
         let is_member = state.membership().is_some_and(|m| m.member(self.me).is_some());
-        let is_silent = self.now().since(state.heard) > LEADER_SILENCE;
+        let is_silent = self.now().since(state.leader_heard_at) > LEADER_SILENCE_LIMIT;
         state.can_write() && !state.is_leader() && (!is_member || is_silent)
     }
 
-    /// Asks all processes it knows, and the leader that they name.
+    /// Sends a join request to all known processes, then to the leaders that they name.
     pub(super) async fn ask_to_join(&self) {
         let Some(settings) = self.config.seed_settings() else { return };
         let mut addresses: BTreeSet<SocketAddr> = settings.seeds.iter().copied().collect();
@@ -87,10 +89,11 @@
             role: MemberRole::Learner,
         };
         let request = JoinRequest { member };
-        let replies = join_all(addresses.iter().map(|a| self.ask_one(*a, &request))).await;
+        let replies =
+            join_all(addresses.iter().map(|a| self.send_join_request(*a, &request))).await;
         let leaders: BTreeSet<SocketAddr> = replies.into_iter().flatten().collect();
         let unasked = leaders.difference(&addresses).copied();
-        join_all(unasked.map(|leader| self.ask_one(leader, &request))).await;
+        join_all(unasked.map(|leader| self.send_join_request(leader, &request))).await;
     }
 
     fn member_addresses(&self) -> Vec<SocketAddr> {
@@ -99,21 +102,26 @@
         members.map(|m| m.address).collect()
     }
 
-    /// The leader that the process at `address` names, if it is not that process itself.
-    async fn ask_one(&self, address: SocketAddr, request: &JoinRequest) -> Option<SocketAddr> {
+    /// Sends a join request to `address`. Returns the address of the leader if the receiver names
+    /// another process.
+    async fn send_join_request(
+        &self,
+        address: SocketAddr,
+        request: &JoinRequest,
+    ) -> Option<SocketAddr> {
         match self.call(address, JOIN, request, self.config.call_limit).await {
             Ok(JoinReply::AskLeader(leader)) => Some(leader),
-            // Unreachable processes are the usual reason to ask several.
+            // Several processes are asked because some may be unreachable, so errors are ignored.
             Ok(JoinReply::Noted | JoinReply::NoLeader) | Err(_) => None,
         }
     }
 
-    /// Notes the wish of `request`, where this process leads.
+    /// Records a join request if this process is the leader; otherwise names the leader.
     pub(super) fn handle_join(&self, request: JoinRequest) -> JoinReply {
         self.joining.add_contacts([request.member.address]);
         let state = self.state.borrow();
         if state.is_leader() {
-            self.joining.note(request.member, self.now());
+            self.joining.record(request.member, self.now());
             drop(state);
             self.signal.notify();
             return JoinReply::Noted;
--- a/crates/control/src/consensus/leader.rs
+++ b/crates/control/src/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does for its term: it writes batches, commits, and notices when it is cut off.
+//! The leader: writing batches, committing, and detecting the loss of its quorum.
 
 use {
     super::{
@@ -16,14 +16,15 @@
     std::rc::Rc,
 };
 
-/// The most commands of one batch: with documents of 256 KB at the most, a frame holds them.
-const MAX_BATCH: usize = 128;
+/// The maximum number of commands in a batch. With documents of at most 256 KB, the batch fits into
+/// a frame.
+const MAX_BATCH_COMMANDS: usize = 128;
 
-/// The most commands that wait for the writer.
-const MAX_PENDING: usize = 1_024;
+/// The maximum number of commands that wait to be written.
+const MAX_PENDING_COMMANDS: usize = 1_024;
 
 impl ControlCore {
-    /// Puts a command into the log and waits until it is committed.
+    /// Proposes a command and waits until it is committed.
     pub(super) async fn propose(&self, command: Command) -> ProposalEnd {
         let (done, end) = oneshot::channel();
         {
@@ -31,22 +32,23 @@
             if !state.is_leader() {
                 return Err(ChangeError::NoLeader);
             }
-            if state.pending.len() >= MAX_PENDING {
+            if state.pending.len() >= MAX_PENDING_COMMANDS {
                 return Err(ChangeError::Overloaded { waiting: state.pending.len() });
             }
             state.pending.push_back(Proposal { command, done });
         }
         self.signal.notify();
-        let gone = |_| Err(ChangeError::Unknown { reason: "the process is stopping".to_owned() });
-        end.await.unwrap_or_else(gone)
+        let cancelled =
+            |_| Err(ChangeError::Unknown { reason: "the process is stopping".to_owned() });
+        end.await.unwrap_or_else(cancelled)
     }
 
-    /// Writes what is proposed, all that waits in one batch with one sync.
+    /// Writes the proposed commands; those that are waiting form one batch with a single sync.
     pub(super) async fn run_writer(self: Rc<Self>, term: Term) {
         loop {
             let is_over = |s: &super::state::NodeState| s.leadership(term).is_none();
             let has_work = self
-                .until(|s| {
+                .wait_until(|s| {
                     if is_over(s) { Some(false) } else { (!s.pending.is_empty()).then_some(true) }
                 })
                 .await;
@@ -72,9 +74,10 @@
             } else {
                 state.await_commit(entry.index, term, done);
             }
-            // The entry is on the disk, so it must be in memory too, leader or not.
+            // The entry is on disk, so the in-memory log must contain it too, even if the
+            // leadership has ended.
             if written.is_ok() {
-                state.tail.place(entry);
+                state.tail.put(entry);
             }
         }
         drop(state);
@@ -89,20 +92,21 @@
         let wall =
             wall.max(state.config.wall()).max(state.tail.last_wall().unwrap_or(WallMillis(0)));
         let first = state.tail.last().next();
-        let count = state.pending.len().min(MAX_BATCH);
+        let count = state.pending.len().min(MAX_BATCH_COMMANDS);
         let proposals = state.pending.drain(..count);
-        let place = |(offset, proposal): (usize, Proposal)| {
+        let to_entry = |(offset, proposal): (usize, Proposal)| {
             let index = LogIndex(first.0 + offset as u64);
             (LogEntry { index, term, wall, command: proposal.command }, proposal.done)
         };
-        Some(proposals.enumerate().map(place).collect())
+        Some(proposals.enumerate().map(to_entry).collect())
     }
 
-    /// Commits what a quorum holds.
+    /// Commits the entries that a quorum holds.
     ///
-    /// Only entries of the leader's own term are counted; those before are committed with them.
-    /// An entry of an earlier term can stand on a quorum and still be replaced by a later leader
-    /// who never saw it, so counting it would accept a change that can be lost.
+    /// Only entries of the leader's own term are counted; preceding entries are committed along
+    /// with them. An entry of an earlier term can be stored by a quorum and still be replaced by a
+    /// later leader that never received it, so counting it could accept a change that is lost
+    /// later.
     pub(super) fn advance_commit(&self, term: Term) {
         let outcomes = {
             let mut state = self.state.borrow_mut();
@@ -115,12 +119,12 @@
             }
             state.commit_to(matched)
         };
-        self.tell_outcomes(&outcomes);
+        self.emit_outcomes(&outcomes);
         self.step_down_if_removed(term);
         self.signal.notify();
     }
 
-    /// A leader that was removed goes on until its removal is committed, then stops leading.
+    /// Steps down once the removal of this leader from the voters is committed.
     fn step_down_if_removed(&self, term: Term) {
         let mut state = self.state.borrow_mut();
         let is_committed = state.tail.membership_index() <= state.commit;
@@ -130,8 +134,8 @@
         }
     }
 
-    /// Stops leading when no quorum has answered for an election timeout. By then the others may
-    /// have elected another leader, and callers waiting here would wait for nothing.
+    /// Steps down if no quorum has answered for an election timeout. The other members may have
+    /// elected another leader by then, and callers of this one would wait in vain.
     pub(super) async fn watch_quorum(self: Rc<Self>, term: Term) {
         loop {
             self.sleep(self.config.heartbeat).await;
@@ -141,11 +145,11 @@
                 return;
             }
             let acked = state.quorum_acked(self.me, now);
-            if acked.is_some_and(|acked| now.since(acked) <= self.config.election_least) {
+            if acked.is_some_and(|acked| now.since(acked) <= self.config.election_min) {
                 continue;
             }
             state.end_leadership("the leader was cut off from a quorum");
-            state.heard = now;
+            state.leader_heard_at = now;
             drop(state);
             let event = EventDraft::new("control.leader.cut").level(Level::Warn);
             self.events.emit(event.field("term", term.0));
@@ -154,10 +158,11 @@
         }
     }
 
-    /// Confirms that this process led after the call began, and returns the index up to which
-    /// everything accepted before the call is applied here.
+    /// Confirms that this process was the leader after the call began, and returns the index up to
+    /// which every change accepted before the call is applied.
     ///
-    /// No clock decides: a quorum must answer a request that was sent after the call began.
+    /// The confirmation does not rely on clocks: a quorum must answer a request that was sent after
+    /// the call began.
     pub(super) async fn read_index(&self) -> Result<LogIndex, ChangeError> {
         let began = self.now();
         let term = {
@@ -169,7 +174,7 @@
             leadership.term
         };
         self.signal.notify();
-        let confirmed = self.until_within(self.config.change_limit, |s| {
+        let confirmed = self.wait_until_timeout(self.config.change_limit, |s| {
             if s.leadership(term).is_none() {
                 return Some(Err(ChangeError::NoLeader));
             }
--- a/crates/control/src/consensus/message.rs
+++ b/crates/control/src/consensus/message.rs
@@ -1,4 +1,4 @@
-//! Messages between control processes, peer methods "log.*".
+//! Messages between control processes, in the peer methods `log.*`.
 
 use {
     crate::{
@@ -25,8 +25,8 @@
 pub(crate) const READ: &str = "log.read";
 pub(crate) const STATUS: &str = "log.status";
 
-/// Who speaks to whom, in which log. A receiver that is not `to` refuses: its folder is not the
-/// one that the sender counts on.
+/// The addressing of a message. A receiver other than `to` rejects the message, since its data
+/// folder is not the one on which the sender relies.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Envelope {
     pub(crate) cluster: ClusterId,
@@ -34,8 +34,8 @@
     pub(crate) to: MemberId,
 }
 
-/// "Who are you, and what have I acknowledged to you?", between processes that may not know each
-/// other yet.
+/// Asks a process, which may not know the sender yet, for its identity and for the last position
+/// that the sender has acknowledged to it.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct HelloRequest {
     pub(crate) member: MemberId,
@@ -46,25 +46,25 @@
     pub(crate) member: MemberId,
     pub(crate) vm: VmName,
     pub(crate) region: RegionName,
-    /// The first voters, as its settings name them.
+    /// The initial voters in its settings.
     pub(crate) voters: Vec<(VmName, SocketAddr)>,
-    /// The seeds, as its settings name them.
+    /// The seeds in its settings.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Whether its folder was there at the first start of the deployment.
+    /// Whether its folder was created at the first start of the deployment.
     pub(crate) may_found: bool,
     pub(crate) membership: Option<Membership>,
-    /// The last entry that the asker acknowledged to this process as its leader.
+    /// The last position that the requester acknowledged to this process as the leader.
     pub(crate) witnessed: Option<LogPosition>,
 }
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct VoteRequest {
     pub(crate) envelope: Envelope,
-    /// Whether this only asks what the answer would be.
+    /// Whether the request is a pre-vote, which only asks how the receiver would vote.
     pub(crate) is_poll: bool,
-    /// The term in which the sender would lead.
+    /// The term in which the candidate would lead.
     pub(crate) term: Term,
-    /// The end of the sender's log.
+    /// The last position of the candidate's log.
     pub(crate) last: LogPosition,
 }
 
@@ -72,7 +72,7 @@
 pub(crate) struct VoteReply {
     pub(crate) term: Term,
     pub(crate) is_granted: bool,
-    /// Whether the voter may have lost entries that it acknowledged.
+    /// Whether the voter may have lost entries that it had acknowledged.
     pub(crate) is_doubtful: bool,
 }
 
@@ -80,17 +80,17 @@
 pub(crate) struct AppendRequest {
     pub(crate) envelope: Envelope,
     pub(crate) term: Term,
-    /// The entry before `entries`.
+    /// The index that precedes `entries`.
     pub(crate) previous_index: LogIndex,
     pub(crate) previous_term: Term,
     pub(crate) entries: Vec<LogEntry>,
     pub(crate) commit: LogIndex,
-    /// Whether the leader has committed an entry of its own term, so that `commit` covers all that
-    /// was ever committed.
+    /// Whether the leader has committed an entry of its own term, so that `commit` covers every
+    /// entry that was ever committed.
     pub(crate) is_settled: bool,
-    /// A time at which the leader's state was everything that control had accepted, on the clock
-    /// of the member that this goes to. A request may be on its way for long, so a time on the
-    /// leader's clock, or an age, would be taken for younger than it is.
+    /// A time at which the leader's state included every accepted change, on the receiver's clock.
+    /// The request may be delayed in transit, so a time on the leader's clock, or an age, would
+    /// make the state appear more recent than it is.
     pub(crate) confirmed: Option<ClockStamp>,
 }
 
@@ -98,17 +98,17 @@
 pub(crate) struct AppendReply {
     pub(crate) term: Term,
     pub(crate) result: AppendResult,
-    /// When it was made.
+    /// The time at which the reply was created.
     pub(crate) stamp: ClockStamp,
 }
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) enum AppendResult {
-    /// The member's log equals the leader's up to here, synced.
+    /// The member's log equals the leader's up to this index, and is synced.
     Matched(LogIndex),
-    /// The entry before is missing or another one; try again from here.
+    /// The preceding entry is missing or differs; the leader continues from this index.
     Missing(LogIndex),
-    /// The request's term is over.
+    /// The term of the request has ended.
     Stale,
 }
 
@@ -117,7 +117,7 @@
     pub(crate) envelope: Envelope,
     pub(crate) term: Term,
     pub(crate) index: LogIndex,
-    /// Bytes of the encoded snapshot before this chunk, and in all.
+    /// The offset of this chunk in the encoded snapshot and the total size, in bytes.
     pub(crate) offset: u64,
     pub(crate) total: u64,
     pub(crate) chunk: Bytes,
@@ -126,7 +126,8 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct SnapshotReply {
     pub(crate) term: Term,
-    /// The offset that the member wants next; the total where it has installed the snapshot.
+    /// The next offset that the member expects, or the total size once it has installed the
+    /// snapshot.
     pub(crate) next: u64,
 }
 
@@ -145,47 +146,47 @@
 
 pub(crate) type ReplaceReply = Result<(), ReplaceError>;
 
-/// "I hear no leader, or am no member: take me in."
+/// Asks to join the log, from a process that is not a member or hears from no leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct JoinRequest {
-    /// Who asks, as a learner.
+    /// The requester, as a learner.
     pub(crate) member: Member,
 }
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) enum JoinReply {
-    /// The process asked leads, and has noted the wish.
+    /// The receiver is the leader and has recorded the request.
     Noted,
-    /// Another one may lead.
+    /// Another process may be the leader.
     AskLeader(SocketAddr),
     /// No leader is known.
     NoLeader,
 }
 
-/// The index up to which everything accepted before the question was applied at the leader.
+/// The index up to which every change accepted before the request was applied by the leader.
 pub(crate) type ReadReply = Result<LogIndex, ChangeError>;
 
-/// What one control process says about itself.
+/// The status of one control process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its identity.
     pub member: MemberId,
-    /// Its VM.
+    /// The VM on which it runs.
     pub vm: VmName,
-    /// Its term.
+    /// Its current term.
     pub term: Term,
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub is_leader: bool,
-    /// The leader it follows.
+    /// The leader that it follows.
     pub leader: Option<MemberId>,
-    /// The last entry of its log.
+    /// The last index of its log.
     pub last: LogIndex,
-    /// The last entry it knows as accepted.
+    /// The last index that it knows to be committed.
     pub commit: LogIndex,
-    /// Whether it may have lost entries that it acknowledged.
+    /// Whether it may have lost entries that it had acknowledged.
     pub is_doubtful: bool,
-    /// Why it has stopped.
+    /// The reason for which it has stopped.
     pub stopped: Option<String>,
-    /// Who keeps the log, as it knows.
+    /// The membership that it knows.
     pub membership: Option<Membership>,
 }
--- a/crates/control/src/consensus/replacement.rs
+++ b/crates/control/src/consensus/replacement.rs
@@ -1,10 +1,10 @@
-//! Replacing a voter, one membership entry at a time.
+//! Replacement of a voter by a sequence of single-server membership changes.
 //!
-//! Two quorums must always share a voter, so a single entry adds or removes one voter and never
-//! both. The new member learns the log first and counts for nothing meanwhile. Then, if the old
-//! voter is dead, it is removed before the new one is added: with three voters the quorum stays at
-//! the two that work. If it still answers, the new one is added first, so that no step leaves
-//! fewer working voters than a quorum can spare.
+//! Any two successive quorums must share a voter, so a membership entry adds or removes one voter
+//! and never both. The new member first receives the log as a learner. If the old voter does not
+//! respond by then, it is removed before the new one is added: with three voters, the quorum
+//! remains the two that work. If the old voter still responds, the new one is added first, so that
+//! no step leaves fewer working voters than a quorum can spare.
 
 use {
     super::{core::ControlCore, error::ReplaceError, message::ReplaceReply, state::NodeState},
@@ -38,17 +38,19 @@
     fn with_learner(&self, old: &VmName, learner: Member) -> Result<Membership, ReplaceError> {
         let state = self.state.borrow();
         if !can_change_membership(&state) {
-            let reason = "this process does not lead, or another change is on its way".to_owned();
+            let reason =
+                "this process is not the leader, or another change is in progress".to_owned();
             return Err(ReplaceError::NotNow { reason });
         }
         let Some(current) = state.membership() else {
             return Err(ReplaceError::NotNow { reason: "there is no log yet".to_owned() });
         };
-        let no_such = || ReplaceError::NoSuchVoter { vm: old.clone() };
-        let old = current.voters().find(|m| m.vm == *old).ok_or_else(no_such)?.id;
+        let no_such_voter = || ReplaceError::NoSuchVoter { vm: old.clone() };
+        let old = current.voters().find(|m| m.vm == *old).ok_or_else(no_such_voter)?.id;
         let mut membership = (**current).clone();
         if let Some(running) = current.replacement {
-            // The VM meant to take the place may fail too; before it counts, another may be named.
+            // The new member may fail as well. Until it is promoted, another one may be named in
+            // its place.
             let is_learning =
                 current.member(running.new).is_some_and(|m| m.role == MemberRole::Learner);
             if running.old != old || !is_learning {
@@ -66,13 +68,13 @@
         end.map(|_| ()).map_err(|error| error.to_string())
     }
 
-    /// Carries out whatever replacement stands in the membership.
+    /// Carries out the replacement recorded in the membership.
     pub(super) async fn run_replacement(self: Rc<Self>, term: Term) {
         loop {
             let next = self
-                .until(|s| match s.leadership(term) {
+                .wait_until(|s| match s.leadership(term) {
                     None => Some(None),
-                    Some(_) => self.next_step(s).map(Some),
+                    Some(_) => self.next_membership(s).map(Some),
                 })
                 .await;
             let Some(membership) = next else { return };
@@ -83,13 +85,13 @@
         }
     }
 
-    /// The next membership on the way, or `None` while the new member has yet to catch up.
-    fn next_step(&self, state: &NodeState) -> Option<Membership> {
+    /// Returns the next membership to propose, or `None` while the new member has yet to catch up.
+    fn next_membership(&self, state: &NodeState) -> Option<Membership> {
         let current = state.membership()?;
         if !can_change_membership(state) {
             return None;
         }
-        let Some(replacement) = current.replacement else { return self.growth_step(state) };
+        let Some(replacement) = current.replacement else { return self.rule_step(state) };
         if self.is_abandoned(state, replacement) {
             return Some(without_learner(current, replacement.new));
         }
@@ -103,7 +105,7 @@
             next.replacement = None;
         } else if !self.has_caught_up(state, replacement.new) {
             return None;
-        } else if self.answers(state, replacement.old) {
+        } else if self.is_responsive(state, replacement.old) {
             promote(&mut next, replacement.new);
         } else {
             next.members.retain(|m| m.id != replacement.old);
@@ -111,24 +113,25 @@
         Some(next)
     }
 
-    /// Whether the learner holds all that is committed and has answered lately.
+    /// Returns whether the learner holds every committed entry and has answered recently.
     pub(super) fn has_caught_up(&self, state: &NodeState, id: MemberId) -> bool {
         let super::state::Role::Leader(leadership) = &state.role else { return false };
         let matched = leadership.progress.get(&id).map_or(LogIndex(0), |p| p.matched);
-        matched >= state.commit && self.answers(state, id)
+        matched >= state.commit && self.is_responsive(state, id)
     }
 
-    pub(super) fn answers(&self, state: &NodeState, id: MemberId) -> bool {
+    pub(super) fn is_responsive(&self, state: &NodeState, id: MemberId) -> bool {
         let super::state::Role::Leader(leadership) = &state.role else { return false };
         let acked = leadership.progress.get(&id).and_then(|p| p.acked);
-        let is_recent = |acked| self.now().since(acked) <= self.config.election_least;
+        let is_recent = |acked| self.now().since(acked) <= self.config.election_min;
         id == self.me || acked.is_some_and(is_recent)
     }
 }
 
-/// Whether the last membership is committed, under a leader that has committed an entry of its own
-/// term. Without the second condition a membership of an earlier leader could come back and make a
-/// quorum that shares no voter with this one's (Ongaro's correction of 2015).
+/// Returns whether a membership change may begin: the last one is committed, and the leader has
+/// committed an entry of its own term. Without the second condition, a membership of an earlier
+/// leader could reappear and form a quorum that shares no voter with the current one (Ongaro's
+/// correction to single-server changes).
 fn can_change_membership(state: &NodeState) -> bool {
     let super::state::Role::Leader(leadership) = &state.role else { return false };
     let is_waiting = state.pending.iter().any(|p| matches!(p.command, Command::Membership(_)));
@@ -137,7 +140,7 @@
         && !is_waiting
 }
 
-/// The membership without a learner and without the replacement that it was meant for.
+/// Returns the membership without a learner and without the replacement for which it was added.
 fn without_learner(current: &Membership, learner: MemberId) -> Membership {
     let mut next = current.clone();
     next.members.retain(|m| m.id != learner);
--- a/crates/control/src/consensus/replicator.rs
+++ b/crates/control/src/consensus/replicator.rs
@@ -1,4 +1,4 @@
-//! Brings one member's log in line with the leader's and keeps it so: one task per member.
+//! Log replication: one task per member brings its log in line with the leader's.
 
 use {
     super::{
@@ -11,33 +11,35 @@
     std::rc::Rc,
 };
 
-/// How far the task has come with its member.
+/// The state of the replication to one member.
 struct Replicator {
     member: MemberId,
     term: Term,
     next: LogIndex,
-    told_commit: LogIndex,
+    acked_commit: LogIndex,
     sent: MonotonicTime,
-    /// The same on the clock that counts suspensions.
+    /// The same time on the clock that includes suspensions.
     sent_boot: BootTime,
-    /// What the member's clock showed when it made its last answer, and this one's when that came.
-    answered: Option<(ClockStamp, BootTime)>,
+    /// The stamp of the member's last reply, and the time on this process's clock at which it
+    /// arrived.
+    last_reply: Option<(ClockStamp, BootTime)>,
 }
 
 impl Replicator {
-    /// A time on the member's clock that is no later than `time` on this process's. The member made
-    /// its last answer before that came here, so what lies between is at most what passed here.
-    fn on_its_clock(&self, time: BootTime) -> Option<ClockStamp> {
-        let (ClockStamp { run, time: made }, came) = self.answered?;
-        let time = match time > came {
-            true => made + time.since(came),
-            false => made.earlier(came.since(time))?,
+    /// Converts `time` to a time on the member's clock that is no later. The member stamped its
+    /// last reply before it arrived, so the time elapsed since the stamp is at least the time
+    /// elapsed here since the arrival.
+    fn on_member_clock(&self, time: BootTime) -> Option<ClockStamp> {
+        let (ClockStamp { run, time: stamped_at }, received_at) = self.last_reply?;
+        let time = match time > received_at {
+            true => stamped_at + time.since(received_at),
+            false => stamped_at.earlier(received_at.since(time))?,
         };
         Some(ClockStamp { run, time })
     }
 }
 
-/// Whether a task goes on.
+/// Whether a replication task continues.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Continue {
     Yes,
@@ -45,10 +47,10 @@
 }
 
 impl ControlCore {
-    /// Starts a task for every member there is and every one that comes.
+    /// Starts a replication task for every member, including members that are added later.
     pub(super) async fn run_replicators(self: Rc<Self>, term: Term) {
         loop {
-            let new = self.until(|s| new_members(s, term)).await;
+            let new = self.wait_until(|s| members_without_task(s, term)).await;
             let Some(new) = new else { return };
             for id in new {
                 if let Some(leadership) = self.state.borrow_mut().leadership_mut(term) {
@@ -59,8 +61,8 @@
         }
     }
 
-    /// One member's task. A member that is removed and taken in again needs another one, so the
-    /// end of each is noted.
+    /// Runs the replication task of one member, and records its end: a member that is removed and
+    /// added again needs a new task.
     async fn replicate(self: Rc<Self>, member: MemberId, term: Term) {
         Rc::clone(&self).run_replicator(member, term).await;
         if let Some(leadership) = self.state.borrow_mut().leadership_mut(term) {
@@ -70,17 +72,17 @@
     }
 
     async fn run_replicator(self: Rc<Self>, member: MemberId, term: Term) {
-        let Some(next) = self.first_to_send(term).await else { return };
+        let Some(next) = self.initial_next_index(term).await else { return };
         let mut replicator = Replicator {
             member,
             term,
             next,
-            told_commit: LogIndex(0),
+            acked_commit: LogIndex(0),
             sent: MonotonicTime::default(),
             sent_boot: BootTime::default(),
-            answered: None,
+            last_reply: None,
         };
-        while let Some(member) = self.member_to_call(&replicator) {
+        while let Some(member) = self.current_member(&replicator) {
             let round = if replicator.next <= self.state.borrow().tail.base() {
                 self.send_snapshot(&member, term).await.map(|matched| {
                     replicator.next = matched.next();
@@ -91,40 +93,43 @@
             };
             match round {
                 Some(Continue::No) => return,
-                Some(Continue::Yes) => self.wait_for_news(&replicator).await,
+                Some(Continue::Yes) => self.wait_for_work(&replicator).await,
                 None => self.sleep(self.config.heartbeat).await,
             }
         }
     }
 
-    /// The first entry to send: the leader's own first one, once it is written. An empty request
-    /// sent before it would cost that entry a round trip, and with it everyone who waits for the
-    /// first confirmation: 110 ms between regions. A disk that hangs must not keep the members
-    /// from hearing of their leader.
-    async fn first_to_send(&self, term: Term) -> Option<LogIndex> {
+    /// Waits for the leader's first entry and returns the index from which to send. An empty
+    /// request sent before that entry is written would delay it by a round trip, 110 ms between
+    /// regions, together with every caller that waits for the first confirmation. The wait is
+    /// limited to a heartbeat, so that a disk that hangs does not keep the members from hearing
+    /// from their leader.
+    async fn initial_next_index(&self, term: Term) -> Option<LogIndex> {
         let first = self.state.borrow().leadership(term)?.first;
-        self.until_within(self.config.heartbeat, |s| (s.tail.last() >= first).then_some(())).await;
+        self.wait_until_timeout(self.config.heartbeat, |s| (s.tail.last() >= first).then_some(()))
+            .await;
         Some(first.min(self.state.borrow().tail.last().next()))
     }
 
-    fn member_to_call(&self, replicator: &Replicator) -> Option<Member> {
+    fn current_member(&self, replicator: &Replicator) -> Option<Member> {
         let state = self.state.borrow();
         state.leadership(replicator.term)?;
         state.membership()?.member(replicator.member).cloned()
     }
 
-    async fn wait_for_news(&self, replicator: &Replicator) {
-        let has_news = |s: &NodeState| {
+    async fn wait_for_work(&self, replicator: &Replicator) {
+        let has_work = |s: &NodeState| {
             let leadership = s.leadership(replicator.term);
-            let is_news = s.tail.last() >= replicator.next
-                || s.commit > replicator.told_commit
+            let is_needed = s.tail.last() >= replicator.next
+                || s.commit > replicator.acked_commit
                 || leadership.is_none_or(|l| l.probe > replicator.sent);
-            is_news.then_some(())
+            is_needed.then_some(())
         };
-        self.until_within(self.config.heartbeat, has_news).await;
+        self.wait_until_timeout(self.config.heartbeat, has_work).await;
     }
 
-    /// One request with what the member lacks. `None`: no answer came.
+    /// Sends one request with the entries that the member lacks. Returns `None` if no reply
+    /// arrived.
     async fn send_entries(&self, member: &Member, replicator: &mut Replicator) -> Option<Continue> {
         let request = self.append_request(member, replicator)?;
         (replicator.sent, replicator.sent_boot) = (self.now(), self.boot());
@@ -135,12 +140,12 @@
             self.observe_term(reply.term).await;
             return Some(Continue::No);
         }
-        replicator.answered = Some((reply.stamp, self.boot()));
+        replicator.last_reply = Some((reply.stamp, self.boot()));
         match reply.result {
             AppendResult::Stale => return Some(Continue::No),
             AppendResult::Matched(index) => {
                 replicator.next = index.next();
-                replicator.told_commit = sent_commit;
+                replicator.acked_commit = sent_commit;
             }
             AppendResult::Missing(index) => {
                 replicator.next = index.min(replicator.next.previous()).max(LogIndex(1));
@@ -154,13 +159,13 @@
         let envelope = self.envelope(member.id)?;
         let state = self.state.borrow();
         let previous_index = replicator.next.previous();
-        let confirmed = self.confirmed(&state).and_then(|time| replicator.on_its_clock(time));
+        let confirmed = self.confirmed(&state).and_then(|time| replicator.on_member_clock(time));
         Some(AppendRequest {
             envelope,
             term: replicator.term,
             previous_index,
             previous_term: state.tail.term_at(previous_index)?,
-            entries: take_bytes(state.tail.from(replicator.next), self.config.batch_bytes),
+            entries: clone_batch(state.tail.entries_from(replicator.next), self.config.batch_bytes),
             commit: state.commit,
             is_settled: state.is_settled(replicator.term),
             confirmed,
@@ -180,10 +185,11 @@
             let Some(leadership) = state.leadership_mut(replicator.term) else { return };
             let progress = leadership.progress.entry(replicator.member).or_default();
             progress.acked = Some(replicator.sent);
-            progress.followed = Some(replicator.sent_boot);
+            progress.acked_boot = Some(replicator.sent_boot);
             progress.matched = match result {
                 AppendResult::Matched(index) => index,
-                // A member whose disk lost its tail must not go on counting for what it held.
+                // A member whose disk has lost its tail must no longer count as holding those
+                // entries.
                 _ => progress.matched.min(replicator.next.previous()),
             };
         }
@@ -192,16 +198,16 @@
     }
 }
 
-/// The members without a task; `None` once the leadership is over.
-fn new_members(state: &NodeState, term: Term) -> Option<Option<Vec<MemberId>>> {
+/// Returns the members without a replication task, or `None` once the leadership has ended.
+fn members_without_task(state: &NodeState, term: Term) -> Option<Option<Vec<MemberId>>> {
     let Some(leadership) = state.leadership(term) else { return Some(None) };
     let members = state.membership()?.members.iter().map(|m| m.id);
     let new: Vec<_> = members.filter(|id| !leadership.replicating.contains(id)).collect();
     (!new.is_empty()).then_some(Some(new))
 }
 
-/// Clones of the first entries: one at least, then as many as fit into `limit` bytes.
-fn take_bytes<'a>(entries: impl Iterator<Item = &'a LogEntry>, limit: usize) -> Vec<LogEntry> {
+/// Clones the first entry and as many following ones as fit into `limit` bytes.
+fn clone_batch<'a>(entries: impl Iterator<Item = &'a LogEntry>, limit: usize) -> Vec<LogEntry> {
     let mut taken = Vec::new();
     let mut bytes = 0;
     for entry in entries {
--- a/crates/control/src/consensus/seeding.rs
+++ b/crates/control/src/consensus/seeding.rs
@@ -1,8 +1,8 @@
-//! The first start where nobody lists the voters: the seeds found the log together.
+//! Founding of the log by seeds, used when no voter list is configured.
 //!
-//! Only a folder that was there at the first start takes part. A seed whose disk was lost comes
-//! back with a folder that was not, so it can never found a second, empty log beside the first,
-//! which would revert every change. It joins instead, like any other process.
+//! Only processes whose folder was created at the first start of the deployment take part. A seed
+//! that has lost its disk comes back with a newer folder, so it can never found a second, empty
+//! log, which would revert every change. It joins the existing log like any other process.
 
 use {
     super::{core::ControlCore, message::HelloReply, state::NodeState},
@@ -11,13 +11,13 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How long to wait before asking the other seeds again. The first configuration comes within a
-/// second of the start, so the founding must not take long.
-const SEEDING_PAUSE: Duration = Duration::from_millis(100);
+/// The interval at which the other seeds are asked. The founding must be short, since the first
+/// configuration arrives within a second of the start.
+const SEEDING_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl ControlCore {
-    /// Founds the log where it is this process's part to, and asks to be taken in where it is
-    /// not; then keeps asking whenever this process finds itself outside.
+    /// Founds the log if this process is to do so, or else asks to join it. Afterwards asks to join
+    /// whenever this process is not part of the log.
     pub(super) async fn run_seeding(self: Rc<Self>) {
         while self.state.borrow().membership().is_none() {
             if let Some(members) = self.founding_members().await {
@@ -26,15 +26,16 @@
             }
             self.ask_to_join().await;
             let joined = |s: &NodeState| s.membership().map(|_| ());
-            self.until_within(SEEDING_PAUSE, joined).await;
+            self.wait_until_timeout(SEEDING_RETRY_INTERVAL, joined).await;
         }
         self.run_joining().await;
     }
 
-    /// The first voters, where this process is the one that founds and every other seed is ready.
+    /// Returns the initial voters, if this process is the founder and every seed is ready.
     ///
-    /// The seed of the lowest address founds, and only after every other one has said that it has
-    /// no log, was there at the first start and was given the same seeds.
+    /// The seed with the lowest address is the founder. It founds the log only after every other
+    /// seed has confirmed that it has no log, that its folder was created at the first start, and
+    /// that it has the same seeds.
     async fn founding_members(&self) -> Option<Vec<Member>> {
         let settings = self.config.seed_settings()?;
         let is_founder = settings.seeds.iter().min() == Some(&settings.own);
@@ -47,12 +48,12 @@
         let replies = join_all(seeds.iter().map(|seed| self.hello_of(*seed))).await;
         let replies: Vec<HelloReply> = replies.into_iter().collect::<Option<_>>()?;
         let is_ready = |reply: &HelloReply| {
-            reply.may_found && reply.membership.is_none() && same_set(&reply.seeds, &seeds)
+            reply.may_found && reply.membership.is_none() && is_same_set(&reply.seeds, &seeds)
         };
         if !replies.iter().all(is_ready) {
             return None;
         }
-        Some(seeds.iter().zip(&replies).map(|(seed, reply)| first_voter(*seed, reply)).collect())
+        Some(seeds.iter().zip(&replies).map(|(seed, reply)| initial_voter(*seed, reply)).collect())
     }
 
     async fn hello_of(&self, seed: SocketAddr) -> Option<HelloReply> {
@@ -63,14 +64,14 @@
     }
 }
 
-fn same_set(some: &[SocketAddr], sorted: &[SocketAddr]) -> bool {
-    let mut some = some.to_vec();
-    some.sort_unstable();
-    some.dedup();
-    some == sorted
+fn is_same_set(seeds: &[SocketAddr], sorted: &[SocketAddr]) -> bool {
+    let mut seeds = seeds.to_vec();
+    seeds.sort_unstable();
+    seeds.dedup();
+    seeds == sorted
 }
 
-fn first_voter(address: SocketAddr, reply: &HelloReply) -> Member {
+fn initial_voter(address: SocketAddr, reply: &HelloReply) -> Member {
     Member {
         id: reply.member,
         vm: reply.vm.clone(),
--- a/crates/control/src/consensus/snapshot.rs
+++ b/crates/control/src/consensus/snapshot.rs
@@ -1,12 +1,13 @@
-//! Snapshots: taken to keep the log short, sent to members that are too far behind.
+//! Snapshots, which bound the length of the log and bring members up to date that lag too far
+//! behind it.
 
 use {
     super::{
         core::{ControlCore, restore},
+        disk_full::DISK_RETRY_INTERVAL,
         error::ControlError,
         message::{SNAPSHOT, SnapshotReply, SnapshotRequest},
-        space::SPACE_INTERVAL,
-        voting::not_written,
+        voting::write_unavailable,
     },
     crate::{
         entry::{LogIndex, Member, Term},
@@ -19,10 +20,11 @@
     std::rc::Rc,
 };
 
-/// The largest snapshot a member takes in: ten times what 8,900 documents of 2 KB make.
+/// The maximum size of a received snapshot in bytes: ten times the state of 8,900 documents of 2
+/// KB.
 const MAX_SNAPSHOT_BYTES: u64 = 192 << 20;
 
-/// A snapshot of which some chunks have come.
+/// A snapshot of which some chunks have been received.
 pub(crate) struct IncomingSnapshot {
     index: LogIndex,
     total: u64,
@@ -30,7 +32,7 @@
 }
 
 impl ControlCore {
-    /// Starts a compaction, where the log has grown enough and none runs.
+    /// Starts a compaction if the log has grown enough and none is running.
     pub(super) fn maybe_compact(self: &Rc<Self>) {
         let state = self.state.borrow();
         let applied = (state.config.applied().0 - state.tail.base().0) as usize;
@@ -47,10 +49,10 @@
         match self.compact_to(&snapshot).await {
             Ok(()) => {}
             Err(error) if error.is_disk_full() => {
-                // The log is whole without the snapshot, and the next compaction tries again.
+                // The log is complete without the snapshot, and the next compaction retries.
                 let event = EventDraft::new("control.log.uncompacted").level(Level::Warn);
                 self.events.emit(event.error("reason", &error));
-                self.sleep(SPACE_INTERVAL).await;
+                self.sleep(DISK_RETRY_INTERVAL).await;
             }
             Err(error) => {
                 self.stop(error.into());
@@ -61,14 +63,14 @@
     async fn compact_to(&self, snapshot: &SnapshotImage) -> Result<(), LogError> {
         save_snapshot(&*self.folder, snapshot).await?;
         let mut store = self.store.lock().await;
-        let log = self.log_behind(snapshot.index);
-        store.start_behind(Some(snapshot.index), &log).await?;
+        let log = self.log_after(snapshot.index);
+        store.start_segment_after(Some(snapshot.index), &log).await?;
         self.state.borrow_mut().tail.compact(snapshot.index);
         self.events.emit(EventDraft::new("control.log.compacted").field("index", snapshot.index.0));
         Ok(())
     }
 
-    /// The state as it is applied here.
+    /// Builds a snapshot of the applied state.
     fn take_snapshot(&self) -> Option<SnapshotImage> {
         let state = self.state.borrow();
         let index = state.config.applied();
@@ -77,19 +79,19 @@
         Some(SnapshotImage { index, term, membership, image: state.config.image() })
     }
 
-    /// What a segment behind a snapshot at `index` holds.
-    pub(super) fn log_behind(&self, index: LogIndex) -> RecoveredLog {
+    /// Returns the contents of a segment that follows a snapshot at `index`.
+    pub(super) fn log_after(&self, index: LogIndex) -> RecoveredLog {
         let state = self.state.borrow();
         RecoveredLog {
             ballot: state.ballot,
             snapshot: None,
-            entries: state.tail.from(index.next()).cloned().collect(),
+            entries: state.tail.entries_from(index.next()).cloned().collect(),
             doubtful: state.is_doubtful,
         }
     }
 
-    /// Sends the state to a member whose next entry is no longer in the log. Returns the index
-    /// that the member then stands at; `None` where it did not answer.
+    /// Sends a snapshot to a member whose next entry has been compacted away. Returns the last
+    /// index of the snapshot, or `None` if the member did not answer or the leadership has ended.
     pub(super) async fn send_snapshot(&self, member: &Member, term: Term) -> Option<LogIndex> {
         let snapshot = self.take_snapshot()?;
         let bytes = Bytes::from(encode(&snapshot));
@@ -120,7 +122,7 @@
         Some(snapshot.index)
     }
 
-    /// Takes a chunk; with the last one the whole state.
+    /// Stores a chunk of a snapshot, and installs the snapshot with its last chunk.
     pub(super) async fn handle_snapshot(
         self: Rc<Self>,
         request: SnapshotRequest,
@@ -133,28 +135,30 @@
         }
         {
             let mut state = self.state.borrow_mut();
-            state.hear(self.now());
+            state.note_leader_contact(self.now());
             state.leader = Some(request.envelope.from);
         }
-        let (next, whole) = self.take_chunk(&request)?;
-        if let Some(bytes) = whole {
+        let (next, complete) = self.append_chunk(&request)?;
+        if let Some(bytes) = complete {
             self.install(request.term, &bytes).await?;
         }
         Ok(SnapshotReply { term, next })
     }
 
-    /// Adds the chunk, and returns the offset wanted next and the bytes where they are all there.
-    fn take_chunk(&self, request: &SnapshotRequest) -> Result<(u64, Option<Vec<u8>>), PeerFault> {
+    /// Appends a chunk. Returns the next expected offset, and the bytes of the snapshot once they
+    /// are complete.
+    fn append_chunk(&self, request: &SnapshotRequest) -> Result<(u64, Option<Vec<u8>>), PeerFault> {
         if request.total > MAX_SNAPSHOT_BYTES {
             return Err(PeerFault::refused(format_args!(
                 "a snapshot of {} bytes is too large; the limit is {MAX_SNAPSHOT_BYTES}",
                 request.total
             )));
         }
-        let mut incoming = self.incoming.borrow_mut();
+        let mut incoming = self.incoming_snapshot.borrow_mut();
         let (index, total) = (request.index, request.total);
-        let is_same = incoming.as_ref().is_some_and(|i| i.index == index && i.total == total);
-        if !is_same || request.offset == 0 {
+        let is_same_snapshot =
+            incoming.as_ref().is_some_and(|i| i.index == index && i.total == total);
+        if !is_same_snapshot || request.offset == 0 {
             *incoming = Some(IncomingSnapshot { index, total, bytes: Vec::new() });
         }
         let Some(snapshot) = incoming.as_mut() else { return Ok((0, None)) };
@@ -162,8 +166,8 @@
             snapshot.bytes.extend_from_slice(&request.chunk);
         }
         let next = snapshot.bytes.len() as u64;
-        let whole = if next == total { incoming.take().map(|i| i.bytes) } else { None };
-        Ok((next, whole))
+        let complete = if next == total { incoming.take().map(|i| i.bytes) } else { None };
+        Ok((next, complete))
     }
 
     async fn install(&self, term: Term, bytes: &[u8]) -> Result<(), PeerFault> {
@@ -173,34 +177,35 @@
             return Ok(());
         }
         let saved = save_snapshot(&*self.folder, &snapshot).await;
-        saved.map_err(|e| self.unsaved(e))?;
+        saved.map_err(|e| self.save_failed(e))?;
         let mut store = self.store.lock().await;
-        let has_moved_on = {
+        let is_superseded = {
             let state = self.state.borrow();
             state.ballot.term != term || snapshot.index <= state.commit
         };
-        if has_moved_on {
+        if is_superseded {
             return Ok(());
         }
-        let mut log = self.log_behind(snapshot.index);
+        let mut log = self.log_after(snapshot.index);
         if self.state.borrow().tail.term_at(snapshot.index) != Some(snapshot.term) {
             log.entries.clear();
         }
-        let started = store.start_behind(Some(snapshot.index), &log).await;
-        started.map_err(|e| self.unsaved(e))?;
+        let started = store.start_segment_after(Some(snapshot.index), &log).await;
+        started.map_err(|e| self.save_failed(e))?;
         log.snapshot = Some(snapshot);
-        self.put_in_place(log).map_err(|e| not_written(self.stop(e)))
+        self.replace_state(log).map_err(|e| write_unavailable(self.stop(e)))
     }
 
-    /// A snapshot that did not fit on the disk is sent again; any other failure stops the member.
-    fn unsaved(&self, error: LogError) -> PeerFault {
-        not_written(match error.is_disk_full() {
+    /// Handles a failure to save a snapshot. If it did not fit on the disk, the leader sends it
+    /// again; any other failure stops the member.
+    fn save_failed(&self, error: LogError) -> PeerFault {
+        write_unavailable(match error.is_disk_full() {
             true => self.pause_writes(&error),
             false => self.stop(error.into()),
         })
     }
 
-    fn put_in_place(&self, log: RecoveredLog) -> Result<(), ControlError> {
+    fn replace_state(&self, log: RecoveredLog) -> Result<(), ControlError> {
         let new = restore(self.now(), log)?;
         let mut state = self.state.borrow_mut();
         state.tail = new.tail;
--- a/crates/control/src/consensus/state.rs
+++ b/crates/control/src/consensus/state.rs
@@ -1,4 +1,4 @@
-//! What a member knows, all of it synced where it must be.
+//! The in-memory state of a member. The durable part of it has been synced.
 
 use {
     super::{error::ControlError, tail::LogTail},
@@ -16,60 +16,61 @@
     },
 };
 
-/// What a member is in its term.
+/// The role of a member in its current term.
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
     Leader(Leadership),
 }
 
-/// What a leader knows of its term.
+/// The state of a leader in its term.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     pub(crate) term: Term,
-    /// When it began.
-    pub(crate) since: MonotonicTime,
-    /// Members are to be called again if they were last called before this.
+    /// The time at which the leadership began.
+    pub(crate) began: MonotonicTime,
+    /// Members that were last called before this time are called again at once.
     pub(crate) probe: MonotonicTime,
-    /// Its first entry.
+    /// The index of the leader's first entry.
     pub(crate) first: LogIndex,
     pub(crate) progress: BTreeMap<MemberId, MemberProgress>,
-    /// The members that a task of this term brings in line.
+    /// The members for which a replication task of this term runs.
     pub(crate) replicating: BTreeSet<MemberId>,
 }
 
-/// How far a member has followed the leader.
+/// The replication progress of a member.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MemberProgress {
-    /// Its log equals the leader's up to here.
+    /// The last index up to which its log is known to equal the leader's.
     pub(crate) matched: LogIndex,
-    /// When the last request that it answered was sent.
+    /// The time at which the last request that it answered was sent.
     pub(crate) acked: Option<MonotonicTime>,
-    /// The same on the clock that counts suspensions.
-    pub(crate) followed: Option<BootTime>,
+    /// The same time on the clock that includes suspensions.
+    pub(crate) acked_boot: Option<BootTime>,
 }
 
-/// A command on its way into the log.
+/// A command to be appended to the log.
 pub(crate) struct Proposal {
     pub(crate) command: Command,
     pub(crate) done: oneshot::Sender<ProposalEnd>,
 }
 
-/// What became of a proposal: for a change its outcome.
+/// The result of a proposal; for a change, its outcome.
 pub(crate) type ProposalEnd = Result<Option<ConfigOutcome>, ChangeError>;
 
-/// Someone who waits for an entry to be committed.
+/// A caller waiting for an entry to be committed.
 struct Waiter {
     term: Term,
     done: oneshot::Sender<ProposalEnd>,
 }
 
-/// A poll that was granted.
+/// A pre-vote that was granted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PollGrant {
     pub(crate) at: MonotonicTime,
-    /// The end of the candidate's log and who it is: of two candidates the higher one goes first.
-    pub(crate) claim: (LogPosition, MemberId),
+    /// The last log position and the identity of the candidate. Of two candidates, the one with the
+    /// greater value takes precedence.
+    pub(crate) precedence: (LogPosition, MemberId),
 }
 
 pub(crate) struct NodeState {
@@ -78,25 +79,27 @@
     pub(crate) config: ConfigState,
     pub(crate) is_doubtful: bool,
     pub(crate) commit: LogIndex,
-    /// The highest index that a leader has called committed; may lie behind the end of the log.
+    /// The highest index that a leader has reported as committed. It may exceed the last index of
+    /// this log.
     pub(crate) known_commit: LogIndex,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
-    /// When a leader was last heard, or this process started.
-    pub(crate) heard: MonotonicTime,
-    /// Whether a leader was heard, or promised a vote, since this process started.
-    pub(crate) has_heard: bool,
-    /// Whether this member is asking to lead.
-    pub(crate) is_asking: bool,
-    /// To whom this member last told that it would vote for it.
-    pub(crate) yielded: Option<PollGrant>,
-    /// A time at which the state here was known to be everything that control had accepted.
+    /// The time at which a leader was last heard from, or at which this process started.
+    pub(crate) leader_heard_at: MonotonicTime,
+    /// Whether this process has heard from a leader, or granted a vote, since it started.
+    pub(crate) has_heard_leader: bool,
+    /// Whether this member is campaigning.
+    pub(crate) is_campaigning: bool,
+    /// The last pre-vote that this member granted.
+    pub(crate) granted_poll: Option<PollGrant>,
+    /// A time at which the state was known to include every accepted change.
     pub(crate) confirmed: Option<BootTime>,
     pub(crate) pending: VecDeque<Proposal>,
-    /// What members have acknowledged to this process as their leader, since it started.
+    /// The last position that each member has acknowledged to this process as the leader, since it
+    /// started.
     pub(crate) witnessed: BTreeMap<MemberId, LogPosition>,
     pub(crate) stopped: Option<ControlError>,
-    /// Whether the disk refused a write for lack of space and has taken none since.
+    /// Whether a write failed for lack of disk space and none has succeeded since.
     pub(crate) is_disk_full: bool,
     waiters: BTreeMap<LogIndex, Waiter>,
 }
@@ -118,10 +121,10 @@
             known_commit: applied,
             role: Role::Follower,
             leader: None,
-            heard: now,
-            has_heard: false,
-            is_asking: false,
-            yielded: None,
+            leader_heard_at: now,
+            has_heard_leader: false,
+            is_campaigning: false,
+            granted_poll: None,
             confirmed: None,
             pending: VecDeque::new(),
             witnessed: BTreeMap::new(),
@@ -135,18 +138,18 @@
         self.tail.membership()
     }
 
-    /// Takes note of a leader, or of one that is about to lead.
-    pub(crate) fn hear(&mut self, now: MonotonicTime) {
-        self.heard = now;
-        self.has_heard = true;
+    /// Records contact with a leader, or with a candidate that is about to become one.
+    pub(crate) fn note_leader_contact(&mut self, now: MonotonicTime) {
+        self.leader_heard_at = now;
+        self.has_heard_leader = true;
     }
 
-    /// The end of this member's log.
-    pub(crate) fn end(&self) -> LogPosition {
+    /// Returns the last position of this member's log.
+    pub(crate) fn log_end(&self) -> LogPosition {
         LogPosition { term: self.tail.last_term(), index: self.tail.last() }
     }
 
-    /// Whether this member may make anything durable now.
+    /// Returns whether this member can currently write durable state.
     pub(crate) fn can_write(&self) -> bool {
         self.stopped.is_none() && !self.is_disk_full
     }
@@ -155,7 +158,7 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leadership of `term`, while it lasts.
+    /// Returns the leadership of `term`, if this member still leads in that term.
     pub(crate) fn leadership(&self, term: Term) -> Option<&Leadership> {
         match &self.role {
             Role::Leader(leadership) if leadership.term == term => Some(leadership),
@@ -170,13 +173,13 @@
         }
     }
 
-    /// Whether the leader of `term` has committed an entry of that term.
+    /// Returns whether the leader of `term` has committed an entry of that term.
     pub(crate) fn is_settled(&self, term: Term) -> bool {
         self.leadership(term).is_some_and(|l| self.commit >= l.first)
     }
 
-    /// The latest time at which a quorum is known to have followed this leader: the send time of
-    /// requests that a quorum, the leader included, has answered.
+    /// Returns the latest time at which a quorum is known to have followed this leader: the send
+    /// time of requests that a quorum, including the leader, has answered.
     pub(crate) fn quorum_acked(&self, me: MemberId, now: MonotonicTime) -> Option<MonotonicTime> {
         let Role::Leader(leadership) = &self.role else { return None };
         let membership = self.membership()?;
@@ -184,28 +187,28 @@
             if id == me { Some(now) } else { leadership.progress.get(&id)?.acked }
         };
         let mut times: Vec<_> =
-            membership.voters().map(|m| acked(m.id).unwrap_or(leadership.since)).collect();
+            membership.voters().map(|m| acked(m.id).unwrap_or(leadership.began)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(membership.quorum() - 1).copied()
     }
 
-    /// The latest time at which no other leader can have been elected: the send time of requests
-    /// that a quorum, the leader included, has answered.
+    /// Returns the latest time at which no other leader can have been elected: the send time of
+    /// requests that a quorum, including the leader, has answered.
     ///
-    /// A voter that has not answered in this term says nothing here. Its vote for this leader was
-    /// given before the leadership began, and it may have voted for another one since.
-    pub(crate) fn quorum_followed(&self, me: MemberId, now: BootTime) -> Option<BootTime> {
+    /// A voter that has not answered in this term is not counted. It voted for this leader before
+    /// the leadership began, and may have voted for another one since.
+    pub(crate) fn quorum_acked_boot(&self, me: MemberId, now: BootTime) -> Option<BootTime> {
         let Role::Leader(leadership) = &self.role else { return None };
         let membership = self.membership()?;
-        let followed = |id: MemberId| {
-            if id == me { Some(now) } else { leadership.progress.get(&id)?.followed }
+        let acked_boot = |id: MemberId| {
+            if id == me { Some(now) } else { leadership.progress.get(&id)?.acked_boot }
         };
-        let mut times: Vec<_> = membership.voters().filter_map(|m| followed(m.id)).collect();
+        let mut times: Vec<_> = membership.voters().filter_map(|m| acked_boot(m.id)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(membership.quorum() - 1).copied()
     }
 
-    /// The highest index that a quorum holds, as far as this leader knows.
+    /// Returns the highest index known to be stored by a quorum.
     pub(crate) fn quorum_matched(&self, me: MemberId) -> Option<LogIndex> {
         let Role::Leader(leadership) = &self.role else { return None };
         let membership = self.membership()?;
@@ -218,7 +221,7 @@
         indexes.get(membership.quorum() - 1).copied()
     }
 
-    /// Takes note of a ballot that is synced. A higher term ends a leadership.
+    /// Stores a ballot that has been synced. A higher term ends a leadership.
     pub(crate) fn set_ballot(&mut self, ballot: Ballot) {
         if ballot.term > self.ballot.term {
             self.leader = None;
@@ -227,21 +230,21 @@
         self.ballot = ballot;
     }
 
-    /// Begins to lead. The first entry is a [`Command::Noop`]: committing it commits what earlier
-    /// leaders left.
+    /// Begins a leadership. Its first entry is a [`Command::Noop`], since committing that entry
+    /// also commits the entries of earlier terms.
     pub(crate) fn begin_leadership(&mut self, term: Term, me: MemberId, now: MonotonicTime) {
         let first = self.tail.last().next();
         let progress = BTreeMap::new();
         let replicating = BTreeSet::from([me]);
         self.role =
-            Role::Leader(Leadership { term, since: now, probe: now, first, progress, replicating });
+            Role::Leader(Leadership { term, began: now, probe: now, first, progress, replicating });
         self.leader = Some(me);
         let (done, _) = oneshot::channel();
         self.pending.push_back(Proposal { command: Command::Noop, done });
     }
 
-    /// Stops leading. Whoever waits for a change is told that its outcome is unknown: its entry
-    /// may still be committed by the next leader.
+    /// Ends a leadership. Callers waiting for an entry receive an unknown outcome, since the next
+    /// leader may still commit the entry.
     pub(crate) fn end_leadership(&mut self, reason: &str) {
         if !self.is_leader() {
             return;
@@ -266,8 +269,8 @@
         self.waiters.insert(index, Waiter { term, done });
     }
 
-    /// Commits up to `index` at most, applies, and answers those who wait. Returns the accepted
-    /// changes, for the time line.
+    /// Advances the commit index to `index` or the end of the log, applies the entries, and answers
+    /// the waiting callers. Returns the outcomes for reporting as events.
     pub(crate) fn commit_to(&mut self, index: LogIndex) -> Vec<ConfigOutcome> {
         self.commit = self.commit.max(index.min(self.tail.last()));
         self.known_commit = self.known_commit.max(self.commit);
@@ -280,16 +283,19 @@
                 outcomes.push(outcome.clone());
             }
             if let Some(waiter) = self.waiters.remove(&next) {
-                drop(waiter.done.send(end_of(waiter.term == term, decision)));
+                drop(waiter.done.send(proposal_end(waiter.term == term, decision)));
             }
         }
         outcomes
     }
 }
 
-fn end_of(is_own: bool, decision: Option<Result<ConfigOutcome, ChangeRefusal>>) -> ProposalEnd {
+fn proposal_end(
+    is_own: bool,
+    decision: Option<Result<ConfigOutcome, ChangeRefusal>>,
+) -> ProposalEnd {
     if !is_own {
-        let reason = "another leader's entry took its place".to_owned();
+        let reason = "the entry was replaced by one of another leader".to_owned();
         return Err(ChangeError::Unknown { reason });
     }
     decision.transpose().map_err(ChangeError::from)
--- a/crates/control/src/consensus/tail.rs
+++ b/crates/control/src/consensus/tail.rs
@@ -1,4 +1,4 @@
-//! The part of the log behind the snapshot, in memory.
+//! The in-memory part of the log: the entries after the snapshot.
 
 use {
     crate::entry::{Command, LogEntry, LogIndex, Membership, Term},
@@ -6,7 +6,7 @@
     std::{collections::VecDeque, rc::Rc},
 };
 
-/// Entries behind a snapshot, and the membership in force at their end.
+/// The entries after a snapshot, and the memberships in force among them.
 #[derive(Debug, Default)]
 pub(crate) struct LogTail {
     base: LogIndex,
@@ -23,7 +23,7 @@
         Self { base, base_term, base_membership, ..Self::default() }
     }
 
-    /// The last entry that only the snapshot holds.
+    /// Returns the last index included in the snapshot.
     pub(crate) fn base(&self) -> LogIndex {
         self.base
     }
@@ -36,17 +36,17 @@
         self.entries.back().map_or(self.base_term, |e| e.term)
     }
 
-    /// The wall time of the last entry, where it is not in the snapshot.
+    /// Returns the wall time of the last entry, or `None` if that entry is in the snapshot.
     pub(crate) fn last_wall(&self) -> Option<WallMillis> {
         self.entries.back().map(|e| e.wall)
     }
 
-    /// About the bytes of the entries.
+    /// Returns the approximate size of the entries, in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The term of the entry at `index`; `None` where the log does not know it.
+    /// Returns the term of the entry at `index`, or `None` if the log does not contain it.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base { Some(self.base_term) } else { self.get(index).map(|e| e.term) }
     }
@@ -56,14 +56,14 @@
         self.entries.get(offset as usize)
     }
 
-    /// The entries from `index` on.
-    pub(crate) fn from(&self, index: LogIndex) -> impl Iterator<Item = &LogEntry> {
+    /// Returns the entries from `index` on.
+    pub(crate) fn entries_from(&self, index: LogIndex) -> impl Iterator<Item = &LogEntry> {
         let offset = index.0.saturating_sub(self.base.0 + 1) as usize;
         self.entries.range(offset.min(self.entries.len())..)
     }
 
-    /// Puts an entry in its place; what stood there and behind it is gone.
-    pub(crate) fn place(&mut self, entry: LogEntry) {
+    /// Stores an entry at its index and discards all entries from that index on.
+    pub(crate) fn put(&mut self, entry: LogEntry) {
         let offset = (entry.index.0 - self.base.0 - 1) as usize;
         for replaced in self.entries.drain(offset..) {
             self.bytes -= replaced.size_hint() as u64;
@@ -76,7 +76,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries up to `index`, which a snapshot now holds.
+    /// Discards the entries up to `index`, which a snapshot now includes.
     pub(crate) fn compact(&mut self, index: LogIndex) {
         let Some(term) = self.term_at(index) else { return };
         self.base_membership = self.membership_at(index).cloned();
@@ -88,17 +88,17 @@
         self.base_term = term;
     }
 
-    /// The membership in force: the last one in the log, committed or not.
+    /// Returns the membership in force: the last one in the log, committed or not.
     pub(crate) fn membership(&self) -> Option<&Rc<Membership>> {
         self.membership_at(self.last())
     }
 
-    /// Where the membership in force stands; the snapshot's end where it is older.
+    /// Returns the index of the membership in force, or that of the snapshot if it is older.
     pub(crate) fn membership_index(&self) -> LogIndex {
         self.memberships.last().map_or(self.base, |(index, _)| *index)
     }
 
-    /// The membership in force at `index`.
+    /// Returns the membership in force at `index`.
     pub(crate) fn membership_at(&self, index: LogIndex) -> Option<&Rc<Membership>> {
         let found = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         found.map(|(_, membership)| membership).or(self.base_membership.as_ref())
--- a/crates/control/src/consensus/voting.rs
+++ b/crates/control/src/consensus/voting.rs
@@ -1,8 +1,8 @@
-//! Answers to those who ask to lead.
+//! Leader election: the voter.
 
 use {
     super::{
-        core::{ControlCore, NotWritten},
+        core::{ControlCore, WriteUnavailable},
         message::{VoteReply, VoteRequest},
         state::{NodeState, PollGrant},
     },
@@ -11,34 +11,33 @@
 };
 
 impl ControlCore {
-    /// Answers a request for a vote, or a poll that asks what the answer would be.
+    /// Answers a vote request or a pre-vote.
     pub(super) async fn handle_vote(&self, request: VoteRequest) -> Result<VoteReply, PeerFault> {
         self.check_envelope(&request.envelope)?;
-        // A vote that cannot be written is not given, so it must not be promised to a poll either.
+        // A vote that cannot be written is not granted, so a pre-vote must not promise it either.
         if !self.state.borrow().can_write() {
-            return Err(not_written(NotWritten));
+            return Err(write_unavailable(WriteUnavailable));
         }
         let mut store = self.store.lock().await;
         let ballot = self.state.borrow().ballot;
-        let is_granted = self.would_grant(&request) && !self.goes_first(&request);
+        let is_granted = self.would_grant(&request) && !self.has_better_candidate(&request);
         if request.is_poll && is_granted {
-            let claim = (request.last, request.envelope.from);
-            self.state.borrow_mut().yielded = Some(PollGrant { at: self.now(), claim });
+            let precedence = (request.last, request.envelope.from);
+            self.state.borrow_mut().granted_poll = Some(PollGrant { at: self.now(), precedence });
         }
-        if !request.is_poll && !self.follows_leader() && request.term >= ballot.term {
-            let vote = if is_granted {
-                Some(request.envelope.from)
-            } else {
-                ballot_vote(ballot, &request)
-            };
+        if !request.is_poll && !self.has_live_leader() && request.term >= ballot.term {
+            let vote =
+                if is_granted { Some(request.envelope.from) } else { prior_vote(ballot, &request) };
             let cast = Ballot { term: request.term, vote };
             if cast != ballot {
-                self.write(&mut store, &[LogRecord::Ballot(cast)]).await.map_err(not_written)?;
+                self.write(&mut store, &[LogRecord::Ballot(cast)])
+                    .await
+                    .map_err(write_unavailable)?;
                 self.state.borrow_mut().set_ballot(cast);
             }
             if is_granted {
                 let now = self.now();
-                self.state.borrow_mut().hear(now);
+                self.state.borrow_mut().note_leader_contact(now);
             }
             self.signal.notify();
         }
@@ -48,60 +47,63 @@
 
     fn would_grant(&self, request: &VoteRequest) -> bool {
         let state = self.state.borrow();
-        let vote_is_free = request.term > state.ballot.term
+        let has_free_vote = request.term > state.ballot.term
             || (request.term == state.ballot.term
                 && state.ballot.vote.is_none_or(|vote| vote == request.envelope.from));
-        vote_is_free && !self.follows_leader() && is_up_to_date(&state, request)
+        has_free_vote && !self.has_live_leader() && is_up_to_date(&state, request)
     }
 
-    /// Whether this member refuses a poll because one with the better claim asks to lead: itself,
-    /// or another one whose poll it has just granted.
+    /// Returns whether this member refuses a pre-vote in favour of a candidate with higher
+    /// precedence: itself, or another one whose pre-vote it has just granted.
     ///
-    /// Two that ask within a round trip of each other would both be told that they would win, vote
-    /// for themselves and refuse each other, again and again: with three voters left of five and
-    /// 55 ms between them, one election in ten took over three seconds, the longest 5.5 s, and no
-    /// process was sure of its configuration meanwhile. Refusing a poll costs nobody a vote.
-    fn goes_first(&self, request: &VoteRequest) -> bool {
+    /// Otherwise two candidates that campaign within a round trip of each other would both be told
+    /// that they would win, vote for themselves and refuse each other, repeatedly. With three of
+    /// five voters left and 55 ms between them, one election in ten took over three seconds, and up
+    /// to 5.5 s, during which no process could confirm its configuration. Refusing a pre-vote costs
+    /// no candidate a vote.
+    fn has_better_candidate(&self, request: &VoteRequest) -> bool {
         let state = self.state.borrow();
-        let claim = (request.last, request.envelope.from);
-        let is_before = |grant: PollGrant| {
-            grant.claim > claim && self.now().since(grant.at) < self.config.call_limit
+        let precedence = (request.last, request.envelope.from);
+        let takes_precedence = |grant: PollGrant| {
+            grant.precedence > precedence && self.now().since(grant.at) < self.config.call_limit
         };
-        let asks_first = state.is_asking && (state.end(), self.me) > claim;
-        request.is_poll && (asks_first || state.yielded.is_some_and(is_before))
+        let is_better_itself = state.is_campaigning && (state.log_end(), self.me) > precedence;
+        request.is_poll && (is_better_itself || state.granted_poll.is_some_and(takes_precedence))
     }
 
-    /// Whether this member leads or has heard of a leader so lately that the leader may still
-    /// count on it. A member that was cut off and comes back must not depose a working leader.
+    /// Returns whether this member leads, or has heard from a leader so recently that the leader
+    /// may still rely on it. A member that reconnects after a partition must not depose a working
+    /// leader.
     ///
-    /// One that has just started may have answered a leader in its run before. Where the disk is
-    /// trusted it holds what it answered, and that leader is deposed only if a majority has not
-    /// heard it lately either, so it may vote at once. A disk that may have lost acknowledged
-    /// entries gives a vote that takes back what was accepted, so there a start counts as hearing:
-    /// in that time others tell this member what it had acknowledged, see
-    /// [`ask_witnesses`](Self::ask_witnesses).
-    fn follows_leader(&self) -> bool {
+    /// A member that has just started may have answered a leader in its previous run. If the disk
+    /// is trusted, the member holds what it answered, and that leader is deposed only if a majority
+    /// has not heard from it recently either, so the member may vote at once. If the disk may have
+    /// lost acknowledged entries, such a vote could revert accepted changes, so a start counts as
+    /// contact with a leader. During that time the other voters report what this member had
+    /// acknowledged, see [`check_acknowledged_position`](Self::check_acknowledged_position).
+    fn has_live_leader(&self) -> bool {
         let state = self.state.borrow();
-        let counts = state.has_heard || !self.config.trusts_disk;
-        let has_heard_lately = counts && self.now().since(state.heard) < self.config.election_least;
-        state.is_leader() || has_heard_lately
+        let counts_start = state.has_heard_leader || !self.config.trusts_disk;
+        let has_heard_recently =
+            counts_start && self.now().since(state.leader_heard_at) < self.config.election_min;
+        state.is_leader() || has_heard_recently
     }
 }
 
-/// Whether the candidate holds everything that may have been accepted.
+/// Returns whether the candidate holds everything that may have been accepted.
 ///
 /// The comparison with `known_commit` guards against disks that lose acknowledged syncs: a member
-/// that has heard of a commit, even one whose entries it lacks, elects nobody who lacks them.
+/// that has learned of a commit, even without its entries, votes for no candidate that lacks them.
 fn is_up_to_date(state: &NodeState, request: &VoteRequest) -> bool {
-    request.last >= state.end() && request.last.index >= state.known_commit
+    request.last >= state.log_end() && request.last.index >= state.known_commit
 }
 
-/// The vote that stays where none is granted: the one given before in the same term.
-fn ballot_vote(ballot: Ballot, request: &VoteRequest) -> Option<crate::entry::MemberId> {
+/// Returns the vote to keep if none is granted: an earlier vote in the same term.
+fn prior_vote(ballot: Ballot, request: &VoteRequest) -> Option<crate::entry::MemberId> {
     ballot.vote.filter(|_| ballot.term == request.term)
 }
 
-pub(super) fn not_written(_: NotWritten) -> PeerFault {
+pub(super) fn write_unavailable(_: WriteUnavailable) -> PeerFault {
     PeerFault::unavailable(
         "this control process has stopped, or its disk is full; see its log for the remedy",
     )
--- a/crates/control/src/disk/files.rs
+++ b/crates/control/src/disk/files.rs
@@ -1,7 +1,7 @@
-//! The folder on a real disk.
+//! A data folder in the file system of the operating system.
 //!
-//! A sync takes milliseconds and sometimes seconds. The thread of the event loop must not wait for
-//! it, since the same thread answers heartbeats, so all file work runs on one thread of its own.
+//! A sync takes milliseconds and sometimes seconds. The event loop must not block on it, since it
+//! also answers heartbeats, so all file operations run on a dedicated thread.
 
 use {
     super::{DataFolder, DiskError, FileStat},
@@ -17,16 +17,16 @@
     },
 };
 
-/// Held locked while a process uses the folder.
+/// The lock file, held locked while a process uses the folder.
 const LOCK_NAME: &str = "lock";
 
-/// The mode of a folder that its owner alone reads.
+/// The mode of a directory that only its owner can access.
 const OWNER_ONLY: u32 = 0o700;
 
-/// File work for the disk's thread.
+/// A file operation for the disk thread.
 type DiskJob = Box<dyn FnOnce(&Path) + Send>;
 
-/// A folder of the operating system, used by this process alone.
+/// A directory of the operating system, locked for exclusive use by this process.
 #[derive(Debug)]
 pub struct FileFolder {
     jobs: mpsc::Sender<DiskJob>,
@@ -34,23 +34,24 @@
 }
 
 impl FileFolder {
-    /// Opens the folder, which is created where it is missing.
+    /// Opens the folder at `path` and creates it if it does not exist.
     pub fn open(path: &Path) -> Result<Self, DiskError> {
-        let shown = path.display().to_string();
-        // It holds the configuration, and with it callers' keys.
+        let displayed_path = path.display().to_string();
+        // The folder contains the configuration, which includes callers' keys.
         fs::DirBuilder::new()
             .recursive(true)
             .mode(OWNER_ONLY)
             .create(path)
-            .map_err(|e| failed("creating", &shown, &e))?;
-        let lock = File::create(path.join(LOCK_NAME)).map_err(|e| failed("locking", &shown, &e))?;
-        lock.try_lock().map_err(|_| DiskError::InUse { name: shown.clone() })?;
+            .map_err(|e| to_disk_error("creating", &displayed_path, &e))?;
+        let lock = File::create(path.join(LOCK_NAME))
+            .map_err(|e| to_disk_error("locking", &displayed_path, &e))?;
+        lock.try_lock().map_err(|_| DiskError::InUse { name: displayed_path.clone() })?;
         let (jobs, queue) = mpsc::channel::<DiskJob>();
         let root = path.to_owned();
         thread::Builder::new()
             .name("disk".to_owned())
             .spawn(move || run_jobs(&root, &queue))
-            .map_err(|e| failed("starting the thread for", &shown, &e))?;
+            .map_err(|e| to_disk_error("starting the thread for", &displayed_path, &e))?;
         Ok(Self { jobs, _lock: lock })
     }
 
@@ -65,14 +66,14 @@
         let sent = self.jobs.send(job);
         let name = name.to_owned();
         Box::pin(async move {
-            let gone = || DiskError::Failed {
+            let thread_ended = || DiskError::Failed {
                 action,
                 name: name.clone(),
-                reason: "the disk's thread has ended".to_owned(),
+                reason: "the disk thread has ended".to_owned(),
             };
-            sent.map_err(|_| gone())?;
-            let result = outcome.await.map_err(|_| gone())?;
-            result.map_err(|e| failed(action, &name, &e))
+            sent.map_err(|_| thread_ended())?;
+            let result = outcome.await.map_err(|_| thread_ended())?;
+            result.map_err(|e| to_disk_error(action, &name, &e))
         })
     }
 }
@@ -83,7 +84,7 @@
     }
 }
 
-fn failed(action: &'static str, name: &str, error: &io::Error) -> DiskError {
+fn to_disk_error(action: &'static str, name: &str, error: &io::Error) -> DiskError {
     let name = name.to_owned();
     match error.kind() {
         ErrorKind::NotFound => DiskError::Missing { name },
--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -1,8 +1,9 @@
-//! The seam to the disk. A control process keeps its state in flat files of one folder.
+//! Abstraction of the disk. A control process keeps its state in flat files of one folder.
 //!
-//! What a file holds lasts only once [`DataFolder::sync`] has returned, and a name (a new file, a
-//! rename, a removal) only once [`DataFolder::sync_folder`] has. Code above this trait must be
-//! right under exactly these promises; the tests' fake keeps no more than them.
+//! The contents of a file are durable only once [`DataFolder::sync`] has returned, and a directory
+//! change (a new file, a rename, a removal) only once [`DataFolder::sync_folder`] has. Code that
+//! uses this trait must be correct under exactly these guarantees; the in-memory disk of the tests
+//! provides no more than them.
 
 mod files;
 
@@ -10,7 +11,7 @@
 
 use {gullglade_units::LocalFuture, snafu::Snafu};
 
-/// A file of the folder.
+/// A file in the data folder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileStat {
     /// Its name, without a path.
@@ -19,39 +20,39 @@
     pub size: u64,
 }
 
-/// Why the disk did not do what it was asked.
+/// Errors of disk operations.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum DiskError {
-    /// No space is left.
+    /// No space is left on the device.
     #[snafu(display(
-        "the disk of the data folder is full while writing {name}; free space on it: this process \
-         takes part again by itself, and nothing accepted is lost"
+        "the disk of the data folder is full: {name} could not be written; free space on it: this \
+         process then resumes without a restart, and no accepted change is lost"
     ))]
     Full {
-        /// The file.
+        /// The file being written.
         name: String,
     },
-    /// The file is not there.
+    /// The file does not exist.
     #[snafu(display(
         "{name} is missing from the data folder; restore the folder or replace this voter with \
          `gladectl control replace`"
     ))]
     Missing {
-        /// The file.
+        /// The missing file.
         name: String,
     },
-    /// A file reads shorter than its size.
+    /// Fewer bytes could be read than the file has.
     #[snafu(display(
         "{name} has {size} bytes but only {read} could be read; check the disk, then restart, or \
          replace this voter with `gladectl control replace`"
     ))]
     ShortRead {
-        /// The file.
+        /// The file that was read.
         name: String,
-        /// Its size.
+        /// Its size in bytes.
         size: u64,
-        /// The bytes that came.
+        /// The number of bytes read.
         read: u64,
     },
     /// Another process uses the folder.
@@ -60,58 +61,58 @@
          its own --data-dir"
     ))]
     InUse {
-        /// The folder.
+        /// The path of the folder.
         name: String,
     },
-    /// The system refused.
+    /// The operating system reported another error.
     #[snafu(display(
         "{action} {name} failed: {reason}; check the disk and the folder's permissions, then \
          restart this process"
     ))]
     Failed {
-        /// What was attempted.
+        /// The operation that failed.
         action: &'static str,
-        /// The file.
+        /// The file or folder concerned.
         name: String,
-        /// The system's words.
+        /// The message of the operating system.
         reason: String,
     },
 }
 
-/// One folder of flat files.
+/// A folder of flat files.
 pub trait DataFolder {
-    /// The files there are.
+    /// Lists the files.
     fn list(&self) -> LocalFuture<'_, Result<Vec<FileStat>, DiskError>>;
 
-    /// The whole of a file, as far as the disk gives it.
+    /// Reads the contents of a file. The result may be shorter than the file: see [`read_checked`].
     fn read<'a>(&'a self, name: &'a str) -> LocalFuture<'a, Result<Vec<u8>, DiskError>>;
 
-    /// Adds `bytes` at the end of a file, which is created where it is missing. After an error
-    /// any part of `bytes` may have been written.
+    /// Appends `bytes` to a file, which is created if it does not exist. After an error, any prefix
+    /// of `bytes` may have been written.
     fn append<'a>(
         &'a self,
         name: &'a str,
         bytes: Vec<u8>,
     ) -> LocalFuture<'a, Result<(), DiskError>>;
 
-    /// Returns once everything appended to the file will outlast a power loss.
+    /// Returns once everything appended to the file survives a power loss.
     fn sync<'a>(&'a self, name: &'a str) -> LocalFuture<'a, Result<(), DiskError>>;
 
-    /// Gives a file another name, replacing a file of that name, in one step.
+    /// Atomically renames a file, replacing any file that has the new name.
     fn rename<'a>(&'a self, from: &'a str, to: &'a str) -> LocalFuture<'a, Result<(), DiskError>>;
 
-    /// Removes a file; no error where it is missing.
+    /// Removes a file; succeeds if the file does not exist.
     fn remove<'a>(&'a self, name: &'a str) -> LocalFuture<'a, Result<(), DiskError>>;
 
-    /// Returns once all names will outlast a power loss.
+    /// Returns once all file creations, renames and removals survive a power loss.
     fn sync_folder(&self) -> LocalFuture<'_, Result<(), DiskError>>;
 }
 
-/// Reads a file and compares its length with the folder's list.
+/// Reads a file and verifies its length against the folder's listing.
 ///
-/// A read that ends early on the border of two records looks exactly like a shorter log, and the
-/// records behind it, which may be accepted changes, would be overwritten. The size in the list is
-/// the second witness.
+/// A short read that ends exactly between two records is indistinguishable from a shorter log, and
+/// the records after it, which may be accepted changes, would be overwritten. The size in the
+/// listing provides an independent check.
 pub async fn read_checked(folder: &dyn DataFolder, stat: &FileStat) -> Result<Vec<u8>, DiskError> {
     let bytes = folder.read(&stat.name).await?;
     let read = bytes.len() as u64;
@@ -121,7 +122,7 @@
     Err(DiskError::ShortRead { name: stat.name.clone(), size: stat.size, read })
 }
 
-/// Writes a file so that it is there whole or not at all, whatever happens meanwhile.
+/// Writes a file atomically: after a crash at any point the file is either complete or unchanged.
 pub async fn write_atomic(
     folder: &dyn DataFolder,
     name: &str,
@@ -131,7 +132,7 @@
     folder.remove(&draft).await?;
     let written = write_draft(folder, &draft, chunks).await;
     if matches!(written, Err(DiskError::Full { .. })) {
-        // What a full disk took of it would keep the space from what is smaller.
+        // A partial file on a full disk would occupy space that smaller writes could use.
         folder.remove(&draft).await?;
     }
     written?;
@@ -150,5 +151,6 @@
     folder.sync(draft).await
 }
 
-/// Ends the names of files that are being written; what a crash leaves of them means nothing.
+/// The suffix of files that are still being written. Files with this suffix that remain after a
+/// crash are discarded.
 pub(crate) const DRAFT_SUFFIX: &str = ".draft";
--- a/crates/control/src/distribution/feed.rs
+++ b/crates/control/src/distribution/feed.rs
@@ -1,8 +1,10 @@
-//! Answering those who ask for configuration.
+//! Serves configuration to other processes.
 
 use {
     super::{
-        message::{ControlPlaces, FETCH, FetchReply, FetchRequest, REPORT, ReplicaReport, STATUS},
+        message::{
+            ControlEndpoints, FETCH, FetchReply, FetchRequest, REPORT, ReplicaReport, STATUS,
+        },
         pack::pack,
         reports::ReportTable,
     },
@@ -19,30 +21,30 @@
     std::{rc::Rc, task::Poll, time::Duration},
 };
 
-/// The bytes of one answer. A first configuration of 18 MB takes 70 answers.
+/// The size of one page in bytes. A first configuration of 18 MB takes 70 pages.
 const PAGE_BYTES: usize = 256 << 10;
 
-/// Answers that can be asked for beside each other: with a window of 64 KiB a stream, 1 MiB moves
-/// in a round trip.
+/// The maximum number of pages that can be requested concurrently. With a window of 64 KiB per
+/// stream, they transfer 1 MiB in a round trip.
 const MAX_MARKS: usize = 16;
 
-/// The longest that an answer waits for something new.
+/// The maximum time for which a reply is held until there are updates.
 const MAX_HOLD: Duration = Duration::from_secs(10);
 
-/// A process that has not heard from control for this long answers at once, so that those who ask
-/// can look elsewhere.
+/// The age up to which a process counts as recently confirmed by control. A process with an older
+/// state answers at once, so that the requester can turn to another one.
 pub(super) const FRESH_AGE: Duration = Duration::from_secs(6);
 
-/// What a process has.
+/// A summary of the configuration that a process holds.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FeedSummary {
     pub(crate) cluster: ClusterId,
     pub(crate) applied: LogIndex,
-    /// A time at which this was everything that control had accepted.
+    /// A time at which the configuration included every accepted change.
     pub(crate) confirmed: Option<MonotonicTime>,
 }
 
-/// Services changed after a cursor.
+/// The services changed after a cursor.
 pub(crate) struct FeedPage {
     pub(crate) records: Vec<ServiceRecord>,
     pub(crate) cursor: LogIndex,
@@ -50,39 +52,40 @@
     pub(crate) marks: Vec<LogIndex>,
 }
 
-/// The part of the changes that is asked for.
+/// The requested range of changes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FeedRange {
     pub(crate) cursor: LogIndex,
     pub(crate) until: Option<LogIndex>,
 }
 
-/// A process that serves configuration: control from its log, a gateway from its replica.
+/// A process that serves configuration: a control process from its log, or a gateway from its
+/// replica.
 pub(crate) trait ConfigFeed {
-    /// What the process has, or `None` where it has no configuration.
+    /// Returns a summary of the configuration, or `None` if the process has none.
     fn summary(&self) -> Option<FeedSummary>;
 
-    /// The first services changed in `range`, up to `limit` bytes.
+    /// Returns the first services changed in `range`, up to `limit` bytes.
     fn page(&self, range: FeedRange, limit: usize) -> FeedPage;
 
-    /// The claim groups changed after `after`, up to `end`: they go with the page that ends there.
-    /// A group that went only with the last page of an answer would be missed where another
-    /// process continues it behind the group's index.
+    /// Returns the claim groups changed after `after`, up to `end`, which are sent with the page
+    /// that ends there. If all groups were sent with the last page, a transfer that another process
+    /// continues after a group's index would miss that group.
     fn groups(&self, after: LogIndex, end: LogIndex) -> Vec<GroupRecord>;
 
-    /// Where the members of the log are, as far as the process knows.
-    fn places(&self) -> ControlPlaces;
+    /// Returns the known endpoints of the control processes.
+    fn control_endpoints(&self) -> ControlEndpoints;
 
-    /// Notified whenever what the process has changes.
+    /// Returns the signal that is notified whenever the configuration changes.
     fn signal(&self) -> &WakeSignal;
 
-    /// What the askers have in force.
+    /// Returns the reports of the requesters on their configuration.
     fn reports(&self) -> &ReportTable;
 
     fn clock(&self) -> &dyn Clock;
 }
 
-/// Those of `groups` that were changed after `after`, up to `end`.
+/// Returns those of `groups` that were changed after `after`, up to `end`.
 pub(crate) fn groups_between<'a>(
     groups: impl Iterator<Item = &'a GroupRecord>,
     after: LogIndex,
@@ -91,10 +94,10 @@
     groups.filter(|group| group.index > after && group.index <= end).cloned().collect()
 }
 
-/// The first of `records` (those changed after the range's cursor, in the order of their last
-/// changes) up to `limit` bytes, one at least. `complete_at` is where the asker stands if it takes
-/// all of them.
-pub(crate) fn page_of<'a>(
+/// Builds a page from the first of `records` (those changed after the cursor of `range`, ordered by
+/// their last change): at least one record, up to `limit` bytes. `complete_at` is the index that
+/// the requester reaches with all of them.
+pub(crate) fn build_page<'a>(
     records: impl Iterator<Item = &'a ServiceRecord>,
     range: FeedRange,
     limit: usize,
@@ -115,7 +118,7 @@
         page.records.push(record.clone());
     }
     if records.peek().is_some() {
-        page.marks = marks_of(records, limit);
+        page.marks = page_marks(records, limit);
     } else if let Some(until) = range.until {
         page.cursor = until;
     } else {
@@ -125,8 +128,8 @@
     page
 }
 
-/// Where the next pages of `limit` bytes end.
-fn marks_of<'a>(records: impl Iterator<Item = &'a ServiceRecord>, limit: usize) -> Vec<LogIndex> {
+/// Returns the indexes at which the next pages of `limit` bytes end.
+fn page_marks<'a>(records: impl Iterator<Item = &'a ServiceRecord>, limit: usize) -> Vec<LogIndex> {
     let mut marks = Vec::new();
     let (mut bytes, mut last) = (0, None);
     for record in records {
@@ -143,7 +146,7 @@
     marks
 }
 
-/// Serves the methods "config.*".
+/// Handles the peer methods `config.*`.
 pub(crate) struct ConfigHandler(pub(crate) Rc<dyn ConfigFeed>);
 
 impl ConfigHandler {
@@ -156,7 +159,7 @@
             }
             REPORT => {
                 let reports: Vec<ReplicaReport> = decode(body).map_err(PeerFault::malformed)?;
-                self.note(reports);
+                self.record(reports);
                 Ok(Bytes::new())
             }
             STATUS => Ok(Bytes::from(encode(&self.0.reports().rows(self.0.clock().now())))),
@@ -164,22 +167,22 @@
         }
     }
 
-    fn note(&self, reports: Vec<ReplicaReport>) {
+    fn record(&self, reports: Vec<ReplicaReport>) {
         let now = self.0.clock().now();
-        if self.0.reports().note(reports, now) {
+        if self.0.reports().record(reports, now) {
             self.0.signal().notify();
         }
     }
 
     async fn fetch(&self, request: FetchRequest) -> Result<FetchReply, PeerFault> {
-        self.note(vec![request.report.clone()]);
+        self.record(vec![request.report.clone()]);
         let began = self.0.clock().now();
-        self.wait_for_news(&request).await;
+        self.wait_for_updates(&request).await;
         let summary = self.0.summary().ok_or_else(no_configuration)?;
         if request.cluster.is_some_and(|cluster| cluster != summary.cluster) {
             return Err(PeerFault::refused(format_args!(
-                "this process follows log {}; restart the asking process if the log was founded \
-                 anew on purpose",
+                "this process follows log {}; restart the requesting process if the log was \
+                 founded anew on purpose",
                 summary.cluster
             )));
         }
@@ -187,7 +190,7 @@
         let range = FeedRange { cursor: request.cursor, until: request.until };
         let page = self.0.page(range, PAGE_BYTES);
         let groups = self.0.groups(request.cursor, page.cursor);
-        let places = self.0.places();
+        let endpoints = self.0.control_endpoints();
         Ok(FetchReply {
             cluster: summary.cluster,
             records: page.records,
@@ -197,23 +200,24 @@
             marks: page.marks,
             age: summary.confirmed.map(|time| now.since(time)),
             held: now.since(began),
-            places: (places.index > request.places_index).then_some(places),
+            places: (endpoints.index > request.places_index).then_some(endpoints),
         })
     }
 
-    async fn wait_for_news(&self, request: &FetchRequest) {
+    async fn wait_for_updates(&self, request: &FetchRequest) {
         let hold = request.hold.min(MAX_HOLD);
-        let news = poll_fn(|cx| {
+        let updates = poll_fn(|cx| {
             if !self.is_up_to_date(request) {
                 return Poll::Ready(());
             }
             self.0.signal().register(cx.waker());
             Poll::Pending
         });
-        timeout(self.0.clock(), hold, news).await;
+        timeout(self.0.clock(), hold, updates).await;
     }
 
-    /// Whether there is nothing to tell: the asker has what this process has, and that is fresh.
+    /// Returns whether there is nothing to send: the requester has the configuration of this
+    /// process, which was confirmed recently.
     fn is_up_to_date(&self, request: &FetchRequest) -> bool {
         let Some(summary) = self.0.summary() else { return false };
         if request.until.is_some() {
@@ -223,7 +227,7 @@
         let is_fresh = summary.confirmed.is_some_and(|time| now.since(time) <= FRESH_AGE);
         request.cluster == Some(summary.cluster)
             && request.cursor == summary.applied
-            && request.places_index >= self.0.places().index
+            && request.places_index >= self.0.control_endpoints().index
             && is_fresh
     }
 }
--- a/crates/control/src/distribution/message.rs
+++ b/crates/control/src/distribution/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the distribution, peer methods "config.*".
+//! Messages of the configuration distribution, in the peer methods `config.*`.
 
 use {
     crate::{
@@ -18,74 +18,75 @@
 pub(crate) const REPORT: &str = "config.report";
 pub(crate) const STATUS: &str = "config.status";
 
-/// "What changed after `cursor`?"
+/// Asks for the changes after `cursor`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct FetchRequest {
-    /// The log that the asker follows, once it follows one.
+    /// The log that the requester follows, if it already follows one.
     pub(crate) cluster: Option<ClusterId>,
     pub(crate) cursor: LogIndex,
-    /// The last index asked for, where only a part is.
+    /// The last index requested, if only a part of the changes is.
     pub(crate) until: Option<LogIndex>,
-    /// The membership whose addresses the asker knows.
+    /// The index of the membership whose addresses the requester knows.
     pub(crate) places_index: LogIndex,
-    /// How long the answer may wait for something new.
+    /// The time for which the reply may be held until there are updates.
     pub(crate) hold: Duration,
-    /// What the asker has in force.
+    /// The requester's report on its configuration.
     pub(crate) report: ReplicaReport,
 }
 
-/// The services changed after the cursor, in the order of their last changes, as many as fit.
+/// The services changed after the cursor, ordered by their last change, as many as fit into a page.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct FetchReply {
     pub(crate) cluster: ClusterId,
     pub(crate) records: Vec<ServiceRecord>,
-    /// The claim groups changed between the two cursors.
+    /// The claim groups changed between the requested cursor and the new one.
     pub(crate) groups: Vec<GroupRecord>,
-    /// Where to go on.
+    /// The cursor for the next request.
     pub(crate) cursor: LogIndex,
-    /// The index that the asker then stands at; `None` where more is to come.
+    /// The index that the requester reaches with this page, or `None` if more pages follow.
     pub(crate) complete_at: Option<LogIndex>,
-    /// Where the answers after this one would end, as far as they are known. They can be asked for
-    /// beside each other: over a link with a delay, one stream moves one window a round trip.
+    /// The indexes at which the following pages end, as far as they are known. They can be
+    /// requested concurrently, since a single stream transfers only one window per round trip.
     pub(crate) marks: Vec<LogIndex>,
-    /// How long ago this process was last known to have everything control had accepted.
+    /// The time since this process was last known to have every accepted change.
     pub(crate) age: Option<Duration>,
-    /// How long the answer waited.
+    /// The time for which the reply was held.
     pub(crate) held: Duration,
-    pub(crate) places: Option<ControlPlaces>,
+    pub(crate) places: Option<ControlEndpoints>,
 }
 
-/// Where the members of the log are.
+/// The endpoints of the members of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ControlPlaces {
-    /// The membership's index.
+pub(crate) struct ControlEndpoints {
+    /// The index of the membership.
     pub(crate) index: LogIndex,
-    pub(crate) members: Vec<ControlPlace>,
+    pub(crate) members: Vec<ControlEndpoint>,
 }
 
-impl ControlPlaces {
+impl ControlEndpoints {
     pub(crate) fn of(index: LogIndex, membership: Option<&Membership>) -> Self {
         let members = membership.map(|m| m.members.as_slice()).unwrap_or_default();
-        let place = |m: &Member| ControlPlace { region: m.region.clone(), address: m.address };
-        Self { index, members: members.iter().map(place).collect() }
+        let to_endpoint =
+            |m: &Member| ControlEndpoint { region: m.region.clone(), address: m.address };
+        Self { index, members: members.iter().map(to_endpoint).collect() }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ControlPlace {
+pub(crate) struct ControlEndpoint {
     pub(crate) region: RegionName,
     pub(crate) address: SocketAddr,
 }
 
-/// What one gateway has in force.
+/// A gateway's report on its configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReport {
-    /// Its VM.
+    /// The VM of the gateway.
     pub vm: VmName,
-    /// Its region.
+    /// The region of the gateway.
     pub region: RegionName,
-    /// The index in force there; `None` where it has no configuration.
+    /// The index of its configuration, or `None` if it has none.
     pub applied: Option<LogIndex>,
-    /// How long ago it was last known to have everything control had accepted.
+    /// The time since it was last known to have every accepted change.
     pub age: Option<Duration>,
 }
--- a/crates/control/src/distribution/mod.rs
+++ b/crates/control/src/distribution/mod.rs
@@ -1,28 +1,31 @@
-//! From the log to every gateway.
+//! Distribution of the configuration from the log to every gateway.
 //!
-//! A gateway asks for "everything changed after index n" and the answer is each changed service at
-//! its newest version, in the order of their last changes. So a burst of changes to one service
-//! costs one document, a gateway that was away for a day and one that starts empty ask the same
-//! question, and an answer cut short can be continued at any other process, since a service that
-//! changes meanwhile only moves behind the cursor. Nothing is published until an answer is
-//! complete: a half-loaded configuration is the state of no index, and must not serve.
+//! A gateway asks for everything that changed after an index, and receives the newest version of
+//! each changed service, ordered by the index of its last change. A burst of changes to one service
+//! thus costs a single document. A gateway that was offline for a day and one that starts empty
+//! send the same request. An interrupted transfer can be continued at any other process, since a
+//! service that changes meanwhile only moves to a position after the cursor. A configuration is
+//! published only once the transfer is complete: a partial one corresponds to no index and must not
+//! be used.
 //!
-//! In each region one gateway, the relay, asks control; the others ask the relay. Nobody appoints
-//! it: every gateway ranks its region's gateways by the same hash and passes over those that do
-//! not answer.
+//! In each region one gateway, the relay, asks the control processes, and the others ask the relay.
+//! The relay is not elected: every gateway ranks the gateways of its region by the same hash and
+//! skips those that do not answer.
 
 mod feed;
 mod message;
 mod pack;
-mod places;
 mod replica;
 mod reports;
 mod status;
 mod sync;
+mod upstreams;
 
 pub(crate) use {
-    feed::{ConfigFeed, ConfigHandler, FeedPage, FeedRange, FeedSummary, groups_between, page_of},
-    message::{CONFIG_PREFIX, ControlPlaces, STATUS},
+    feed::{
+        ConfigFeed, ConfigHandler, FeedPage, FeedRange, FeedSummary, build_page, groups_between,
+    },
+    message::{CONFIG_PREFIX, ControlEndpoints, STATUS},
     reports::{ReportRow, ReportTable},
 };
 pub use {
--- a/crates/control/src/distribution/pack.rs
+++ b/crates/control/src/distribution/pack.rs
@@ -1,8 +1,8 @@
-//! Answers on their way, compressed where that pays.
+//! Encoding of replies, with compression where it pays.
 //!
-//! One changed document goes to every gateway of a region through its relay, so its bytes count
-//! many times. Long answers (a first configuration) go as they are: compressing them would hold up
-//! the streams of the gateway that answers, for 12 ms a quarter of a megabyte.
+//! A changed document is sent to every gateway of a region through its relay, so the saved bytes
+//! count many times. Long replies (a first configuration) are not compressed: that would block the
+//! streams of the sending gateway for 12 ms per 256 KiB.
 
 use {
     bytes::Bytes,
@@ -12,42 +12,50 @@
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// Shorter answers would not become shorter.
-const LEAST_BYTES: usize = 256;
+/// Shorter replies are not compressed, since they would not shrink.
+const MIN_DEFLATE_BYTES: usize = 256;
 
-/// Longer answers take too long to compress: 32 KiB take about a millisecond.
-const MOST_BYTES: usize = 32 << 10;
+/// Longer replies are not compressed, since that takes too long: about 1 ms for 32 KiB.
+const MAX_DEFLATE_BYTES: usize = 32 << 10;
 
-/// Deflate's effort, of 10.
-const EFFORT: u8 = 6;
+/// The compression level of Deflate, out of 10.
+const DEFLATE_LEVEL: u8 = 6;
 
-/// How the rest of an answer is coded: its first byte.
+/// The first byte of a reply: the encoding of the remaining bytes.
 const PLAIN: u8 = 0;
 const DEFLATED: u8 = 1;
 
-/// The bytes of an answer.
+/// Encodes a reply.
 pub(super) fn pack<T: Serialize>(answer: &T) -> Bytes {
     let plain = encode(answer);
-    if !(LEAST_BYTES..=MOST_BYTES).contains(&plain.len()) {
-        return tagged(PLAIN, &plain);
+    if !(MIN_DEFLATE_BYTES..=MAX_DEFLATE_BYTES).contains(&plain.len()) {
+        return with_tag(PLAIN, &plain);
+    }
+    let deflated = compress_to_vec(&plain, DEFLATE_LEVEL);
+    if deflated.len() < plain.len() {
+        with_tag(DEFLATED, &deflated)
+    } else {
+        with_tag(PLAIN, &plain)
     }
-    let deflated = compress_to_vec(&plain, EFFORT);
-    if deflated.len() < plain.len() { tagged(DEFLATED, &deflated) } else { tagged(PLAIN, &plain) }
 }
 
-fn tagged(tag: u8, bytes: &[u8]) -> Bytes {
+fn with_tag(tag: u8, bytes: &[u8]) -> Bytes {
     [&[tag], bytes].concat().into()
 }
 
-/// The answer of these bytes.
+/// Decodes a reply.
 pub(super) fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, PeerFault> {
-    let malformed = || PeerFault::malformed("the answer is not packed; is it the same version?");
+    let malformed = || {
+        PeerFault::malformed(
+            "the reply has an unknown encoding; run the same version on both processes",
+        )
+    };
     let (tag, rest) = bytes.split_first().ok_or_else(malformed)?;
     match *tag {
         PLAIN => decode(rest).map_err(PeerFault::malformed),
         DEFLATED => {
-            let plain =
-                decompress_to_vec_with_limit(rest, MOST_BYTES).map_err(PeerFault::malformed)?;
+            let plain = decompress_to_vec_with_limit(rest, MAX_DEFLATE_BYTES)
+                .map_err(PeerFault::malformed)?;
             decode(&plain).map_err(PeerFault::malformed)
         }
         _ => Err(malformed()),
