--- a/crates/control/src/distribution/replica.rs
+++ b/crates/control/src/distribution/replica.rs
@@ -1,13 +1,13 @@
-//! A gateway's copy of the configuration, in memory.
+//! A gateway's in-memory replica of the configuration.
 
 use {
     super::{
         feed::{
-            ConfigFeed, ConfigHandler, FeedPage, FeedRange, FeedSummary, groups_between, page_of,
+            ConfigFeed, ConfigHandler, FeedPage, FeedRange, FeedSummary, build_page, groups_between,
         },
-        message::{CONFIG_PREFIX, ControlPlace, ControlPlaces, FetchReply, ReplicaReport},
-        places::AvoidList,
+        message::{CONFIG_PREFIX, ControlEndpoint, ControlEndpoints, FetchReply, ReplicaReport},
         reports::ReportTable,
+        upstreams::BackoffTable,
     },
     crate::{
         entry::{ClusterId, LogIndex},
@@ -25,7 +25,7 @@
     },
 };
 
-/// Who a replica is, and where control is.
+/// Settings of a replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaConfig {
     pub(super) vm: VmName,
@@ -39,8 +39,9 @@
 }
 
 impl ReplicaConfig {
-    /// The replica of the gateway on `vm`, whose own peer address is `address`. `controls` are
-    /// peer addresses of control processes; changes of their membership are learned from them.
+    /// Creates the settings of the replica on the gateway on `vm`, whose peer address is `address`.
+    /// `controls` are peer addresses of control processes, from which later changes of the control
+    /// membership are learned.
     pub fn new(
         vm: VmName,
         region: RegionName,
@@ -59,57 +60,57 @@
         }
     }
 
-    /// How long a question waits for news: a relay's to control, and the other gateways' to the
-    /// relay. Defaults 2 s and 4 s.
+    /// Sets the long-poll timeouts: of a relay's requests to control, and of the other gateways'
+    /// requests to the relay. The defaults are 2 s and 4 s.
     pub fn hold(mut self, relay: Duration, follower: Duration) -> Self {
         self.relay_hold = relay;
         self.follower_hold = follower;
         self
     }
 
-    /// How long an answer may take beyond the wait for news. Default 1 s.
+    /// Sets the time that a reply may take beyond the long-poll timeout. The default is 1 s.
     pub fn call_limit(mut self, limit: Duration) -> Self {
         self.call_limit = limit;
         self
     }
 
-    /// The age from which the configuration counts as possibly stale. Default 10 s: both holds, a
-    /// failed call and a heartbeat fit into it.
+    /// Sets the age from which the configuration counts as stale. The default is 10 s, which covers
+    /// both long-poll timeouts, a failed call and a heartbeat.
     pub fn stale_after(mut self, age: Duration) -> Self {
         self.stale_after = age;
         self
     }
 }
 
-/// Knows the gateways of a replica's own region.
+/// Provides the gateways of a replica's own region.
 pub trait RegionPeers {
-    /// Their peer addresses, with or without the replica's own.
+    /// Returns their peer addresses, with or without the replica's own.
     fn addresses(&self) -> Vec<SocketAddr>;
 }
 
-/// What a replica says about itself.
+/// The status of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// The index in force; `None` where there is no configuration.
+    /// The index of the published configuration, or `None` if there is none.
     pub applied: Option<LogIndex>,
-    /// How long ago this was known to be everything that control had accepted.
+    /// The time since the configuration was known to include every accepted change.
     pub age: Option<Duration>,
-    /// Whether it may be older than what control has accepted.
+    /// Whether the configuration may lack accepted changes.
     pub is_stale: bool,
-    /// Whether this process is its region's relay.
+    /// Whether this process is a relay of its region.
     pub is_relay: bool,
-    /// Whom it asked last with success.
+    /// The upstream that answered last.
     pub upstream: Option<SocketAddr>,
 }
 
-/// A document as it came and as it is read.
+/// A service record and its parsed document.
 struct ReplicaRecord {
     record: ServiceRecord,
     document: Option<Rc<ServiceDocument>>,
 }
 
-/// What the replica holds. `cursor` runs ahead of the view while an answer of several pages is
-/// coming in.
+/// The state of a replica. While a transfer of several pages is in progress, `cursor` is ahead of
+/// the published view.
 #[derive(Default)]
 struct ReplicaState {
     cluster: Option<ClusterId>,
@@ -119,42 +120,43 @@
     cursor: LogIndex,
     view: Option<Rc<ConfigView>>,
     confirmed: Option<MonotonicTime>,
-    places: ControlPlaces,
+    control_endpoints: ControlEndpoints,
     is_relay: bool,
     upstream: Option<SocketAddr>,
 }
 
-/// The configuration that a gateway has in force. Its index never goes down.
+/// The configuration of a gateway. The index of the published configuration never decreases.
 ///
-/// To wire it: make it with [`new`](Self::new), hand it to the gateway as its
-/// [`ConfigSource`], then [`start`](Self::start) it with the process's peer transport. Call
-/// [`serve`](Self::serve) with the process's handlers, except in a process that also runs a
+/// To use it, create it with [`new`](Self::new), pass it to the gateway as its [`ConfigSource`],
+/// then [`start`](Self::start) it with the process's peer transport. Register its handlers with
+/// [`serve`](Self::serve), except in a process that also runs a
 /// [`ControlNode`](crate::ControlNode), which serves the same methods from the log itself.
 pub struct ConfigReplica {
     pub(super) config: ReplicaConfig,
     pub(super) context: ProcessContext,
     events: RefCell<Rc<dyn EventSink>>,
-    pub(super) avoid: AvoidList,
+    pub(super) backoffs: BackoffTable,
     state: RefCell<ReplicaState>,
     signal: WakeSignal,
     reports: ReportTable,
 }
 
 impl ConfigReplica {
-    /// A replica without configuration.
+    /// Creates a replica without configuration.
     pub fn new(config: ReplicaConfig, context: ProcessContext) -> Rc<Self> {
         Rc::new(Self {
             config,
             context,
             events: RefCell::new(Rc::new(NullSink)),
-            avoid: AvoidList::default(),
+            backoffs: BackoffTable::default(),
             state: RefCell::default(),
             signal: WakeSignal::default(),
             reports: ReportTable::default(),
         })
     }
 
-    /// Follows the log from now on, by way of `peers` and control, and tells `events` of it.
+    /// Starts to follow the log by way of `peers` and the control processes, and emits events to
+    /// `events`.
     pub fn start(
         self: &Rc<Self>,
         transport: Rc<dyn PeerTransport>,
@@ -167,13 +169,13 @@
         spawner.spawn(Box::pin(Rc::clone(self).run_reports(transport)));
     }
 
-    /// Serves the other gateways of the region.
+    /// Registers the handlers that serve the other gateways of the region.
     pub fn serve(self: &Rc<Self>, handlers: &HandlerTable) {
         let feed: Rc<dyn ConfigFeed> = Rc::clone(self) as _;
         handlers.register(CONFIG_PREFIX, Rc::new(ConfigHandler(feed)));
     }
 
-    /// What this replica says about itself.
+    /// Returns the status of this replica.
     pub fn status(&self) -> ReplicaStatus {
         let state = self.state.borrow();
         let age = state.confirmed.map(|time| self.now().since(time));
@@ -186,23 +188,23 @@
         }
     }
 
-    /// A service as it stands here, its document's text included.
+    /// Returns the current state of a service, including the text of its document.
     pub fn service(&self, name: &ServiceName) -> Option<ServiceRecord> {
         self.state.borrow().records.get(name).map(|r| r.record.clone())
     }
 
-    /// All services as they stand here, removed ones too.
+    /// Returns the current state of all services, including removed ones.
     pub fn services(&self) -> Vec<ServiceRecord> {
         self.state.borrow().records.values().map(|r| r.record.clone()).collect()
     }
 
-    /// The claim groups in force here.
+    /// Returns the claim groups in force.
     pub fn groups(&self) -> Vec<GroupRecord> {
         self.state.borrow().groups_in_force().cloned().collect()
     }
 
-    /// Waits until claim groups that were changed after `seen` are in force here. One that is
-    /// still coming in is not: the documents of its index are not known yet.
+    /// Waits until claim groups changed after `seen` are in force. A group of a transfer in
+    /// progress is not, since the documents of its index are not known yet.
     pub async fn next_groups(&self, seen: LogIndex) -> Vec<GroupRecord> {
         poll_fn(|cx| {
             let state = self.state.borrow();
@@ -236,13 +238,13 @@
         }
     }
 
-    /// The log, the cursor and the membership that the next question names.
+    /// Returns the log, the cursor and the membership index for the next request.
     pub(super) fn position(&self) -> (Option<ClusterId>, LogIndex, LogIndex) {
         let state = self.state.borrow();
-        (state.cluster, state.cursor, state.places.index)
+        (state.cluster, state.cursor, state.control_endpoints.index)
     }
 
-    pub(super) fn set_role(&self, is_relay: bool) {
+    pub(super) fn set_is_relay(&self, is_relay: bool) {
         self.state.borrow_mut().is_relay = is_relay;
     }
 
@@ -253,48 +255,53 @@
         }
     }
 
-    /// Where control is: as the membership says, or as the settings do until one is known.
-    pub(super) fn controls(&self) -> Vec<ControlPlace> {
+    /// Returns the endpoints of the control processes: those of the membership, or those in the
+    /// settings until a membership is known.
+    pub(super) fn controls(&self) -> Vec<ControlEndpoint> {
         let state = self.state.borrow();
-        if !state.places.members.is_empty() {
-            return state.places.members.clone();
+        if !state.control_endpoints.members.is_empty() {
+            return state.control_endpoints.members.clone();
         }
-        let place = |address: &SocketAddr| ControlPlace {
+        let to_endpoint = |address: &SocketAddr| ControlEndpoint {
             region: self.config.region.clone(),
             address: *address,
         };
-        self.config.controls.iter().map(place).collect()
+        self.config.controls.iter().map(to_endpoint).collect()
     }
 
-    /// Takes in an answer, `waited` after the question went out. False where the answer is older
-    /// than what is in force here.
+    /// Applies a reply that arrived `elapsed` after its request was sent. Returns `false` if the
+    /// reply is older than the published configuration.
     ///
-    /// All documents are read before any is put in place, so an answer that this version cannot
-    /// read changes nothing and the index stays where it is: the replica does not claim to have in
-    /// force what it cannot enforce.
-    pub(super) fn take(&self, reply: FetchReply, waited: Duration) -> Result<bool, DocumentError> {
-        let records = reply.records.into_iter().map(read_record).collect::<Result<Vec<_>, _>>()?;
+    /// All documents are parsed before any of them is stored. A reply that this version cannot
+    /// parse therefore changes nothing, and the replica does not report an index whose documents it
+    /// cannot apply.
+    pub(super) fn apply_reply(
+        &self,
+        reply: FetchReply,
+        elapsed: Duration,
+    ) -> Result<bool, DocumentError> {
+        let records = reply.records.into_iter().map(parse_record).collect::<Result<Vec<_>, _>>()?;
         let mut state = self.state.borrow_mut();
         let applied = state.view.as_ref().map(|view| LogIndex(view.index()));
         if reply.complete_at.is_some_and(|index| Some(index) < applied) {
             return Ok(false);
         }
         state.cluster = Some(reply.cluster);
-        if let Some(places) = reply.places {
-            state.places = places;
+        if let Some(endpoints) = reply.places {
+            state.control_endpoints = endpoints;
         }
         for record in records {
-            state.place(record);
+            state.put_record(record);
         }
         for group in reply.groups {
-            state.place_group(group);
+            state.put_group(group);
         }
         state.cursor = state.cursor.max(reply.cursor);
         if let Some(index) = reply.complete_at {
             state.publish(index);
-            // The answer may have been on its way for all of the time that it was not held.
-            let on_way = waited.saturating_sub(reply.held);
-            let confirmed = reply.age.and_then(|age| self.now().0.checked_sub(age + on_way));
+            // The reply may have been in transit for the whole time during which it was not held.
+            let in_transit = elapsed.saturating_sub(reply.held);
+            let confirmed = reply.age.and_then(|age| self.now().0.checked_sub(age + in_transit));
             state.confirmed = state.confirmed.max(confirmed.map(MonotonicTime));
         }
         drop(state);
@@ -304,7 +311,7 @@
 }
 
 impl ReplicaState {
-    fn place(&mut self, new: ReplicaRecord) {
+    fn put_record(&mut self, new: ReplicaRecord) {
         let service = new.record.change.service.clone();
         let index = new.record.change.index;
         let old = self.records.get(&service).map(|old| old.record.change.index);
@@ -318,8 +325,8 @@
         self.records.insert(service, new);
     }
 
-    /// An epoch never goes down.
-    fn place_group(&mut self, new: GroupRecord) {
+    /// Stores a claim group if its epoch is greater than the stored one.
+    fn put_group(&mut self, new: GroupRecord) {
         let old = self.groups.get(&new.region).map(|old| old.epoch);
         if old.is_none_or(|old| old < new.epoch) {
             self.groups.insert(new.region.clone(), new);
@@ -331,7 +338,7 @@
         self.groups.values().filter(move |group| group.index.0 <= applied)
     }
 
-    /// Puts everything that has come in in force, as the state at `index`.
+    /// Publishes everything received so far as the configuration at `index`.
     fn publish(&mut self, index: LogIndex) {
         if self.view.as_ref().is_some_and(|view| view.index() >= index.0) {
             return;
@@ -344,7 +351,7 @@
     }
 }
 
-fn read_record(record: ServiceRecord) -> Result<ReplicaRecord, DocumentError> {
+fn parse_record(record: ServiceRecord) -> Result<ReplicaRecord, DocumentError> {
     let document = match &record.text {
         Some(text) => Some(Rc::new(ServiceDocument::try_from(&**text)?)),
         None => None,
@@ -375,19 +382,19 @@
     fn page(&self, range: FeedRange, limit: usize) -> FeedPage {
         let state = self.state.borrow();
         let applied = state.view.as_ref().map(|view| LogIndex(view.index()));
-        // While pages are coming in, what is here is the state of no index.
+        // While a transfer is in progress, the records correspond to no index.
         let complete_at = applied.filter(|applied| state.cursor <= *applied);
         let changed = state.by_index.range(range.cursor.next()..).map(|(_, service)| service);
         let records = changed.filter_map(|service| state.records.get(service)).map(|r| &r.record);
-        page_of(records, range, limit, complete_at)
+        build_page(records, range, limit, complete_at)
     }
 
     fn groups(&self, after: LogIndex, end: LogIndex) -> Vec<GroupRecord> {
         groups_between(self.state.borrow().groups.values(), after, end)
     }
 
-    fn places(&self) -> ControlPlaces {
-        self.state.borrow().places.clone()
+    fn control_endpoints(&self) -> ControlEndpoints {
+        self.state.borrow().control_endpoints.clone()
     }
 
     fn signal(&self) -> &WakeSignal {
--- a/crates/control/src/distribution/reports.rs
+++ b/crates/control/src/distribution/reports.rs
@@ -1,4 +1,4 @@
-//! What gateways say that they have in force.
+//! Reports of gateways on their configuration.
 
 use {
     super::message::ReplicaReport,
@@ -7,10 +7,10 @@
     std::{cell::RefCell, collections::BTreeMap, time::Duration},
 };
 
-/// A gateway not heard of for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// The time after which a gateway that sends no report is forgotten.
+const REPORT_EXPIRY: Duration = Duration::from_secs(600);
 
-/// A report and how long ago it came.
+/// A report and the time since it was received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReportRow {
     pub(crate) report: ReplicaReport,
@@ -24,20 +24,20 @@
 }
 
 impl ReportTable {
-    /// Takes reports that came at `now`. True where a gateway is new or stands elsewhere.
-    pub(crate) fn note(&self, reports: Vec<ReplicaReport>, now: MonotonicTime) -> bool {
+    /// Stores reports received at `now`. Returns whether a gateway is new or its index has changed.
+    pub(crate) fn record(&self, reports: Vec<ReplicaReport>, now: MonotonicTime) -> bool {
         let mut rows = self.rows.borrow_mut();
-        let mut is_news = false;
+        let mut is_changed = false;
         for report in reports {
             let old = rows.get(&report.vm).map(|(old, _)| old.applied);
-            is_news |= old != Some(report.applied);
+            is_changed |= old != Some(report.applied);
             rows.insert(report.vm.clone(), (report, now));
         }
-        rows.retain(|_, (_, heard)| now.since(*heard) <= FORGET_AFTER);
-        is_news
+        rows.retain(|_, (_, heard)| now.since(*heard) <= REPORT_EXPIRY);
+        is_changed
     }
 
-    /// All reports, their ages as of now.
+    /// Returns all reports, with their ages as of `now`.
     pub(crate) fn rows(&self, now: MonotonicTime) -> Vec<ReportRow> {
         let rows = self.rows.borrow();
         let row = |(report, heard): &(ReplicaReport, MonotonicTime)| {
--- a/crates/control/src/distribution/status.rs
+++ b/crates/control/src/distribution/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown about the log and about every gateway.
+//! The status of the log and of every gateway, as shown to operators.
 
 use {
     super::reports::ReportRow,
@@ -11,14 +11,14 @@
     std::time::Duration,
 };
 
-/// A gateway whose configuration was confirmed longer ago than this is shown as stale: its own
-/// bound of 10 s, and the 10 s between two reports.
+/// The age from which a gateway's configuration is shown as stale: its own limit of 10 s, plus the
+/// 10 s between two reports.
 const STALE_AFTER: Duration = Duration::from_secs(20);
 
-/// The whole deployment's configuration, as one control process sees it.
+/// The state of the whole deployment's configuration, as known to one control process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterStatus {
-    /// The last accepted entry that this process knows.
+    /// The last index that this process knows to be committed.
     pub index: LogIndex,
     /// The leader.
     pub leader: Option<MemberId>,
@@ -28,29 +28,29 @@
     pub replicas: Vec<ReplicaRow>,
 }
 
-/// A member of the log.
+/// A member of the log and its status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Who it is.
+    /// The member.
     pub member: Member,
-    /// What it says about itself; `None` where it does not answer.
+    /// Its status, or `None` if it does not answer.
     pub status: Option<MemberStatus>,
 }
 
-/// A gateway.
+/// The status of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRow {
-    /// Its VM.
+    /// The VM of the gateway.
     pub vm: VmName,
-    /// Its region.
+    /// The region of the gateway.
     pub region: RegionName,
-    /// The index in force there.
+    /// The index of its configuration, or `None` if it has none.
     pub applied: Option<LogIndex>,
-    /// Milliseconds since it was last known to have everything control had accepted.
+    /// The time in milliseconds since it was last known to have every accepted change.
     pub age_ms: Option<u64>,
-    /// Milliseconds since it was last heard of.
+    /// The time in milliseconds since its last report.
     pub heard_ms: u64,
-    /// Whether it may be older than what control has accepted.
+    /// Whether its configuration may lack accepted changes.
     pub is_stale: bool,
 }
 
--- a/crates/control/src/distribution/sync.rs
+++ b/crates/control/src/distribution/sync.rs
@@ -1,12 +1,12 @@
-//! The tasks of a replica: it asks for news, and tells what it has in force.
+//! The tasks of a replica: fetching configuration, and reporting what is in force.
 
 use {
     super::{
         feed::{ConfigFeed, FRESH_AGE},
         message::{FETCH, FetchReply, FetchRequest, REPORT, ReplicaReport},
         pack::unpack,
-        places::Surroundings,
         replica::{ConfigReplica, RegionPeers},
+        upstreams::UpstreamInputs,
     },
     crate::{change::AcceptedChange, entry::LogIndex},
     bytes::Bytes,
@@ -17,31 +17,32 @@
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, task::Poll, time::Duration},
 };
 
-/// The pause after nobody had anything fresh.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The interval between rounds of requests after a round without a recently confirmed state.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Changes of what is in force are gathered for this long before they are told to control.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
+/// The time for which changes are collected before they are reported to control.
+const REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// How often what is in force is told to control, changed or not.
+/// The interval of reports to control without changes.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The most changes of one answer that are told one by one in the time line. A gateway that was
-/// away for long takes in hundreds at once.
-const TOLD_CHANGES: usize = 64;
+/// The maximum number of changes in one reply for which an event each is emitted. A gateway that
+/// was offline for long receives hundreds at once.
+const MAX_CHANGE_EVENTS: usize = 64;
 
-/// What came of asking one process.
+/// The result of a request to one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Answer {
-    /// News, or that there is none, from a process that control has confirmed lately.
+enum FetchOutcome {
+    /// A reply from a process whose state was recently confirmed by control, with or without
+    /// updates.
     Fresh,
-    /// An answer from a process that is itself cut off from control or behind this one.
-    Old,
-    /// None.
+    /// A reply from a process that is itself cut off from control, or behind this one.
+    Stale,
+    /// No reply.
     Failed,
 }
 
-/// What each gateway has in force.
+/// The index in force on each gateway.
 type AppliedTable = BTreeMap<VmName, Option<LogIndex>>;
 
 impl ConfigReplica {
@@ -52,20 +53,20 @@
     ) {
         let mut had_none = false;
         loop {
-            let is_fresh = self.ask_around(&*transport, &*peers).await;
+            let is_fresh = self.fetch_round(&*transport, &*peers).await;
             let has_none = self.status().applied.is_none();
             if has_none != had_none {
                 had_none = has_none;
-                self.tell_whether_any(has_none);
+                self.emit_availability(has_none);
             }
             if !is_fresh {
                 self.set_upstream(None);
-                self.context.clock.sleep(RETRY_PAUSE).await;
+                self.context.clock.sleep(RETRY_INTERVAL).await;
             }
         }
     }
 
-    fn tell_whether_any(&self, has_none: bool) {
+    fn emit_availability(&self, has_none: bool) {
         let event = match has_none {
             true => EventDraft::new("config.none")
                 .level(Level::Warn)
@@ -76,78 +77,84 @@
         self.emit(event);
     }
 
-    /// Asks until one process has something fresh. A failure changes the order: the process that
-    /// failed may have been the relay, and this one may be the next.
-    async fn ask_around(&self, transport: &dyn PeerTransport, peers: &dyn RegionPeers) -> bool {
+    /// Asks upstreams until one replies, and returns whether its state was recently confirmed. The
+    /// upstreams are selected again after each failure: the process that failed may have been the
+    /// relay, and this one may be next in rank.
+    async fn fetch_round(&self, transport: &dyn PeerTransport, peers: &dyn RegionPeers) -> bool {
         loop {
-            match self.ask_in_order(transport, peers).await {
-                Answer::Fresh => return true,
-                Answer::Old => return false,
-                Answer::Failed => {}
+            match self.fetch_from_upstreams(transport, peers).await {
+                FetchOutcome::Fresh => return true,
+                FetchOutcome::Stale => return false,
+                FetchOutcome::Failed => {}
             }
         }
     }
 
-    async fn ask_in_order(&self, transport: &dyn PeerTransport, peers: &dyn RegionPeers) -> Answer {
+    async fn fetch_from_upstreams(
+        &self,
+        transport: &dyn PeerTransport,
+        peers: &dyn RegionPeers,
+    ) -> FetchOutcome {
         let controls = self.controls();
-        let surroundings = Surroundings {
-            own: self.config.address,
+        let inputs = UpstreamInputs {
+            own_address: self.config.address,
             region: &self.config.region,
             peers: peers.addresses(),
             controls: &controls,
-            avoid: &self.avoid,
+            backoffs: &self.backoffs,
             now: self.now(),
         };
-        let order = surroundings.order();
-        self.set_role(order.is_relay);
+        let order = inputs.select();
+        self.set_is_relay(order.is_relay);
         let hold = if order.is_relay { self.config.relay_hold } else { self.config.follower_hold };
         let mut deferred = Vec::new();
-        for address in order.first.into_iter().chain(order.then) {
-            let question = self.question(hold);
-            let answer = match self.ask(transport, address, question).await {
+        for address in order.preferred.into_iter().chain(order.fallback) {
+            let request = self.fetch_request(hold);
+            let outcome = match self.fetch(transport, address, request).await {
                 Ok(reply) if self.position().0.is_none() && !is_fresh(&reply.0) => {
                     deferred.push(reply);
                     continue;
                 }
-                Ok((reply, waited)) => {
+                Ok((reply, elapsed)) => {
                     let (from, marks) = (reply.cursor, reply.marks.clone());
-                    let answer = self.take_reply(reply, waited);
-                    self.take_marked(transport, address, from, &marks).await;
-                    answer
+                    let outcome = self.apply_and_rate(reply, elapsed);
+                    self.fetch_marked_pages(transport, address, from, &marks).await;
+                    outcome
                 }
-                Err(error) => self.note_error(address, &error),
+                Err(error) => self.handle_error(address, &error),
             };
-            if answer == Answer::Fresh {
+            if outcome == FetchOutcome::Fresh {
                 self.set_upstream(Some(address));
             }
-            if answer != Answer::Old {
-                return answer;
+            if outcome != FetchOutcome::Stale {
+                return outcome;
             }
         }
-        self.take_newest(deferred);
-        Answer::Old
+        self.apply_newest(deferred);
+        FetchOutcome::Stale
     }
 
-    /// An empty replica takes an answer that control has not confirmed lately only where nobody had
-    /// a fresh one. It could otherwise follow a log that was given up and founded anew, in whose
-    /// place the other gateways of the region still hold the old one.
-    fn take_newest(&self, deferred: Vec<(FetchReply, Duration)>) {
+    /// Applies the newest of the replies that control has not confirmed recently. An empty replica
+    /// uses such a reply only if no process has a confirmed one. Otherwise it could follow a log
+    /// that was abandoned and founded anew, while the other gateways of the region still hold the
+    /// old one.
+    fn apply_newest(&self, deferred: Vec<(FetchReply, Duration)>) {
         let newest =
             deferred.into_iter().max_by_key(|(reply, _)| (reply.complete_at, reply.cursor));
-        if let Some((reply, waited)) = newest {
-            self.take_reply(reply, waited);
+        if let Some((reply, elapsed)) = newest {
+            self.apply_and_rate(reply, elapsed);
         }
     }
 
-    /// Asks for all that changed after what came in so far.
-    fn question(&self, hold: Duration) -> FetchRequest {
+    /// Builds a request for everything that changed after the cursor.
+    fn fetch_request(&self, hold: Duration) -> FetchRequest {
         let (cluster, cursor, places_index) = self.position();
         FetchRequest { cluster, cursor, until: None, places_index, hold, report: self.report() }
     }
 
-    /// Asks for the answers that follow, beside each other, and takes them in in their order, up to
-    /// the first that failed.
-    async fn take_marked(
+    /// Requests the following pages concurrently, and applies them in order up to the first
+    /// failure.
+    async fn fetch_marked_pages(
         &self,
         transport: &dyn PeerTransport,
         to: SocketAddr,
@@ -155,72 +162,73 @@
         marks: &[LogIndex],
     ) {
         let starts = std::iter::once(from).chain(marks.iter().copied());
-        let questions = starts.zip(marks).map(|(cursor, until)| {
-            let question = self.question(Duration::ZERO);
-            self.ask(transport, to, FetchRequest { cursor, until: Some(*until), ..question })
+        let requests = starts.zip(marks).map(|(cursor, until)| {
+            let request = self.fetch_request(Duration::ZERO);
+            self.fetch(transport, to, FetchRequest { cursor, until: Some(*until), ..request })
         });
-        for (answer, until) in join_all(questions).await.into_iter().zip(marks) {
-            let Ok((reply, waited)) = answer else { return };
-            self.take_reply(reply, waited);
-            // An answer that was not whole or could not be read: what follows would leave a gap.
+        for (outcome, until) in join_all(requests).await.into_iter().zip(marks) {
+            let Ok((reply, elapsed)) = outcome else { return };
+            self.apply_and_rate(reply, elapsed);
+            // The page was incomplete or could not be parsed. Applying the following ones would
+            // leave a gap.
             if self.position().1 < *until {
                 return;
             }
         }
     }
 
-    /// The answer, and how long it took.
-    async fn ask(
+    /// Sends a request. Returns the reply and the time it took.
+    async fn fetch(
         &self,
         transport: &dyn PeerTransport,
         to: SocketAddr,
-        question: FetchRequest,
+        request: FetchRequest,
     ) -> Result<(FetchReply, Duration), PeerError> {
         let sent = self.now();
-        let limit = question.hold + self.config.call_limit;
-        let body = Bytes::from(encode(&question));
+        let limit = request.hold + self.config.call_limit;
+        let body = Bytes::from(encode(&request));
         let reply = transport.call(to, FETCH, body, limit).await?;
         let reply = unpack(&reply)?;
-        self.avoid.note_success(to);
+        self.backoffs.note_success(to);
         Ok((reply, self.now().since(sent)))
     }
 
-    /// A process that has nothing to give yet may have it in a moment; one that does not answer,
-    /// or follows another log, is left alone for a while.
-    fn note_error(&self, to: SocketAddr, error: &PeerError) -> Answer {
+    /// Handles a failed request. A process that has no configuration yet may have it soon; one that
+    /// does not answer, or follows another log, is not asked again until its backoff has elapsed.
+    fn handle_error(&self, to: SocketAddr, error: &PeerError) -> FetchOutcome {
         if let PeerError::Fault { source } = error {
             if source.kind != FaultKind::Refused {
-                return Answer::Old;
+                return FetchOutcome::Stale;
             }
             let event = EventDraft::new("config.refused").level(Level::Warn);
             self.emit(event.field("upstream", to).error("reason", source));
         }
-        self.avoid.note_failure(to, self.now());
-        Answer::Failed
+        self.backoffs.note_failure(to, self.now());
+        FetchOutcome::Failed
     }
 
-    fn take_reply(&self, reply: FetchReply, waited: Duration) -> Answer {
+    fn apply_and_rate(&self, reply: FetchReply, elapsed: Duration) -> FetchOutcome {
         let is_fresh = reply.age.is_some_and(|age| age <= FRESH_AGE);
         let before = self.status().applied;
         let changes: Vec<AcceptedChange> =
-            reply.records.iter().take(TOLD_CHANGES).map(|r| r.change.clone()).collect();
-        let taken = self.take(reply, waited);
+            reply.records.iter().take(MAX_CHANGE_EVENTS).map(|r| r.change.clone()).collect();
+        let taken = self.apply_reply(reply, elapsed);
         if before.is_some() && self.status().applied > before {
-            changes.iter().for_each(|change| self.tell_in_force(change));
+            changes.iter().for_each(|change| self.emit_in_force(change));
         }
         match taken {
-            Ok(true) if is_fresh => Answer::Fresh,
-            Ok(_) => Answer::Old,
+            Ok(true) if is_fresh => FetchOutcome::Fresh,
+            Ok(_) => FetchOutcome::Stale,
             Err(error) => {
                 let event = EventDraft::new("config.unreadable").level(Level::Error);
                 let event = event.field("remedy", "start the newer version of gullglade here");
                 self.emit(event.error("reason", &error));
-                Answer::Old
+                FetchOutcome::Stale
             }
         }
     }
 
-    fn tell_in_force(&self, change: &AcceptedChange) {
+    fn emit_in_force(&self, change: &AcceptedChange) {
         self.emit(
             EventDraft::new("config.in_force")
                 .field("change", &change.id)
@@ -230,21 +238,21 @@
         );
     }
 
-    /// A relay tells control what its followers have in force: soon after a change, and from time
-    /// to time. Its own state goes with its questions.
+    /// Reports to control what the followers of a relay have in force: soon after a change, and at
+    /// regular intervals. The relay's own report is part of its requests.
     pub(super) async fn run_reports(self: Rc<Self>, transport: Rc<dyn PeerTransport>) {
-        let mut told = AppliedTable::new();
+        let mut reported = AppliedTable::new();
         loop {
             let clock = &*self.context.clock;
-            timeout(clock, REPORT_INTERVAL, self.until_reports_differ(&told)).await;
-            clock.sleep(REPORT_PAUSE).await;
+            timeout(clock, REPORT_INTERVAL, self.wait_for_report_changes(&reported)).await;
+            clock.sleep(REPORT_DELAY).await;
             let reports = self.current_reports();
             let status = self.status();
             let Some(upstream) = status.upstream.filter(|_| status.is_relay) else { continue };
             let body = Bytes::from(encode(&reports));
             let call = transport.call(upstream, REPORT, body, self.config.call_limit);
             if call.await.is_ok() {
-                told = applied_of(&reports);
+                reported = applied_of(&reports);
             }
         }
     }
@@ -254,11 +262,11 @@
         rows.into_iter().map(|row| row.report).chain([self.report()]).collect()
     }
 
-    async fn until_reports_differ(&self, told: &AppliedTable) {
+    async fn wait_for_report_changes(&self, reported: &AppliedTable) {
         poll_fn(|cx| {
             let status = self.status();
-            let can_tell = status.is_relay && status.upstream.is_some();
-            if can_tell && applied_of(&self.current_reports()) != *told {
+            let can_report = status.is_relay && status.upstream.is_some();
+            if can_report && applied_of(&self.current_reports()) != *reported {
                 return Poll::Ready(());
             }
             self.signal().register(cx.waker());
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the replicated log is made of: terms, indexes, members, commands.
+//! Types of the replicated log: terms, indexes, members and commands.
 
 use {
     crate::{change::ChangeRequest, groups::GroupRequest, traffic::TrafficChange},
@@ -7,38 +7,39 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// A period with at most one leader; only grows.
+/// An election term. It has at most one leader, and it increases monotonically.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
 impl Term {
-    /// The term after this.
+    /// Returns the following term.
     pub fn next(self) -> Term {
         Term(self.0 + 1)
     }
 }
 
-/// A place in the log, from 1; 0 is before the first.
+/// The position of an entry in the log. The first entry has index 1; 0 denotes the empty log.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// The place after this.
+    /// Returns the following index.
     pub fn next(self) -> LogIndex {
         LogIndex(self.0 + 1)
     }
 
-    /// The place before this; 0 has none and stays.
+    /// Returns the preceding index, or 0 for index 0.
     pub fn previous(self) -> LogIndex {
         LogIndex(self.0.saturating_sub(1))
     }
 }
 
-/// The term and index of an entry. The later of two ends of logs is the greater.
+/// The term and index of an entry. Of two logs, the one whose last position is greater is the more
+/// up-to-date.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -47,15 +48,15 @@
     pub(crate) index: LogIndex,
 }
 
-/// The identity of one control process's data folder, drawn at its first start.
+/// The identity of one control process's data folder, drawn at random when the folder is created.
 ///
-/// A VM that comes back with an empty disk draws another, so it can never be taken for the voter
-/// whose promises were on the lost disk.
+/// A VM that restarts with an empty disk draws a new identity, so it is never mistaken for the
+/// voter whose votes and acknowledgements were on the lost disk.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// A new identity.
+    /// Draws a new random identity.
     pub fn generate(random: &dyn RandomSource) -> Self {
         Self(random.next_u64())
     }
@@ -73,7 +74,7 @@
     }
 }
 
-/// The identity of one replicated log, drawn when it is founded.
+/// The identity of one replicated log, drawn at random when the log is founded.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClusterId(pub u64);
 
@@ -89,121 +90,126 @@
     }
 }
 
-/// Whether a member's acknowledgement and vote count.
+/// The role of a member in quorums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRole {
     /// Counts towards every quorum.
     Voter,
-    /// Receives the log and counts for nothing until it has caught up.
+    /// Receives the log but counts towards no quorum until it is promoted.
     Learner,
 }
 
-/// One control process.
+/// A control process that keeps a copy of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its data folder.
+    /// The identity of its data folder.
     pub id: MemberId,
-    /// Its VM.
+    /// The VM on which it runs.
     pub vm: VmName,
-    /// Its VM's region.
+    /// The region of its VM.
     pub region: RegionName,
-    /// Where its peer sessions are accepted.
+    /// The address on which it accepts peer sessions.
     pub address: SocketAddr,
-    /// Whether it counts.
+    /// Its role in quorums.
     pub role: MemberRole,
 }
 
-/// A voter that is being replaced. Kept in the membership itself, so that a new leader goes on
-/// with what the old one began.
+/// A replacement of a voter that is in progress. It is part of the membership, so that a new leader
+/// continues what its predecessor began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replacement {
     /// The voter to be removed.
     pub old: MemberId,
-    /// The learner that takes its place once it has caught up.
+    /// The learner that is promoted to voter once it has caught up.
     pub new: MemberId,
 }
 
-/// Who keeps the log.
+/// The members of a log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The log.
+    /// The identity of the log.
     pub cluster: ClusterId,
-    /// Everyone who receives it.
+    /// All voters and learners.
     pub members: Vec<Member>,
     /// The replacement in progress, if any.
     pub replacement: Option<Replacement>,
 }
 
 impl Membership {
-    /// The member of this identity.
+    /// Returns the member with identity `id`.
     pub fn member(&self, id: MemberId) -> Option<&Member> {
         self.members.iter().find(|m| m.id == id)
     }
 
-    /// Those whose acknowledgement and vote count.
+    /// Returns the members that count towards a quorum.
     pub fn voters(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.role == MemberRole::Voter)
     }
 
-    /// Whether `id` counts.
+    /// Returns whether `id` is a voter.
     pub fn is_voter(&self, id: MemberId) -> bool {
         self.voters().any(|m| m.id == id)
     }
 
-    /// How many voters make a quorum: more than half.
+    /// Returns the number of voters that form a quorum: a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 }
 
-/// What an entry does.
+/// The command that a log entry carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Nothing: a new leader's first entry, with which it commits what earlier leaders left.
+    /// No effect. A new leader appends it first, since committing it also commits the entries of
+    /// earlier terms.
     Noop,
-    /// A change of configuration, to be decided in the log's order.
+    /// A change to a service's document, decided when the entry is applied.
     Change(ChangeRequest),
-    /// A new membership, in force from the moment it is in a member's log.
+    /// A new membership, in force on each member as soon as the entry is in that member's log.
     Membership(Membership),
-    /// A change of a region's claim group, to be decided in the log's order.
+    /// A change to a region's claim group, decided when the entry is applied.
     ClaimGroup(GroupRequest),
-    /// A change of the traffic configuration, to be decided in the log's order.
+    /// A change to the traffic configuration, decided when the entry is applied.
     Traffic(TrafficChange),
 }
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place.
+    /// Its position in the log.
     pub index: LogIndex,
-    /// The term of the leader that placed it.
+    /// The term of the leader that appended it.
     pub term: Term,
-    /// The leader's wall time, never below that of the entry before.
+    /// The leader's wall time when it appended the entry; never less than that of the preceding
+    /// entry.
     pub wall: WallMillis,
-    /// What it does.
+    /// The command to apply.
     pub command: Command,
 }
 
 impl LogEntry {
-    /// About the bytes it takes on the wire and on the disk.
+    /// Returns the approximate encoded size in bytes.
     pub(crate) fn size_hint(&self) -> usize {
-        const HEAD: usize = 128;
+        const OVERHEAD_BYTES: usize = 128;
         match &self.command {
-            Command::Change(request) => HEAD + request.text.as_ref().map_or(0, |t| t.len()),
-            Command::Traffic(TrafficChange::Configure { text, .. }) => HEAD + text.len(),
+            Command::Change(request) => {
+                OVERHEAD_BYTES + request.text.as_ref().map_or(0, |t| t.len())
+            }
+            Command::Traffic(TrafficChange::Configure { text, .. }) => OVERHEAD_BYTES + text.len(),
             Command::Noop
             | Command::Membership(_)
             | Command::ClaimGroup(_)
-            | Command::Traffic(TrafficChange::Evacuate { .. }) => HEAD,
+            | Command::Traffic(TrafficChange::Evacuate { .. }) => OVERHEAD_BYTES,
         }
     }
 }
 
-/// The highest term a member has seen, and its vote in it. Must be synced before it is told.
+/// The highest term a member has seen and its vote in that term. It must be synced before it is
+/// sent to other members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The term.
+    /// The highest term seen.
     pub term: Term,
-    /// Whom the member voted for in it.
+    /// The candidate that received this member's vote in the term.
     pub vote: Option<MemberId>,
 }
--- a/crates/control/src/groups/mod.rs
+++ b/crates/control/src/groups/mod.rs
@@ -1,8 +1,8 @@
-//! Claim groups: which processes decide the non-idempotent requests of a region.
+//! Claim groups: the processes that decide on the non-idempotent requests of a region.
 //!
-//! They are part of the log, because two gateways that hold different members of one epoch could
-//! each gather a quorum of their own for the same key. The log gives every epoch one list of
-//! members, one successor, and the time before which nobody can have known of it.
+//! Claim groups are part of the log because two gateways with different members for one epoch could
+//! each gather a quorum for the same key. The log gives every epoch a single list of members, a
+//! single successor, and a time before which no process can have known of it.
 
 mod refusal;
 mod request;
--- a/crates/control/src/groups/request.rs
+++ b/crates/control/src/groups/request.rs
@@ -1,4 +1,4 @@
-//! One region's claim group: what an operator asks, what stands, and what is checked.
+//! Claim group requests and records, and their validation.
 
 use {
     super::refusal::{
@@ -13,82 +13,85 @@
     std::{collections::BTreeSet, fmt, net::SocketAddr},
 };
 
-/// Counts the changes of a region's group: 0 before the first, then one more with each.
+/// The version of a region's claim group: 0 before the first change, incremented by each accepted
+/// change.
 pub type GroupEpoch = u64;
 
-/// The most members of a group: seven survive three, and every claim asks all of them.
+/// The maximum number of members. Seven members survive the loss of three; every claim asks all of
+/// them.
 pub const MAX_GROUP_MEMBERS: usize = 7;
 
 /// A process that holds claims.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimMember {
-    /// Its VM.
+    /// The VM on which it runs.
     pub vm: VmName,
-    /// Where the VM stands: outside of the group's region it holds claims without their answers.
+    /// The region of the VM. Outside of the group's region it holds claims without their answers.
     pub region: RegionName,
-    /// Its address for peer sessions.
+    /// The address on which it accepts peer sessions.
     pub address: SocketAddr,
 }
 
-/// One compare-and-set: "the group of `region` stands at epoch `base`; make it these members".
+/// A compare-and-set request: if the group of `region` is at epoch `base`, replace its members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRequest {
-    /// The operator's id for this change; a resend carries the same.
+    /// The operator's id for this change. A resend carries the same id.
     pub id: ChangeId,
-    /// The region whose claims the group decides.
+    /// The region on whose claims the group decides.
     pub region: RegionName,
-    /// The epoch the change was made from.
+    /// The epoch on which the change is based.
     pub base: GroupEpoch,
     /// The new members, in the operator's order.
     pub members: Vec<ClaimMember>,
-    /// VMs of the epoch before that are destroyed and will never vote again.
+    /// The VMs of the preceding epoch that are destroyed and will never vote again.
     pub retired: Vec<VmName>,
-    /// Who asks.
+    /// The author of the change.
     pub author: String,
 }
 
-/// A region's group as it stands.
+/// The current claim group of a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// The region whose claims it decides.
+    /// The region on whose claims it decides.
     pub region: RegionName,
-    /// Its epoch, from 1.
+    /// Its epoch, starting from 1.
     pub epoch: GroupEpoch,
-    /// When the leader placed the change in the log: nobody knew of the epoch before.
+    /// The leader's wall time when it appended the change. No process knew of the epoch before
+    /// that.
     pub created: WallMillis,
     /// The members.
     pub members: Vec<ClaimMember>,
-    /// The members of the epoch before.
+    /// The members of the preceding epoch.
     pub previous: Vec<ClaimMember>,
-    /// VMs of the epoch before that are destroyed.
+    /// The VMs of the preceding epoch that are destroyed.
     pub retired: Vec<VmName>,
     /// The operator's id for the change.
     pub id: ChangeId,
-    /// Who asked.
+    /// The author of the change.
     pub author: String,
-    /// The change's place in the log.
+    /// The index of the log entry that carries the change.
     pub index: LogIndex,
 }
 
-/// What became of a change of a group; decided once, in the log's order.
+/// The outcome of a change to a claim group, decided when the log entry is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupOutcome {
-    /// It won.
+    /// The change took effect.
     Accepted(GroupRecord),
-    /// The group stood at another epoch.
+    /// The group was not at the epoch on which the change was based.
     Conflict(GroupConflict),
-    /// It was made from the right epoch, and must not follow it.
+    /// The change was based on the current epoch, but its members must not follow that epoch.
     Refused(GroupRefusal),
 }
 
-/// The loser's answer.
+/// A change that was not accepted because another one preceded it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupConflict {
     /// The region.
     pub region: RegionName,
-    /// The epoch the change was made from.
+    /// The epoch on which the change was based.
     pub base: GroupEpoch,
-    /// What stands; `None` where the region has no group.
+    /// The current group, or `None` if the region has none.
     pub winner: Option<GroupRecord>,
 }
 
@@ -98,8 +101,8 @@
         match &self.winner {
             Some(winner) => write!(
                 f,
-                "the claim group of {} stands at epoch {}, which change {} of {} made; look at it \
-                 with `gladectl claims show`, and set what you want from there with --base {}",
+                "the claim group of {} stands at epoch {}, which change {} of {} made; read it \
+                 with `gladectl claims show`, and apply your change to it with --base {}",
                 self.region, winner.epoch, winner.id, winner.author, winner.epoch
             ),
             None => write!(f, "{} has no claim group yet; set it with --base 0", self.region),
@@ -108,7 +111,7 @@
 }
 
 impl GroupRequest {
-    /// Checks everything that does not depend on what stands.
+    /// Validates everything that does not depend on the current state.
     pub fn check(&self) -> Result<(), GroupRefusal> {
         let count = self.members.len();
         ensure!(count > 0, EmptySnafu);
@@ -124,10 +127,10 @@
         Ok(())
     }
 
-    /// Checks that some document that stands allows the region, before the change goes to the log.
+    /// Checks that the document of some service allows the region, before the change is proposed.
     ///
-    /// Not in the log's order: two versions of the program may read a document differently, and
-    /// would then decide differently about one entry.
+    /// This is not done when the entry is applied: two versions of the program may parse a document
+    /// differently, and would then decide differently about the same entry.
     pub(crate) fn check_documents<'a>(
         &self,
         texts: impl Iterator<Item = &'a str>,
@@ -138,27 +141,32 @@
         Ok(())
     }
 
-    /// Checks that the members may follow `standing`.
+    /// Checks that the members may follow those of `current`.
     ///
-    /// One VM at a time: claims are handed from one epoch to the next by copying, and a copy from
-    /// enough members of the epoch before must be possible also when one of them is lost. Where
-    /// two changed at once, one more loss would leave the whole group blind to old keys.
-    pub(crate) fn check_step(&self, standing: Option<&GroupRecord>) -> Result<(), GroupRefusal> {
-        let previous = standing.map_or(&[][..], |record| &record.members);
+    /// Only one VM may change at a time. Claims are copied from one epoch to the next, and enough
+    /// members of the preceding epoch must be available for the copy even if one of them is lost.
+    /// If two changed at once, one further loss would leave the whole group without the earlier
+    /// keys.
+    pub(crate) fn check_transition(
+        &self,
+        current: Option<&GroupRecord>,
+    ) -> Result<(), GroupRefusal> {
+        let previous = current.map_or(&[][..], |record| &record.members);
         for vm in &self.retired {
-            let is_leaving = find(previous, vm).is_some() && find(&self.members, vm).is_none();
+            let is_leaving =
+                find_vm(previous, vm).is_some() && find_vm(&self.members, vm).is_none();
             ensure!(is_leaving, NotLeavingSnafu { vm: vm.clone(), base: self.base });
         }
         if previous.is_empty() {
             return Ok(());
         }
-        let without = |these: &[ClaimMember], those: &[ClaimMember]| {
-            these.iter().filter(|member| find(those, &member.vm).is_none()).count()
+        let count_absent = |members: &[ClaimMember], others: &[ClaimMember]| {
+            members.iter().filter(|member| find_vm(others, &member.vm).is_none()).count()
         };
-        let joining = without(&self.members, previous);
-        let leaving = without(previous, &self.members);
+        let joining = count_absent(&self.members, previous);
+        let leaving = count_absent(previous, &self.members);
         let is_moved = |member: &&ClaimMember| {
-            find(previous, &member.vm).is_some_and(|old| old.address != member.address)
+            find_vm(previous, &member.vm).is_some_and(|old| old.address != member.address)
         };
         let moved = self.members.iter().filter(is_moved).count();
         let region = self.region.clone();
@@ -169,10 +177,11 @@
         Ok(())
     }
 
-    /// The record that this change makes, at `index` of the log and the leader's time `created`.
+    /// Builds the record that this change creates, at `index` of the log and the leader's time
+    /// `created`.
     pub(crate) fn record(
         &self,
-        standing: Option<&GroupRecord>,
+        current: Option<&GroupRecord>,
         index: LogIndex,
         created: WallMillis,
     ) -> GroupRecord {
@@ -181,7 +190,7 @@
             epoch: self.base + 1,
             created,
             members: self.members.clone(),
-            previous: standing.map(|record| record.members.clone()).unwrap_or_default(),
+            previous: current.map(|record| record.members.clone()).unwrap_or_default(),
             retired: self.retired.clone(),
             id: self.id.clone(),
             author: self.author.clone(),
@@ -189,12 +198,12 @@
         }
     }
 
-    /// Whether the author's name is one.
+    /// Checks the length of the author's name.
     pub(crate) fn check_author(&self) -> Result<(), crate::change::RequestError> {
         check_author(&self.author)
     }
 }
 
-fn find<'a>(members: &'a [ClaimMember], vm: &VmName) -> Option<&'a ClaimMember> {
+fn find_vm<'a>(members: &'a [ClaimMember], vm: &VmName) -> Option<&'a ClaimMember> {
     members.iter().find(|member| member.vm == *vm)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
 //! The replicated configuration log and its distribution.
 //!
-//! Three or five control processes keep one log of changes ([`log`](LogStore) on disk, agreed by
-//! consensus among them); every gateway holds a [replica](ConfigReplica) of what the log says now.
+//! Three or five control processes replicate one log of changes by consensus, and each stores it on
+//! disk in a [`LogStore`]. Every gateway holds a [replica](ConfigReplica) of the current
+//! configuration.
 
 mod change;
 mod config;
--- a/crates/control/src/log/error.rs
+++ b/crates/control/src/log/error.rs
@@ -1,15 +1,15 @@
-//! Why a data folder cannot be used.
+//! Errors of the data folder.
 
 use {crate::disk::DiskError, snafu::Snafu};
 
-/// What is wrong with the folder, and what to do about it.
+/// Reasons for which the data folder cannot be used. Each message states the remedy.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
-    /// The disk failed.
+    /// A disk operation failed.
     #[snafu(display("{source}"), context(false))]
     Disk {
-        /// How.
+        /// The disk error.
         source: DiskError,
     },
     /// The folder belongs to another VM or another deployment.
@@ -18,49 +18,50 @@
          --data-dir at this VM's own folder, or at an empty one and run `gladectl control replace`"
     ))]
     Foreign {
-        /// What differs.
+        /// The attribute that differs.
         what: &'static str,
-        /// The folder's.
+        /// The value stored in the folder.
         found: String,
-        /// This process's.
+        /// The value expected by this process.
         expected: String,
     },
-    /// A newer program wrote the folder.
+    /// The folder was written by a newer version of the program.
     #[snafu(display(
         "the data folder has format {found} and this program reads up to {known}; start the newer \
          version of gullglade that wrote it"
     ))]
     Newer {
-        /// The folder's format.
+        /// The format of the folder.
         found: u32,
-        /// The newest format known here.
+        /// The newest format that this version supports.
         known: u32,
     },
-    /// A file is damaged where accepted state stands.
+    /// A file is damaged in a part that had been synced and may hold accepted changes.
     #[snafu(display(
-        "{name} is damaged at byte {offset}, in state that was accepted, so this voter cannot be \
-         trusted; check the disk, empty the data folder, start again and run `gladectl control \
-         replace`: the other voters hold everything"
+        "{name} is damaged at byte {offset}, in a part that may hold accepted changes, so this \
+         voter cannot be trusted; check the disk, empty the data folder, start again and run \
+         `gladectl control replace`: the other voters hold everything"
     ))]
     Damaged {
-        /// The file.
+        /// The damaged file.
         name: String,
-        /// Where.
+        /// The offset of the damage, in bytes.
         offset: usize,
     },
-    /// The files do not fit each other.
+    /// The files are inconsistent with each other.
     #[snafu(display(
         "the data folder is incomplete: {reason}; restore it whole, or empty it, start again and \
          run `gladectl control replace`: the other voters hold everything"
     ))]
     Incomplete {
-        /// What is missing or does not fit.
+        /// What is missing or inconsistent.
         reason: String,
     },
 }
 
 impl LogError {
-    /// Whether the disk refused it for lack of space: nothing is damaged, and it can be tried again.
+    /// Returns whether the cause is a lack of disk space: nothing is damaged, and the operation can
+    /// be retried.
     pub(crate) fn is_disk_full(&self) -> bool {
         matches!(self, Self::Disk { source: DiskError::Full { .. } })
     }
--- a/crates/control/src/log/mod.rs
+++ b/crates/control/src/log/mod.rs
@@ -1,10 +1,11 @@
-//! The log on disk: an identity, one snapshot, one segment of records.
+//! The on-disk log: an identity file, one snapshot and one segment of records.
 //!
-//! Every durable fact of a member (term and vote, entries, doubts about its own disk) is a record
-//! in one append-only segment, so one append and one sync make any combination of them durable
-//! together, and no order of renames can put a vote before or behind the entries it depends on. An
-//! entry record replaces everything from its index on: a conflict with a new leader needs no
-//! truncation, which disks do least reliably. A segment lives until a snapshot replaces it.
+//! Each durable fact of a member (term and vote, entries, doubt about its own disk) is a record in
+//! a single append-only segment. One append and one sync therefore make any combination of them
+//! durable atomically, and a vote can never become durable separately from the entries on which it
+//! depends. An entry record supersedes all entries from its index on, so a conflict with a new
+//! leader needs no file truncation, which is the operation that disks perform least reliably. A
+//! snapshot replaces the segment.
 
 mod error;
 mod frame;
--- a/crates/control/src/log/recovery.rs
+++ b/crates/control/src/log/recovery.rs
@@ -1,12 +1,12 @@
-//! What a folder holds at start, and how the remains of interrupted writes are mended.
+//! Recovery: reads a data folder at start and repairs the effects of interrupted writes.
 
 use {
     super::{
         error::LogError,
         frame::{FileEnd, FrameScan, scan},
         store::{
-            LogRecord, RecoveredLog, SEGMENT_PREFIX, SNAPSHOT_PREFIX, SnapshotImage, numbered,
-            segment_frames, segment_name, snapshot_from,
+            LogRecord, RecoveredLog, SEGMENT_PREFIX, SNAPSHOT_PREFIX, SnapshotImage,
+            decode_snapshot, encode_segment, file_number, segment_name,
         },
     },
     crate::{
@@ -16,7 +16,7 @@
     gullglade_units::decode,
 };
 
-/// The folder at start.
+/// The recovered contents of a data folder.
 pub(super) struct FolderRecovery {
     pub(super) sequence: u64,
     pub(super) segment_bytes: u64,
@@ -37,25 +37,26 @@
         None => None,
     };
     let (sequence, stat) = newest(&files, SEGMENT_PREFIX).ok_or_else(|| {
-        let reason = "there is an identity but no log segment".to_owned();
+        let reason = "the identity file exists but there is no log segment".to_owned();
         LogError::Incomplete { reason }
     })?;
     let bytes = read_checked(folder, stat).await?;
     let damaged = |offset| LogError::Damaged { name: stat.name.clone(), offset };
     let frames = scan(&bytes).map_err(|e| damaged(e.offset))?;
     let mut log = replay(&frames, member, snapshot)
-        .map_err(|fault| fault.into_error(&stat.name, frames.valid_bytes))?;
+        .map_err(|error| error.into_error(&stat.name, frames.valid_bytes))?;
     let segment_bytes = match frames.end {
         FileEnd::Whole => {
-            // A process that was killed between an append and its sync leaves a whole frame that
-            // the next loss of power may still take away. From here on this member vouches for it.
+            // A process that was killed between an append and its sync leaves a complete frame that
+            // a power loss can still remove. This member acknowledges the frame from now on, so it
+            // is synced here.
             folder.sync(&stat.name).await?;
             folder.sync_folder().await?;
             bytes.len() as u64
         }
         end => {
-            log.doubtful |= end == FileEnd::Doubtful && !trusts_disk;
-            cut_tail(folder, sequence, member, &log).await?
+            log.doubtful |= end == FileEnd::Ambiguous && !trusts_disk;
+            rewrite_without_tail(folder, sequence, member, &log).await?
         }
     };
     Ok(FolderRecovery { sequence, segment_bytes, log })
@@ -64,7 +65,7 @@
 fn newest<'a>(files: &'a [FileStat], prefix: &str) -> Option<(u64, &'a FileStat)> {
     files
         .iter()
-        .filter_map(|stat| Some((numbered(&stat.name, prefix)?, stat)))
+        .filter_map(|stat| Some((file_number(&stat.name, prefix)?, stat)))
         .max_by_key(|(number, _)| *number)
 }
 
@@ -75,40 +76,41 @@
     let bytes = read_checked(folder, stat).await?;
     let damaged = |offset| LogError::Damaged { name: stat.name.clone(), offset };
     let frames = scan(&bytes).map_err(|e| damaged(e.offset))?;
-    snapshot_from(&frames.payloads).ok_or_else(|| damaged(frames.valid_bytes))
+    decode_snapshot(&frames.payloads).ok_or_else(|| damaged(frames.valid_bytes))
 }
 
-/// Writes the segment anew without what follows its last whole frame.
+/// Rewrites the segment without the bytes after its last valid frame.
 ///
-/// Leaving the tail and appending behind it would make it a damaged middle at the next start.
-async fn cut_tail(
+/// Appending after those bytes would turn them into a damaged frame followed by valid ones, which
+/// the next start treats as lost state.
+async fn rewrite_without_tail(
     folder: &dyn DataFolder,
     sequence: u64,
     member: MemberId,
     log: &RecoveredLog,
 ) -> Result<u64, LogError> {
-    let chunks = segment_frames(member, log);
+    let chunks = encode_segment(member, log);
     let bytes = chunks.iter().map(|c| c.len() as u64).sum();
     write_atomic(folder, &segment_name(sequence), chunks).await?;
     Ok(bytes)
 }
 
-/// Why whole frames do not make a log.
-enum ReplayFault {
-    /// A record does not decode, or the head is missing.
+/// Reasons for which valid frames do not form a log.
+enum ReplayError {
+    /// A record does not decode, or the head record is missing.
     Unreadable,
-    /// The segment was written for another folder.
-    OtherFolder(MemberId),
-    /// Entries are missing between the snapshot and this one.
+    /// The segment was written for another data folder.
+    OtherMember(MemberId),
+    /// Entries between the snapshot and this index are missing.
     Gap(LogIndex),
 }
 
-impl ReplayFault {
+impl ReplayError {
     fn into_error(self, name: &str, offset: usize) -> LogError {
         let reason = match self {
             Self::Unreadable => return LogError::Damaged { name: name.to_owned(), offset },
-            Self::OtherFolder(member) => {
-                format!("{name} was written by member {member}, not by this folder's")
+            Self::OtherMember(member) => {
+                format!("{name} was written by member {member}, not by the member of this folder")
             }
             Self::Gap(index) => format!("entries before {} are missing in {name}", index.0),
         };
@@ -120,37 +122,38 @@
     frames: &FrameScan<'_>,
     member: MemberId,
     snapshot: Option<SnapshotImage>,
-) -> Result<RecoveredLog, ReplayFault> {
+) -> Result<RecoveredLog, ReplayError> {
     let (base, base_term) = snapshot.as_ref().map_or_else(Default::default, |s| (s.index, s.term));
     let mut log = RecoveredLog { snapshot, ..RecoveredLog::default() };
     let mut has_head = false;
     let mut is_diverged = false;
     for payload in &frames.payloads {
-        let records: Vec<LogRecord> = decode(payload).map_err(|_| ReplayFault::Unreadable)?;
+        let records: Vec<LogRecord> = decode(payload).map_err(|_| ReplayError::Unreadable)?;
         for record in records {
             match record {
                 LogRecord::Head { member: found } if found == member => has_head = true,
-                LogRecord::Head { member: found } => return Err(ReplayFault::OtherFolder(found)),
+                LogRecord::Head { member: found } => return Err(ReplayError::OtherMember(found)),
                 LogRecord::Ballot(ballot) => log.ballot = ballot,
                 LogRecord::Doubt(doubtful) => log.doubtful = doubtful,
                 LogRecord::Entry(entry) => {
                     if entry.index == base {
                         is_diverged = entry.term != base_term;
                     }
-                    place(&mut log.entries, base, entry)?;
+                    put_entry(&mut log.entries, base, entry)?;
                 }
             }
         }
     }
-    // A snapshot from the leader that replaced entries of an older leader, and then a crash before
-    // the segment was replaced as well: what follows in the segment continues the replaced entry.
+    // The segment precedes a snapshot from a leader that replaced entries of an earlier term: a
+    // crash occurred after the snapshot was saved and before the segment was replaced. The entries
+    // after the snapshot then continue the replaced entry and must be discarded.
     if is_diverged {
         log.entries.clear();
     }
-    if has_head { Ok(log) } else { Err(ReplayFault::Unreadable) }
+    if has_head { Ok(log) } else { Err(ReplayError::Unreadable) }
 }
 
-/// Whether `bytes` are a segment in which nothing has happened yet.
+/// Returns whether `bytes` are a segment that holds no vote and no entry.
 pub(super) fn is_unused_segment(bytes: &[u8]) -> bool {
     let Ok(frames) = scan(bytes) else { return false };
     let [payload] = frames.payloads.as_slice() else { return false };
@@ -163,14 +166,18 @@
     })
 }
 
-/// Puts an entry in its place; what stood there and behind it is gone.
-fn place(entries: &mut Vec<LogEntry>, base: LogIndex, entry: LogEntry) -> Result<(), ReplayFault> {
+/// Stores an entry at its index and discards all entries from that index on.
+fn put_entry(
+    entries: &mut Vec<LogEntry>,
+    base: LogIndex,
+    entry: LogEntry,
+) -> Result<(), ReplayError> {
     if entry.index <= base {
         return Ok(());
     }
     let position = (entry.index.0 - base.0 - 1) as usize;
     if position > entries.len() {
-        return Err(ReplayFault::Gap(entry.index));
+        return Err(ReplayError::Gap(entry.index));
     }
     entries.truncate(position);
     entries.push(entry);
--- a/crates/control/src/log/store.rs
+++ b/crates/control/src/log/store.rs
@@ -1,4 +1,4 @@
-//! The open log of this member.
+//! The log of this member, open for writing.
 
 use {
     super::{
@@ -20,48 +20,49 @@
 pub(crate) const SEGMENT_PREFIX: &str = "log-";
 pub(crate) const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// The bytes of one frame of a snapshot.
+/// The size in bytes of one frame of a snapshot.
 const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
 
-/// One durable fact.
+/// A durable record of a segment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// Begins a segment.
+    /// The first record of a segment.
     Head {
-        /// Whose folder the segment was written for.
+        /// The member for whose folder the segment was written.
         member: MemberId,
     },
-    /// The term and vote from here on.
+    /// The term and vote, superseding earlier ballots.
     Ballot(Ballot),
-    /// An entry; replaces everything from its index on.
+    /// An entry, superseding all entries from its index on.
     Entry(LogEntry),
-    /// Whether this member may have lost entries that it had acknowledged, from here on.
+    /// Whether this member may have lost entries that it had acknowledged, superseding earlier
+    /// values.
     Doubt(bool),
 }
 
-/// The state at one index, as an opaque image, and the membership in force there.
+/// A snapshot: the state at one index as an opaque image, and the membership in force there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotImage {
-    /// The last entry that the image includes.
+    /// The last entry included in the image.
     pub index: LogIndex,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: Term,
     /// The membership in force at that entry.
     pub membership: Membership,
-    /// The state machine's image.
+    /// The encoded state machine.
     pub image: Bytes,
 }
 
-/// What a folder held when it was opened.
+/// The contents of a data folder when it was opened.
 #[derive(Debug, Clone, Default)]
 pub struct RecoveredLog {
     /// The last ballot.
     pub ballot: Ballot,
     /// The snapshot, if one was taken.
     pub snapshot: Option<SnapshotImage>,
-    /// The entries behind the snapshot, without a gap.
+    /// The contiguous entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// Whether entries that were acknowledged may be missing at the end.
+    /// Whether acknowledged entries may be missing at the end.
     pub doubtful: bool,
 }
 
@@ -74,9 +75,9 @@
 }
 
 impl LogStore {
-    /// Opens the log of `identity`, mends the remains of interrupted writes, and returns what it
-    /// holds. `trusts_disk`: a damaged end was never acknowledged, see
-    /// [`ControlConfig::trust_disk`](crate::ControlConfig::trust_disk).
+    /// Opens the log of `identity`, repairs the effects of interrupted writes, and returns the
+    /// recovered contents. With `trusts_disk`, a damaged tail is known never to have been
+    /// acknowledged; see [`ControlConfig::trust_disk`](crate::ControlConfig::trust_disk).
     pub async fn open(
         folder: Rc<dyn DataFolder>,
         identity: &FolderIdentity,
@@ -92,14 +93,14 @@
         Ok((store, recovery.log))
     }
 
-    /// Bytes of the segment in use.
+    /// Returns the size of the current segment, in bytes.
     pub fn segment_bytes(&self) -> u64 {
         self.segment_bytes
     }
 
-    /// Makes records durable: returns once they are synced. After an error the segment may end in
-    /// a torn frame, and nothing may be appended behind it: the next start mends the segment, or
-    /// a new segment takes its place.
+    /// Appends records and returns once they are synced. After an error the segment may end in a
+    /// torn frame, and nothing more may be appended to it: the next start repairs the segment, or a
+    /// new segment replaces it.
     pub async fn append(&mut self, records: &[LogRecord]) -> Result<(), LogError> {
         let bytes = frame(&encode(&records));
         let name = segment_name(self.sequence);
@@ -109,21 +110,21 @@
         Ok(())
     }
 
-    /// Replaces snapshot and segment: the folder then holds `log` and nothing else.
+    /// Replaces the snapshot and the segment, so that the folder contains exactly `log`.
     ///
-    /// The order of the steps keeps the folder whole at every moment. The snapshot is durable
-    /// before a segment that builds on it, and that before the older files go; a crash in between
-    /// leaves files that the next start skips and removes.
+    /// The folder is consistent after every step. The snapshot is durable before the segment that
+    /// builds on it, and that segment before older files are removed; the next start ignores and
+    /// removes files that a crash in between leaves.
     pub async fn replace(&mut self, log: &RecoveredLog) -> Result<(), LogError> {
         if let Some(snapshot) = &log.snapshot {
             save_snapshot(&*self.folder, snapshot).await?;
         }
-        self.start_behind(log.snapshot.as_ref().map(|s| s.index), log).await
+        self.start_segment_after(log.snapshot.as_ref().map(|s| s.index), log).await
     }
 
-    /// The second half of [`replace`](Self::replace): a new segment behind a snapshot that was
-    /// saved before. The first half takes long and needs no store.
-    pub(crate) async fn start_behind(
+    /// The second half of [`replace`](Self::replace): starts a segment after a snapshot that has
+    /// already been saved. Saving the snapshot takes longer and does not need the store.
+    pub(crate) async fn start_segment_after(
         &mut self,
         snapshot: Option<LogIndex>,
         log: &RecoveredLog,
@@ -132,10 +133,10 @@
         self.remove_older(snapshot).await
     }
 
-    /// The old segment stays the one in use until the new one is durable.
+    /// Starts a new segment. The old one remains current until the new one is durable.
     async fn start_segment(&mut self, log: &RecoveredLog) -> Result<(), LogError> {
         let next = self.sequence + 1;
-        let chunks = segment_frames(self.member, log);
+        let chunks = encode_segment(self.member, log);
         let segment_bytes = chunks.iter().map(|c| c.len() as u64).sum();
         write_atomic(&*self.folder, &segment_name(next), chunks).await?;
         (self.sequence, self.segment_bytes) = (next, segment_bytes);
@@ -157,12 +158,12 @@
     }
 }
 
-/// Writes a snapshot. The log is still whole without it.
+/// Saves a snapshot. The log does not depend on it until a segment is started after it.
 pub(crate) async fn save_snapshot(
     folder: &dyn DataFolder,
     snapshot: &SnapshotImage,
 ) -> Result<(), LogError> {
-    Ok(write_atomic(folder, &snapshot_name(snapshot.index), snapshot_frames(snapshot)).await?)
+    Ok(write_atomic(folder, &snapshot_name(snapshot.index), encode_snapshot(snapshot)).await?)
 }
 
 pub(crate) fn segment_name(sequence: u64) -> String {
@@ -173,16 +174,16 @@
     format!("{SNAPSHOT_PREFIX}{:016}", index.0)
 }
 
-/// The number in the name of a segment or snapshot; drafts have none.
-pub(crate) fn numbered(name: &str, prefix: &str) -> Option<u64> {
+/// Parses the number in the name of a segment or snapshot; returns `None` for unfinished files.
+pub(crate) fn file_number(name: &str, prefix: &str) -> Option<u64> {
     if name.ends_with(DRAFT_SUFFIX) {
         return None;
     }
     name.strip_prefix(prefix)?.parse().ok()
 }
 
-/// The frames of a new segment that holds everything of `log` but its snapshot.
-pub(crate) fn segment_frames(member: MemberId, log: &RecoveredLog) -> Vec<Vec<u8>> {
+/// Encodes a new segment with the contents of `log` other than its snapshot.
+pub(crate) fn encode_segment(member: MemberId, log: &RecoveredLog) -> Vec<Vec<u8>> {
     let head = vec![
         LogRecord::Head { member },
         LogRecord::Ballot(log.ballot),
@@ -196,18 +197,19 @@
     frames
 }
 
-/// Entries written together when a segment starts: at most 256 KB each, they fit a frame.
+/// The number of entries in a frame of a new segment. Entries have at most 256 KB, so a frame holds
+/// them.
 const ENTRIES_PER_FRAME: usize = 64;
 
-fn snapshot_frames(snapshot: &SnapshotImage) -> Vec<Vec<u8>> {
+fn encode_snapshot(snapshot: &SnapshotImage) -> Vec<Vec<u8>> {
     let bytes = encode(snapshot);
     let mut frames = vec![frame(&encode(&(bytes.len() as u64)))];
     frames.extend(bytes.chunks(SNAPSHOT_CHUNK_BYTES.min(MAX_PAYLOAD_BYTES)).map(frame));
     frames
 }
 
-/// The snapshot in these frames, or `None` where they are not all there.
-pub(crate) fn snapshot_from(payloads: &[&[u8]]) -> Option<SnapshotImage> {
+/// Decodes a snapshot, or returns `None` if frames are missing.
+pub(crate) fn decode_snapshot(payloads: &[&[u8]]) -> Option<SnapshotImage> {
     let (length, chunks) = payloads.split_first()?;
     let length: u64 = decode(length).ok()?;
     let bytes = chunks.concat();
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A control process's part of the system, for those who put a process together.
+//! The public interface of the control role of a process.
 
 use {
     crate::{
@@ -23,10 +23,10 @@
 
 /// The control role of a process: one member of the replicated log.
 ///
-/// To wire it: open a [`FileFolder`](crate::FileFolder) on the data folder, call
+/// To run it, open a [`FileFolder`](crate::FileFolder) on the data folder, call
 /// [`start`](Self::start) inside the runtime with the process's peer transport, then
-/// [`serve`](Self::serve) with its handler table. The process should end, with the message of
-/// [`stopped`](Self::stopped), once that completes. Addresses in
+/// [`serve`](Self::serve) with its handler table. When [`stopped`](Self::stopped) completes, the
+/// process should exit with the error that it returns. Addresses in
 /// [`ControlConfig::new`](ControlConfig::new) are peer addresses.
 #[derive(Clone)]
 pub struct ControlNode {
@@ -34,7 +34,7 @@
 }
 
 impl ControlNode {
-    /// Opens the data folder, brings back its state and starts to take part.
+    /// Opens the data folder, recovers its state and starts the member's tasks.
     pub async fn start(
         config: ControlConfig,
         context: ProcessContext,
@@ -47,26 +47,27 @@
         Ok(Self { core })
     }
 
-    /// Serves the other control processes, and configuration to gateways.
+    /// Registers the handlers that serve other control processes and distribute configuration to
+    /// gateways.
     pub fn serve(&self, handlers: &HandlerTable) {
         let feed: Rc<dyn ConfigFeed> = Rc::clone(&self.core) as _;
         handlers.register(CONFIG_PREFIX, Rc::new(ConfigHandler(feed)));
         handlers.register(LOG_PREFIX, Rc::new(LogHandler(Rc::clone(&self.core))));
     }
 
-    /// Has a change decided by the log: accepted, or in conflict with the one that won. A resend
-    /// of the same change gets the first outcome.
+    /// Proposes a change to a service's document and waits for its outcome: accepted, or in
+    /// conflict with an earlier change. A resend of the same change returns the first outcome.
     pub async fn change(&self, request: ChangeRequest) -> Result<ChangeOutcome, ChangeError> {
         self.core.change(request).await
     }
 
-    /// Has a change of a region's claim group decided by the log, under the same rules as
-    /// [`change`](Self::change).
+    /// Proposes a change to a region's claim group and waits for its outcome, with the same
+    /// semantics as [`change`](Self::change).
     pub async fn change_group(&self, request: GroupRequest) -> Result<GroupOutcome, ChangeError> {
         self.core.change_group(request).await
     }
 
-    /// Has a change of the traffic configuration decided by the log.
+    /// Proposes a change to the traffic configuration and waits for its outcome.
     pub async fn change_traffic(
         &self,
         change: TrafficChange,
@@ -74,9 +75,9 @@
         self.core.change_traffic(change).await
     }
 
-    /// Completes once the traffic configuration applied here is newer than `index`.
+    /// Waits until the traffic configuration applied by this process is newer than `index`.
     pub async fn wait_for_traffic_after(&self, index: LogIndex) {
-        self.core.until(|s| (s.config.traffic().changed() > index).then_some(())).await;
+        self.core.wait_until(|s| (s.config.traffic().changed() > index).then_some(())).await;
     }
 
     /// Adds peer addresses at which other control processes may be found.
@@ -84,42 +85,42 @@
         self.core.joining.add_contacts(addresses);
     }
 
-    /// How long ago the state here was known to be everything that had been accepted; `None`
-    /// where that was never known in this run.
+    /// Returns the time since the state of this process was last known to include every accepted
+    /// change, or `None` if that has not been established since the process started.
     pub fn confirmed_ago(&self) -> Option<Duration> {
         let state = self.core.state.borrow();
         self.core.confirmed_ago(&state)
     }
 
-    /// Has the voter on `old` replaced by the control process at `address`, which must have an
-    /// empty folder. Returns once the replacement is begun; the leader carries it out.
+    /// Starts the replacement of the voter on `old` by the control process at `address`, whose data
+    /// folder must be empty. Returns once the replacement has begun; the leader completes it.
     pub async fn replace(&self, old: VmName, address: SocketAddr) -> Result<(), ReplaceError> {
         self.core.replace(old, address).await
     }
 
-    /// Waits until everything accepted before the call is applied here.
+    /// Waits until every change accepted before the call is applied by this process.
     pub async fn catch_up(&self) -> Result<LogIndex, ChangeError> {
         self.core.catch_up().await
     }
 
-    /// Reads the state as it is applied here, which may be older than what was accepted
-    /// elsewhere: see [`catch_up`](Self::catch_up).
+    /// Reads the state applied by this process, which may lag behind what other members have
+    /// accepted; see [`catch_up`](Self::catch_up).
     pub fn read<T>(&self, view: impl FnOnce(&ConfigState) -> T) -> T {
         view(&self.core.state.borrow().config)
     }
 
-    /// What this process says about itself.
+    /// Returns the status of this process.
     pub fn status(&self) -> MemberStatus {
         self.core.status()
     }
 
-    /// What all members and gateways say, as far as they answer.
+    /// Collects the status of all members and gateways that answer.
     pub async fn cluster_status(&self) -> ClusterStatus {
         self.core.cluster_status().await
     }
 
-    /// Completes when this process can no longer take part, with the reason and the remedy.
+    /// Waits until this process can no longer participate, and returns the error with its remedy.
     pub async fn stopped(&self) -> ControlError {
-        self.core.until(|s| s.stopped.clone()).await
+        self.core.wait_until(|s| s.stopped.clone()).await
     }
 }
--- a/crates/control/src/state/group_table.rs
+++ b/crates/control/src/state/group_table.rs
@@ -1,4 +1,4 @@
-//! The claim groups that stand, and how each came to be.
+//! The current claim groups and the history of their changes.
 
 use {
     crate::{
@@ -10,11 +10,11 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Epochs kept for "who changed what". A group changes when a VM is replaced, a few times a year.
+/// The number of epochs kept as history. A group changes when a VM is replaced, a few times a year.
 const MAX_HISTORY: usize = 1_000;
 
-/// The group of each region. An epoch only grows, and no group is ever removed: a region without
-/// one would forget the claims it holds.
+/// The claim group of each region. Epochs only increase, and groups are never removed: a region
+/// without a group would forget the claims it holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct GroupTable {
     groups: BTreeMap<RegionName, GroupRecord>,
@@ -34,18 +34,18 @@
         self.history.iter()
     }
 
-    /// Decides about a change that is new.
+    /// Decides a change that has no recorded outcome.
     pub(super) fn decide(&mut self, request: &GroupRequest, entry: &LogEntry) -> GroupOutcome {
-        let standing = self.groups.get(&request.region);
-        if standing.map_or(0, |record| record.epoch) != request.base {
+        let current = self.groups.get(&request.region);
+        if current.map_or(0, |record| record.epoch) != request.base {
             let (region, base) = (request.region.clone(), request.base);
-            let winner = standing.cloned();
+            let winner = current.cloned();
             return GroupOutcome::Conflict(GroupConflict { region, base, winner });
         }
-        if let Err(refusal) = request.check_step(standing) {
+        if let Err(refusal) = request.check_transition(current) {
             return GroupOutcome::Refused(refusal);
         }
-        let record = request.record(standing, entry.index, entry.wall);
+        let record = request.record(current, entry.index, entry.wall);
         self.groups.insert(record.region.clone(), record.clone());
         self.history.push_back(record.clone());
         if self.history.len() > MAX_HISTORY {
--- a/crates/control/src/state/machine.rs
+++ b/crates/control/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that every member applies the log to.
+//! The state machine to which every member applies the log.
 
 use {
     super::{group_table::GroupTable, outcomes::OutcomeTable},
@@ -20,24 +20,24 @@
     },
 };
 
-/// Accepted changes kept for "who changed what": four days' worth at 4,900 a day.
+/// The number of accepted changes kept as history: four days at 4,900 changes a day.
 const MAX_HISTORY: usize = 20_000;
 
-/// A service as it stands.
+/// The current state of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// The change that made it so.
+    /// The change that created this state.
     pub change: AcceptedChange,
-    /// Its document's text, or `None` where the service was removed. A removed service keeps its
-    /// record, so that replicas learn of the removal and its versions go on counting.
+    /// The text of the document, or `None` if the service was removed. A removed service keeps its
+    /// record, so that replicas learn of the removal and its version numbers are not reused.
     pub text: Option<Rc<str>>,
 }
 
 impl ServiceRecord {
-    /// About the bytes it takes on the wire.
+    /// Returns the approximate encoded size in bytes.
     pub(crate) fn size_hint(&self) -> usize {
-        const HEAD: usize = 128;
-        HEAD + self.text.as_ref().map_or(0, |text| text.len())
+        const OVERHEAD_BYTES: usize = 128;
+        OVERHEAD_BYTES + self.text.as_ref().map_or(0, |text| text.len())
     }
 }
 
@@ -60,55 +60,55 @@
 }
 
 impl ConfigState {
-    /// The last entry applied.
+    /// Returns the index of the last applied entry.
     pub fn applied(&self) -> LogIndex {
         self.data.applied
     }
 
-    /// The wall time of the last entry applied.
+    /// Returns the wall time of the last applied entry.
     pub fn wall(&self) -> WallMillis {
         self.data.wall
     }
 
-    /// The service as it stands.
+    /// Returns the current state of a service.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceRecord> {
         self.data.services.get(name)
     }
 
-    /// All services, removed ones too.
+    /// Returns all services, including removed ones.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRecord> {
         self.data.services.values()
     }
 
-    /// The services changed after `index`, in the order of their last changes.
+    /// Returns the services changed after `index`, ordered by the index of their last change.
     pub fn changed_after(&self, index: LogIndex) -> impl Iterator<Item = &ServiceRecord> {
         self.by_index.range(index.next()..).filter_map(|(_, name)| self.data.services.get(name))
     }
 
-    /// Accepted changes, oldest first, as far back as they are kept.
+    /// Returns the retained history of accepted changes, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &AcceptedChange> {
         self.data.history.iter()
     }
 
-    /// The claim group of `region`.
+    /// Returns the claim group of `region`.
     pub fn group(&self, region: &RegionName) -> Option<&GroupRecord> {
         self.data.groups.get(region)
     }
 
-    /// All claim groups, by region.
+    /// Returns all claim groups, ordered by region.
     pub fn groups(&self) -> impl Iterator<Item = &GroupRecord> {
         self.data.groups.iter()
     }
 
-    /// Every epoch of every claim group, oldest first, as far back as they are kept.
+    /// Returns the retained history of claim group epochs, oldest first.
     pub fn group_history(&self) -> impl DoubleEndedIterator<Item = &GroupRecord> {
         self.data.groups.history()
     }
 
-    /// Applies the next entry. `Some` for a change: what became of it.
+    /// Applies the next entry. Returns the outcome if the entry carries a change.
     ///
     /// # Panics
-    /// Where `entry` is not the next one: the caller has lost the log's order.
+    /// Panics if `entry` does not directly follow the last applied entry.
     pub fn apply(&mut self, entry: &LogEntry) -> Option<Result<ConfigOutcome, ChangeRefusal>> {
         assert_eq!(entry.index, self.data.applied.next(), "entries are applied in order");
         self.data.applied = entry.index;
@@ -126,15 +126,15 @@
         Some(self.decide(change, entry))
     }
 
-    /// The first outcome of a change that was decided before, or its refusal.
-    pub(crate) fn earlier(
+    /// Returns the recorded outcome of a change that was decided before, or the refusal of its id.
+    pub(crate) fn recorded_outcome(
         &self,
         change: &ConfigChange,
     ) -> Option<Result<ConfigOutcome, ChangeRefusal>> {
-        self.data.outcomes.earlier(change.identified()?)
+        self.data.outcomes.recorded_outcome(change.identified()?)
     }
 
-    /// The traffic configuration as it stands.
+    /// Returns the current traffic configuration.
     pub fn traffic(&self) -> &TrafficRecord {
         &self.traffic
     }
@@ -144,8 +144,8 @@
         change: IdentifiedChange<'_>,
         entry: &LogEntry,
     ) -> Result<ConfigOutcome, ChangeRefusal> {
-        if let Some(earlier) = self.data.outcomes.earlier(change) {
-            return earlier;
+        if let Some(recorded) = self.data.outcomes.recorded_outcome(change) {
+            return recorded;
         }
         let outcome = match change {
             IdentifiedChange::Service(request) => {
@@ -155,7 +155,7 @@
                 ConfigOutcome::ClaimGroup(self.data.groups.decide(request, entry))
             }
         };
-        self.data.outcomes.keep(change, outcome.clone(), entry.wall);
+        self.data.outcomes.record(change, outcome.clone(), entry.wall);
         Ok(outcome)
     }
 
@@ -194,16 +194,16 @@
         change
     }
 
-    /// The state as bytes.
+    /// Encodes the state.
     pub fn image(&self) -> Bytes {
         Bytes::from(encode(&(&self.data, &self.traffic)))
     }
 
-    /// The state of an image.
+    /// Decodes a state from an image.
     pub fn from_image(image: &[u8]) -> Result<Self, CodecError> {
         let (data, traffic): (StateData, _) = match decode(image) {
             Ok(parts) => parts,
-            // An image of folder format 2 holds no traffic configuration.
+            // An image of folder format 2 contains no traffic configuration.
             Err(_) => (decode(image)?, TrafficRecord::default()),
         };
         let index = |s: &ServiceRecord| (s.change.index, s.change.service.clone());
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,7 +1,8 @@
-//! What the log says: every service's document, every region's claim group, the outcomes of changes, who changed what.
+//! The replicated state: every service's document, every region's claim group, the traffic
+//! configuration, the outcomes of changes and their history.
 //!
-//! Applying the same entries gives the same state on every member, so nothing here asks a clock or
-//! a random source: time is the wall time that the leader wrote into the entry.
+//! Applying the same entries produces the same state on every member, so this module uses neither a
+//! clock nor a random source. Time is the wall time that the leader recorded in the entry.
 
 mod group_table;
 mod machine;
--- a/crates/control/src/state/outcomes.rs
+++ b/crates/control/src/state/outcomes.rs
@@ -1,4 +1,4 @@
-//! The outcomes of changes, kept so that a resend gets the first one.
+//! The outcomes of changes, retained so that a resend receives the first one.
 
 use {
     crate::change::{ChangeRefusal, ChangeTarget, ConfigOutcome, IdentifiedChange},
@@ -7,16 +7,16 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// How many days an outcome is kept.
+/// The retention period of outcomes, in days.
 pub const OUTCOME_DAYS: u64 = 7;
 
 const DAY_MILLIS: u64 = 24 * 60 * 60 * 1_000;
 
-/// The most outcomes kept. Ten days' worth at 4,900 changes a day; a flood of changes shortens the
-/// time for which outcomes are kept rather than filling the memory.
+/// The maximum number of retained outcomes: ten days at 4,900 changes a day. A flood of changes
+/// shortens the retention period instead of exhausting memory.
 const MAX_OUTCOMES: usize = 50_000;
 
-/// What a change was about, to notice an id that is used for another one.
+/// The contents of a change, by which the reuse of an id for a different change is detected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct ChangeSubject {
     target: ChangeTarget,
@@ -53,24 +53,25 @@
     outcome: ConfigOutcome,
 }
 
-/// Outcomes by change id, oldest dropped first.
+/// Outcomes by change id. The oldest are evicted first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct OutcomeTable {
     kept: BTreeMap<ChangeId, KeptOutcome>,
     order: VecDeque<(WallMillis, ChangeId)>,
-    /// The time of the newest outcome dropped; an id made before it may have been one of them.
+    /// The time of the newest evicted outcome. An id created at or before that time may belong to
+    /// an evicted one.
     dropped: Option<WallMillis>,
 }
 
 impl OutcomeTable {
-    /// The first outcome of this change, or the refusal of an id about which nothing can be said;
-    /// `None` where the change is new.
-    pub(super) fn earlier(
+    /// Returns the recorded outcome of a change, or the refusal of an id that is reused or expired.
+    /// Returns `None` if the change is new.
+    pub(super) fn recorded_outcome(
         &self,
         change: IdentifiedChange<'_>,
     ) -> Option<Result<ConfigOutcome, ChangeRefusal>> {
         if let Some(kept) = self.kept.get(change.id()) {
-            return Some(kept.answer(change));
+            return Some(kept.resolve(change));
         }
         let made = change.id().made()?;
         if self.dropped.is_none_or(|dropped| made > dropped) {
@@ -83,8 +84,8 @@
         }))
     }
 
-    /// Keeps the outcome of a new change, decided at `wall`.
-    pub(super) fn keep(
+    /// Records the outcome of a new change, decided at `wall`.
+    pub(super) fn record(
         &mut self,
         change: IdentifiedChange<'_>,
         outcome: ConfigOutcome,
@@ -93,10 +94,10 @@
         let subject = ChangeSubject::from(change);
         self.kept.insert(change.id().clone(), KeptOutcome { subject, outcome });
         self.order.push_back((wall, change.id().clone()));
-        self.drop_old(wall);
+        self.evict_old(wall);
     }
 
-    fn drop_old(&mut self, now: WallMillis) {
+    fn evict_old(&mut self, now: WallMillis) {
         let limit = now.0.saturating_sub(OUTCOME_DAYS * DAY_MILLIS);
         while let Some((wall, id)) = self.order.front()
             && (wall.0 < limit || self.order.len() > MAX_OUTCOMES)
@@ -109,7 +110,7 @@
 }
 
 impl KeptOutcome {
-    fn answer(&self, change: IdentifiedChange<'_>) -> Result<ConfigOutcome, ChangeRefusal> {
+    fn resolve(&self, change: IdentifiedChange<'_>) -> Result<ConfigOutcome, ChangeRefusal> {
         if self.subject == ChangeSubject::from(change) {
             return Ok(self.outcome.clone());
         }
--- a/crates/control/src/traffic/change.rs
+++ b/crates/control/src/traffic/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the traffic configuration.
+//! Changes to the traffic configuration.
 
 use {
     crate::entry::LogIndex,
@@ -7,44 +7,45 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The operators' number of a traffic configuration. The highest one stands.
+/// The operator-assigned version of a traffic configuration. The highest one is in force.
 pub type ConfigVersion = u64;
 
-/// One change. It carries no id: deciding it a second time has no further effect.
+/// A change to the traffic configuration. It carries no id, since applying it again has no further
+/// effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrafficChange {
-    /// Puts a whole configuration in force, unless one of the same or a higher version stands.
+    /// Puts a complete configuration in force if its version is greater than the current one.
     Configure {
-        /// The operator's number for it.
+        /// Its version.
         version: ConfigVersion,
-        /// The checked configuration, in the form that gateways read. The log does not look inside.
+        /// The validated configuration in the format that gateways parse. It is opaque to the log.
         text: Bytes,
     },
     /// Begins or ends the evacuation of a failure domain.
     Evacuate {
         /// The failure domain.
         domain: FailureDomain,
-        /// Whether it is to be evacuated from here on.
+        /// Whether the failure domain is to be evacuated.
         is_on: bool,
     },
 }
 
-/// Whether a change changed anything.
+/// The effect of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrafficEffect {
-    /// It did.
+    /// The configuration was changed.
     Applied,
-    /// What it asks for, or something newer, stood already.
+    /// The requested state, or a newer one, was already in force.
     Unchanged,
 }
 
-/// What became of a change.
+/// The outcome of a change to the traffic configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficOutcome {
-    /// Whether it changed anything.
+    /// Whether the change had an effect.
     pub effect: TrafficEffect,
-    /// The version that stands after it; `None` before the first configuration.
+    /// The version in force after the change, or `None` before the first configuration.
     pub version: Option<ConfigVersion>,
-    /// Where the last change that had an effect stands in the log.
+    /// The index of the last change that had an effect.
     pub index: LogIndex,
 }
--- a/crates/control/src/traffic/mod.rs
+++ b/crates/control/src/traffic/mod.rs
@@ -1,5 +1,5 @@
-//! The traffic configuration in the log: one document for all routes under the operators' own
-//! version numbers, and the failure domains that are evacuated.
+//! The traffic configuration in the log: a single document for all routes, with operator-assigned
+//! versions, and the set of evacuated failure domains.
 
 mod change;
 mod record;
--- a/crates/control/src/traffic/record.rs
+++ b/crates/control/src/traffic/record.rs
@@ -1,4 +1,4 @@
-//! The traffic configuration as it stands.
+//! The current traffic configuration.
 
 use {
     super::change::{ConfigVersion, TrafficChange, TrafficEffect, TrafficOutcome},
@@ -18,40 +18,40 @@
 }
 
 impl TrafficRecord {
-    /// The version in force; `None` before the first configuration.
+    /// Returns the version in force, or `None` before the first configuration.
     pub fn version(&self) -> Option<ConfigVersion> {
         self.held.as_ref().map(|(version, _)| *version)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn text(&self) -> Option<&Bytes> {
         self.held.as_ref().map(|(_, text)| text)
     }
 
-    /// The failure domains that are evacuated.
+    /// Returns the evacuated failure domains.
     pub fn evacuated(&self) -> &BTreeSet<FailureDomain> {
         &self.evacuated
     }
 
-    /// Where the last change that had an effect stands in the log; grows with each.
+    /// Returns the index of the last change that had an effect. It increases with each such change.
     pub fn changed(&self) -> LogIndex {
         self.changed
     }
 
-    /// What `change` would do, were it decided now.
+    /// Returns the effect that `change` would have on the current state.
     pub(crate) fn effect(&self, change: &TrafficChange) -> TrafficEffect {
-        let is_news = match change {
+        let has_effect = match change {
             TrafficChange::Configure { version, .. } => self.version() < Some(*version),
             TrafficChange::Evacuate { domain, is_on } => self.evacuated.contains(domain) != *is_on,
         };
-        if is_news { TrafficEffect::Applied } else { TrafficEffect::Unchanged }
+        if has_effect { TrafficEffect::Applied } else { TrafficEffect::Unchanged }
     }
 
     pub(crate) fn outcome(&self, effect: TrafficEffect) -> TrafficOutcome {
         TrafficOutcome { effect, version: self.version(), index: self.changed }
     }
 
-    /// Decides `change`, which stands at `index`.
+    /// Applies `change`, the command of the entry at `index`.
     pub(crate) fn apply(&mut self, change: &TrafficChange, index: LogIndex) -> TrafficOutcome {
         let effect = self.effect(change);
         if effect == TrafficEffect::Applied {
--- a/crates/control/tests/groups.rs
+++ b/crates/control/tests/groups.rs
@@ -73,7 +73,7 @@
     }
     let cases = [
         Case { change: |r| r.members.clear(), remedy: "give --member" },
-        Case { change: |r| r.members = members("a b a@9"), remedy: "name each VM once" },
+        Case { change: |r| r.members = members("a b a@9"), remedy: "list each VM once" },
         Case { change: |r| r.members = members("a b@97"), remedy: "its own peer address" },
         Case { change: |r| r.members = members("a b c d e f g h"), remedy: "give 7 or fewer" },
         Case { change: |r| r.members[0].address.set_port(0), remedy: "--peer-address" },
