--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -33,7 +33,7 @@
 
 /// The way in which the members of a log are determined.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Formation {
+pub(crate) enum VoterDiscovery {
     /// The operator lists the initial voters and requests each replacement.
     Listed,
     /// The seeds found the log. Other processes join, and lost voters are replaced, without an
@@ -44,7 +44,7 @@
 /// Settings of a [`ControlNode`](crate::ControlNode).
 #[derive(Debug, Clone)]
 pub struct ControlConfig {
-    pub(crate) formation: Formation,
+    pub(crate) voter_discovery: VoterDiscovery,
     pub(crate) trusts_disk: bool,
     pub(crate) cluster: String,
     pub(crate) vm: VmName,
@@ -69,7 +69,7 @@
     /// same order on every control process.
     pub fn new(cluster: &str, vm: VmName, region: RegionName, voters: Vec<InitialVoter>) -> Self {
         Self {
-            formation: Formation::Listed,
+            voter_discovery: VoterDiscovery::Listed,
             trusts_disk: false,
             cluster: cluster.to_owned(),
             vm,
@@ -93,7 +93,7 @@
     /// and joins them without an operator.
     pub fn seeded(cluster: &str, vm: VmName, region: RegionName, seeds: SeedSettings) -> Self {
         let mut config = Self::new(cluster, vm, region, Vec::new());
-        config.formation = Formation::Seeded(seeds);
+        config.voter_discovery = VoterDiscovery::Seeded(seeds);
         config
     }
 
@@ -109,9 +109,9 @@
     }
 
     pub(crate) fn seed_settings(&self) -> Option<&SeedSettings> {
-        match &self.formation {
-            Formation::Listed => None,
-            Formation::Seeded(settings) => Some(settings),
+        match &self.voter_discovery {
+            VoterDiscovery::Listed => None,
+            VoterDiscovery::Seeded(settings) => Some(settings),
         }
     }
 
--- a/crates/control/src/consensus/core.rs
+++ b/crates/control/src/consensus/core.rs
@@ -11,7 +11,7 @@
     },
     crate::{
         change::{ChangeOutcome, ConfigOutcome},
-        config::{ControlConfig, Formation},
+        config::{ControlConfig, VoterDiscovery},
         disk::DataFolder,
         distribution::ReportTable,
         entry::{Ballot, MemberId, Term},
@@ -99,9 +99,9 @@
 
     /// Starts the tasks that run for the lifetime of a member.
     pub(crate) fn start(self: &Rc<Self>) {
-        match self.config.formation {
-            Formation::Listed => self.spawn(Rc::clone(self).run_founding()),
-            Formation::Seeded(_) => self.spawn(Rc::clone(self).run_seeding()),
+        match self.config.voter_discovery {
+            VoterDiscovery::Listed => self.spawn(Rc::clone(self).run_founding()),
+            VoterDiscovery::Seeded(_) => self.spawn(Rc::clone(self).run_seeding()),
         }
         self.spawn(Rc::clone(self).check_acknowledged_position());
         self.spawn(Rc::clone(self).run_disk_recovery());
--- a/crates/control/src/consensus/election.rs
+++ b/crates/control/src/consensus/election.rs
@@ -73,8 +73,9 @@
     ///
     /// A working leader calls a member that has just started within two heartbeats. If all voters
     /// are started at once, there is no leader and each of them waits for an election. They then
-    /// campaign one after another in order of rank. With random times from so short a span, voters
-    /// campaigned within a round trip of each other and split their votes for three terms in a row.
+    /// campaign one after another in order of rank. Random times from so short a span would let
+    /// voters campaign within a round trip of each other and split their votes, as often as three
+    /// terms in a row.
     fn random_election_timeout(&self) -> Duration {
         let config = &self.config;
         // If the disk is not trusted, no member votes earlier after a start.
@@ -100,9 +101,7 @@
     fn election_due(&self, last_campaign: MonotonicTime, timeout: Duration) -> MonotonicTime {
         let state = self.state.borrow();
         let due = state.leader_heard_at.max(last_campaign) + timeout;
-        state
-            .granted_poll
-            .map_or(due, |granted_poll| due.max(granted_poll.at + self.config.call_limit))
+        state.granted_pre_vote.map_or(due, |grant| due.max(grant.at + self.config.call_limit))
     }
 
     /// Returns whether this member is the only voter.
--- a/crates/control/src/consensus/membership_rules.rs
+++ b/crates/control/src/consensus/membership_rules.rs
@@ -130,8 +130,8 @@
             && self.is_silent(state, replacement.new, VOTER_SILENCE_LIMIT)
     }
 
-    /// Returns whether a member has not answered for `limit`, counted from the start of this
-    /// leadership at the earliest.
+    /// Returns whether a member has neither answered for `limit`, counted from the start of this
+    /// leadership at the earliest, nor recently asked to join.
     fn is_silent(&self, state: &NodeState, id: MemberId, limit: Duration) -> bool {
         let Role::Leader(leadership) = &state.role else { return false };
         let acked = leadership.progress.get(&id).and_then(|p| p.acked);
@@ -147,7 +147,7 @@
     /// that.
     pub(super) async fn wait_for_joins(&self) {
         let Some(settings) = self.config.seed_settings() else { return };
-        let is_settled = |s: &NodeState| {
+        let has_settled = |s: &NodeState| {
             let voters = s.membership().map_or(0, |m| m.voters().count());
             let Role::Leader(leadership) = &s.role else { return Some(()) };
             let is_early = self.now().since(leadership.began) < JOIN_GRACE;
@@ -155,7 +155,7 @@
             let is_expecting = (is_early && !is_full) || self.has_pending_joiner(s, is_full);
             (!is_expecting).then_some(())
         };
-        self.wait_until_timeout(JOIN_WAIT_LIMIT, is_settled).await;
+        self.wait_until_timeout(JOIN_WAIT_LIMIT, has_settled).await;
     }
 
     /// Returns whether a process that has asked to join is about to become a voter: in a free
--- a/crates/control/src/consensus/state.rs
+++ b/crates/control/src/consensus/state.rs
@@ -66,7 +66,7 @@
 
 /// A pre-vote that was granted.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PollGrant {
+pub(crate) struct PreVoteGrant {
     pub(crate) at: MonotonicTime,
     /// The last log position and the identity of the candidate. Of two candidates, the one with the
     /// greater value takes precedence.
@@ -91,7 +91,7 @@
     /// Whether this member is campaigning.
     pub(crate) is_campaigning: bool,
     /// The last pre-vote that this member granted.
-    pub(crate) granted_poll: Option<PollGrant>,
+    pub(crate) granted_pre_vote: Option<PreVoteGrant>,
     /// A time at which the state was known to include every accepted change.
     pub(crate) confirmed: Option<BootTime>,
     pub(crate) pending: VecDeque<Proposal>,
@@ -124,7 +124,7 @@
             leader_heard_at: now,
             has_heard_leader: false,
             is_campaigning: false,
-            granted_poll: None,
+            granted_pre_vote: None,
             confirmed: None,
             pending: VecDeque::new(),
             witnessed: BTreeMap::new(),
--- a/crates/control/src/consensus/voting.rs
+++ b/crates/control/src/consensus/voting.rs
@@ -4,7 +4,7 @@
     super::{
         core::{ControlCore, WriteUnavailable},
         message::{VoteReply, VoteRequest},
-        state::{NodeState, PollGrant},
+        state::{NodeState, PreVoteGrant},
     },
     crate::{entry::Ballot, log::LogRecord},
     gullglade_peer::PeerFault,
@@ -23,7 +23,8 @@
         let is_granted = self.would_grant(&request) && !self.has_better_candidate(&request);
         if request.is_poll && is_granted {
             let precedence = (request.last, request.envelope.from);
-            self.state.borrow_mut().granted_poll = Some(PollGrant { at: self.now(), precedence });
+            self.state.borrow_mut().granted_pre_vote =
+                Some(PreVoteGrant { at: self.now(), precedence });
         }
         if !request.is_poll && !self.has_live_leader() && request.term >= ballot.term {
             let vote =
@@ -64,11 +65,12 @@
     fn has_better_candidate(&self, request: &VoteRequest) -> bool {
         let state = self.state.borrow();
         let precedence = (request.last, request.envelope.from);
-        let takes_precedence = |grant: PollGrant| {
+        let takes_precedence = |grant: PreVoteGrant| {
             grant.precedence > precedence && self.now().since(grant.at) < self.config.call_limit
         };
-        let is_better_itself = state.is_campaigning && (state.log_end(), self.me) > precedence;
-        request.is_poll && (is_better_itself || state.granted_poll.is_some_and(takes_precedence))
+        let own_takes_precedence = state.is_campaigning && (state.log_end(), self.me) > precedence;
+        request.is_poll
+            && (own_takes_precedence || state.granted_pre_vote.is_some_and(takes_precedence))
     }
 
     /// Returns whether this member leads, or has heard from a leader so recently that the leader
--- a/crates/control/src/distribution/sync.rs
+++ b/crates/control/src/distribution/sync.rs
@@ -117,7 +117,7 @@
                 }
                 Ok((reply, elapsed)) => {
                     let (from, marks) = (reply.cursor, reply.marks.clone());
-                    let outcome = self.apply_and_rate(reply, elapsed);
+                    let outcome = self.apply_and_classify(reply, elapsed);
                     self.fetch_marked_pages(transport, address, from, &marks).await;
                     outcome
                 }
@@ -142,7 +142,7 @@
         let newest =
             deferred.into_iter().max_by_key(|(reply, _)| (reply.complete_at, reply.cursor));
         if let Some((reply, elapsed)) = newest {
-            self.apply_and_rate(reply, elapsed);
+            self.apply_and_classify(reply, elapsed);
         }
     }
 
@@ -168,7 +168,7 @@
         });
         for (outcome, until) in join_all(requests).await.into_iter().zip(marks) {
             let Ok((reply, elapsed)) = outcome else { return };
-            self.apply_and_rate(reply, elapsed);
+            self.apply_and_classify(reply, elapsed);
             // The page was incomplete or could not be parsed. Applying the following ones would
             // leave a gap.
             if self.position().1 < *until {
@@ -207,7 +207,7 @@
         FetchOutcome::Failed
     }
 
-    fn apply_and_rate(&self, reply: FetchReply, elapsed: Duration) -> FetchOutcome {
+    fn apply_and_classify(&self, reply: FetchReply, elapsed: Duration) -> FetchOutcome {
         let is_fresh = reply.age.is_some_and(|age| age <= FRESH_AGE);
         let before = self.status().applied;
         let changes: Vec<AcceptedChange> =
--- a/crates/control/src/log/frame.rs
+++ b/crates/control/src/log/frame.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FileEnd {
     /// The file ends with a complete frame.
-    Whole,
+    Complete,
     /// The file ends within a frame whose remaining bytes were never written: they are missing or
     /// zero. A flipped bit causes neither, so the frame was never synced and never acknowledged.
     Truncated,
@@ -62,7 +62,7 @@
 }
 
 enum Frame<'a> {
-    Whole(&'a [u8]),
+    Complete(&'a [u8]),
     Incomplete,
     Damaged,
 }
@@ -73,7 +73,7 @@
     let mut offset = 0;
     while offset < bytes.len() {
         match read_frame(&bytes[offset..]) {
-            Frame::Whole(payload) => {
+            Frame::Complete(payload) => {
                 payloads.push(payload);
                 offset += HEADER_BYTES + payload.len() + TRAILER.len();
             }
@@ -90,7 +90,7 @@
             }
         }
     }
-    Ok(FrameScan { payloads, valid_bytes: offset, end: FileEnd::Whole })
+    Ok(FrameScan { payloads, valid_bytes: offset, end: FileEnd::Complete })
 }
 
 fn read_frame(bytes: &[u8]) -> Frame<'_> {
@@ -108,7 +108,7 @@
     match rest.get(..TRAILER.len()) {
         None => Frame::Incomplete,
         Some(end) if end == TRAILER && crc32fast::hash(payload) == read_u32(8) => {
-            Frame::Whole(payload)
+            Frame::Complete(payload)
         }
         Some(_) => Frame::Damaged,
     }
@@ -117,5 +117,5 @@
 /// Returns whether a valid frame begins at any offset of `bytes`. The checksum of the length
 /// rejects almost every offset after eight bytes.
 fn contains_frame(bytes: &[u8]) -> bool {
-    (0..bytes.len()).any(|at| matches!(read_frame(&bytes[at..]), Frame::Whole(_)))
+    (0..bytes.len()).any(|at| matches!(read_frame(&bytes[at..]), Frame::Complete(_)))
 }
--- a/crates/control/src/log/identity.rs
+++ b/crates/control/src/log/identity.rs
@@ -121,7 +121,7 @@
     let format = frames.payloads.first().ok_or_else(|| damaged(0))?;
     check_format(format)?;
     let damaged_end = || damaged(frames.valid_bytes);
-    if frames.end != FileEnd::Whole {
+    if frames.end != FileEnd::Complete {
         return Err(damaged_end());
     }
     let payload = frames.payloads.get(1).ok_or_else(damaged_end)?;
--- a/crates/control/src/log/recovery.rs
+++ b/crates/control/src/log/recovery.rs
@@ -46,7 +46,7 @@
     let mut log = replay(&frames, member, snapshot)
         .map_err(|error| error.into_error(&stat.name, frames.valid_bytes))?;
     let segment_bytes = match frames.end {
-        FileEnd::Whole => {
+        FileEnd::Complete => {
             // A process that was killed between an append and its sync leaves a complete frame that
             // a power loss can still remove. This member acknowledges the frame from now on, so it
             // is synced here.
