--- a/crates/claim/examples/claim_ways.rs
+++ b/crates/claim/examples/claim_ways.rs
@@ -1,9 +1,9 @@
-//! What an order waits for, by where its claims are kept: prints the figures of the design note.
+//! Measures how long an order waits for its claim, by the placement of the replicas.
 //!
 //! `cargo run --release -p gullglade-claim --example claim_ways`
 //!
-//! Delays run in virtual time over fake links (0.5, 1 or 55 ms one way) and leave out processor
-//! time; syncs are real, in the system's temporary folder or the folder given as argument.
+//! Delays run in virtual time over fake links (0.5, 1 or 55 ms one way) and exclude processor time.
+//! Syncs are real, in the system's temporary folder or the folder given as argument.
 
 use {
     bytes::Bytes,
@@ -30,18 +30,18 @@
     },
 };
 
-/// Bytes of a record on disk: about that of a claim without its answer.
+/// Size of a record on disk in bytes: about that of a claim without its answer.
 const RECORD_BYTES: usize = 200;
 
-/// Syncs measured.
+/// Number of syncs to measure.
 const SYNCS: usize = 500;
 
-/// One placement of replicas.
+/// A placement of replicas and gateway.
 struct Placement {
     label: &'static str,
-    /// The region of each replica; the claim region is 0.
+    /// The region of each replica. The claim region is 0.
     replicas: &'static [u8],
-    /// The region of the gateway, and whether it is the first replica itself.
+    /// The region of the gateway, and true if the gateway is the first replica itself.
     gateway: (u8, bool),
     near: Duration,
 }
@@ -107,7 +107,7 @@
     RegionName::try_from(format!("region-{number}")).expect("a region's name")
 }
 
-/// One process: its context, its service and its keeper of claims.
+/// One process: its context, its service and its claim coordinator.
 struct ClaimProcess {
     context: ProcessContext,
     member: ReplicaMember,
@@ -150,7 +150,7 @@
     ClaimProcess { context, member, service, coordinator, groups }
 }
 
-/// The times of claim, dispatch and storing the answer.
+/// Returns the durations of claim, dispatch and storing the answer.
 fn order_times(placement: &Placement) -> [Duration; 3] {
     let (world, _) = FakeWorld::new(1);
     let network = FakeNetwork::new(Rc::new(RegionDelays { near: placement.near }));
@@ -192,7 +192,7 @@
     let outcome = gateway.coordinator.claim(request).await;
     let Ok(ClaimOutcome::Granted(grant)) = outcome else { panic!("not granted: {outcome:?}") };
     let granted = clock.now();
-    let permit = grant.dispatch().await.expect("nobody else wants the key");
+    let permit = grant.dispatch().await.expect("no other send claims the key");
     let dispatched = clock.now();
     let answer = StoredAnswer::new(200, Vec::new(), Bytes::from_static(b"placed"), 1_000);
     permit.answered(answer.expect("a small answer")).await;
@@ -200,7 +200,7 @@
     [granted.since(begin), dispatched.since(granted), stored.since(dispatched)]
 }
 
-/// The median and the 99th percentile of an append with sync.
+/// Returns the median and the 99th percentile of the duration of an append with sync.
 fn sync_times(folder: &Path) -> io::Result<[Duration; 2]> {
     let path = folder.join(format!("claim-ways-{}", std::process::id()));
     let mut file = OpenOptions::new().create_new(true).append(true).open(&path)?;
--- a/crates/claim/src/answer.rs
+++ b/crates/claim/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer of a request that ran, kept so that a resend gets the same bytes.
+//! Stored answers of requests that ran, returned byte for byte to resends.
 
 use {
     bytes::Bytes,
@@ -6,35 +6,35 @@
     snafu::{Snafu, ensure},
 };
 
-/// The most headers a stored answer keeps.
+/// Maximum number of headers in a stored answer.
 pub const MAX_ANSWER_HEADERS: usize = 32;
 
-/// Why an answer cannot be stored. The request ran all the same.
+/// An answer cannot be stored. The request ran regardless.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum AnswerError {
-    /// The answer has too many bytes.
+    /// The answer exceeds the size limit.
     #[snafu(display(
-        "the answer has {length} bytes, {limit} can be stored: a resend will be told that the \
-         request ran, without its answer; raise the claim settings' answer limit"
+        "the answer has {length} bytes, at most {limit} can be stored: a resend will be told that \
+         the request ran, without its answer; raise the claim settings' answer limit"
     ))]
     TooLarge {
-        /// Bytes of the answer, headers included.
+        /// Size of the answer in bytes, including headers.
         length: usize,
-        /// The bound.
+        /// Size limit in bytes.
         limit: usize,
     },
-    /// The answer has too many headers.
+    /// The answer has more than [`MAX_ANSWER_HEADERS`] headers.
     #[snafu(display(
-        "the answer has {count} headers to store, {MAX_ANSWER_HEADERS} fit: store only those that \
-         describe its content"
+        "the answer has {count} headers, at most {MAX_ANSWER_HEADERS} can be stored: store only \
+         those that describe its content"
     ))]
     TooManyHeaders {
-        /// Headers given.
+        /// Number of headers.
         count: usize,
     },
 }
 
-/// A whole answer: status, the headers that describe its content, and all bytes of its body.
+/// A complete answer: the status, the headers that describe its content, and the body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     status: u16,
@@ -43,7 +43,8 @@
 }
 
 impl StoredAnswer {
-    /// An answer of at most `limit` bytes, headers included.
+    /// Creates an answer, or fails if it has too many headers or is larger than `limit` bytes,
+    /// including headers.
     pub fn new(
         status: u16,
         headers: Vec<(String, Bytes)>,
@@ -63,17 +64,17 @@
         self.status
     }
 
-    /// The headers as stored, names in lower case as HTTP libraries give them.
+    /// The stored headers. Names are in lower case, as HTTP libraries return them.
     pub fn headers(&self) -> &[(String, Bytes)] {
         &self.headers
     }
 
-    /// The whole body.
+    /// The complete body.
     pub fn body(&self) -> &Bytes {
         &self.body
     }
 
-    /// Bytes of body and headers.
+    /// Size of body and headers in bytes.
     pub fn size(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
--- a/crates/claim/src/coordinator.rs
+++ b/crates/claim/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The face of claims towards the gateway.
+//! The interface between gateways and claims.
 
 use {
     crate::{ClaimError, ClaimRequest, StoredAnswer},
@@ -9,46 +9,47 @@
 
 /// Decides which send of a non-idempotent request may run.
 pub trait ClaimCoordinator {
-    /// Claims the request's key. Waits up to [`ClaimRequest::wait`] for the answer of another send
-    /// that is running. Dropping the future gives up the claim, as the drop of a grant does.
+    /// Claims the request's key. If another send is running, waits up to [`ClaimRequest::wait`] for
+    /// its answer. Dropping the future withdraws the claim, as dropping a grant does.
     fn claim<'a>(
         &'a self,
         request: ClaimRequest<'a>,
     ) -> LocalFuture<'a, Result<ClaimOutcome, ClaimError>>;
 }
 
-/// What a claim came to.
+/// Outcome of a claim.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// This send may go on to admission and [`ClaimGrant::dispatch`].
+    /// This send may proceed to admission and [`ClaimGrant::dispatch`].
     Granted(ClaimGrant),
-    /// An earlier send ran, and this was its answer (`run`).
+    /// An earlier send ran, and this is its answer (`run`).
     Answered(StoredAnswer),
-    /// An earlier send ran to its end, but its answer was not kept: too large, or dropped for
-    /// newer ones (`run`).
+    /// An earlier send ran to completion, but its answer is not stored: it was too large, or was
+    /// dropped to make room for newer answers (`run`).
     RanUnkept,
-    /// An earlier send was dispatched and its gateway could not see the end (`unknown`, for good).
+    /// An earlier send was dispatched, and its gateway could not determine how it ended
+    /// (permanently `unknown`).
     Unknown,
-    /// Another send may be running, or may have died running (`unknown`; a resend later may get
-    /// the answer).
+    /// Another send may be running, or its gateway may have failed while it ran (`unknown`; a later
+    /// resend may get the answer).
     InProgress,
-    /// The key was used for a different request; this one was not run. HTTP 422.
+    /// The key was used for a different request. This one was not run. HTTP 422.
     Mismatch,
 }
 
-/// How a dispatched request ended.
+/// Result of a dispatched request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunResult {
-    /// It ran, and this is its answer.
+    /// The request ran, and this is its answer.
     Answered(StoredAnswer),
-    /// It ran, but its answer is not kept, or not by this replica.
+    /// The request ran, but its answer is not stored, or not by this replica.
     Unkept,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
 
 impl RunResult {
-    /// What a replica outside of the claim region may hold of it.
+    /// Removes the answer, which replicas outside the claim region must not hold.
     pub(crate) fn without_answer(self) -> Self {
         match self {
             RunResult::Answered(_) => RunResult::Unkept,
@@ -67,48 +68,49 @@
     }
 }
 
-/// What a release proved.
+/// Conclusion that follows from the release of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use = "the caller may be told `not-run` only on `NotRun`"]
 pub enum ReleaseProof {
-    /// No send under the key has run, nor will one that was received before now.
+    /// No send under the key has run, and no send received before now will run.
     NotRun,
     /// This send was not run, but another one may have been.
     Unknown,
 }
 
-/// What stands behind a grant: the protocol with the replicas.
+/// The protocol with the replicas on behalf of one grant.
 pub trait ClaimDriver {
     /// Records that the request may run from now on.
     fn dispatch(&self) -> LocalFuture<'static, Result<(), ClaimError>>;
 
-    /// Records how the run ended; done when enough replicas hold it, or none answers any more.
+    /// Records the result of the run. Completes when enough replicas have stored it, or when no
+    /// further replica answers.
     fn finish(&self, result: RunResult) -> LocalFuture<'static, ()>;
 
-    /// Records that this send was not and will not be run. With `deny` the caller is to be told
-    /// so: sends under the key that were received before must not run either. Without it the
-    /// proof is of no use, and no other send is held back.
+    /// Records that this send has not run and never will. If `deny` is set, the caller will be told
+    /// so, and sends under the key that were received before must not run either. Otherwise the
+    /// returned proof is of no use, and other sends are not affected.
     fn release(&self, deny: bool) -> LocalFuture<'static, ReleaseProof>;
 
-    /// Runs a task beside the caller.
+    /// Spawns a background task.
     fn spawn(&self, task: LocalFuture<'static, ()>);
 }
 
-/// The right to go on with a send. Dropping it releases the key in the background: nothing was
-/// dispatched.
+/// The right to proceed with a send. Dropping the grant releases the key in the background, because
+/// nothing was dispatched.
 #[derive(Debug)]
 pub struct ClaimGrant {
     driver: DriverSlot,
 }
 
-/// The right to send the request to a backend server, once. Dropping it records `unknown` in the
-/// background.
+/// The right to send the request to a backend server once. Dropping the permit records `unknown` in
+/// the background.
 #[derive(Debug)]
 pub struct RunPermit {
     driver: DriverSlot,
 }
 
-/// The driver until a call consumed it.
+/// The driver, until a consuming call takes it.
 struct DriverSlot(Option<Rc<dyn ClaimDriver>>);
 
 impl std::fmt::Debug for DriverSlot {
@@ -119,20 +121,22 @@
 
 impl DriverSlot {
     fn take(&mut self) -> Rc<dyn ClaimDriver> {
-        self.0.take().expect("every consuming call takes the value itself, so the slot is full")
+        self.0
+            .take()
+            .expect("consuming methods take the grant or permit by value, so the driver is present")
     }
 }
 
 impl ClaimGrant {
-    /// A grant over `driver`.
+    /// Creates a grant that uses `driver`.
     pub fn new(driver: Rc<dyn ClaimDriver>) -> Self {
         Self { driver: DriverSlot(Some(driver)) }
     }
 
-    /// Records that the request may run from now on. To be awaited just before the first byte goes
-    /// to a backend server; on an error, or when the future is dropped, no byte may go.
+    /// Records that the request may run from now on. Await this just before the first byte is sent
+    /// to a backend server. If it fails or the future is dropped, no byte may be sent.
     ///
-    /// Dropping this future half way releases the key: no byte went.
+    /// Dropping the future before it completes releases the key, because no byte was sent.
     pub async fn dispatch(mut self) -> Result<RunPermit, ClaimError> {
         let driver = self.driver.take();
         let mut guard = ReleaseOnDrop(Some(Rc::clone(&driver)));
@@ -141,7 +145,7 @@
         result.map(|()| RunPermit { driver: DriverSlot(Some(driver)) })
     }
 
-    /// Gives up the key: the request was refused before any byte of it went out.
+    /// Releases the key because the request was refused before any byte of it was sent.
     pub async fn release_not_run(mut self) -> ReleaseProof {
         let driver = self.driver.take();
         driver.release(true).await
@@ -149,21 +153,21 @@
 }
 
 impl RunPermit {
-    /// Stores the whole answer, so that a resend gets it. To be awaited before the last byte goes
-    /// to the caller: a caller who has the whole answer then never finds it missing later.
+    /// Stores the complete answer, so that a resend gets it. Await this before the last byte is
+    /// sent to the caller: a caller who received the whole answer must find it again later.
     pub async fn answered(mut self, answer: StoredAnswer) {
         let driver = self.driver.take();
         driver.finish(RunResult::Answered(answer)).await;
     }
 
-    /// Records that the request ran, though its answer cannot be stored.
+    /// Records that the request ran although its answer cannot be stored.
     pub async fn ran_unkept(mut self) {
         let driver = self.driver.take();
         driver.finish(RunResult::Unkept).await;
     }
 
-    /// Gives up the key: it is *proved* that no byte of the request reached a backend server, or
-    /// that the backend server refused it.
+    /// Releases the key because it is *proved* that no byte of the request reached a backend
+    /// server, or that the backend server refused it.
     pub async fn release_not_run(mut self) -> ReleaseProof {
         let driver = self.driver.take();
         driver.release(true).await
@@ -185,7 +189,7 @@
     }
 }
 
-/// Releases the key where a dispatch is dropped half way: no byte may go out then.
+/// Releases the key if a dispatch is dropped before it completes, because no byte may be sent then.
 struct ReleaseOnDrop(Option<Rc<dyn ClaimDriver>>);
 
 impl Drop for ReleaseOnDrop {
--- a/crates/claim/src/error.rs
+++ b/crates/claim/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a claim was refused.
+//! Errors of claims.
 
 use {
     gullglade_units::{OrderKey, RegionName},
@@ -6,8 +6,8 @@
     std::time::Duration,
 };
 
-/// Why a send of a non-idempotent request may not run. Whatever the kind, the send that got it was
-/// not dispatched.
+/// A send of a non-idempotent request may not run. For every variant, the send that received the
+/// error was not dispatched.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ClaimError {
@@ -18,37 +18,37 @@
          backend's own records, then order under a new key"
     ))]
     Expired {
-        /// The key.
+        /// The order key.
         key: OrderKey,
-        /// The window.
+        /// The retention window.
         window: Duration,
     },
-    /// The key says that it was made in the future.
+    /// The creation time in the key is ahead of the replica's clock by more than the allowed skew.
     #[snafu(display(
         "order key {key} was made {ahead:?} ahead of this VM's clock, {allowed:?} is allowed: set \
          the clock where keys are made, or take keys from `GET /v1/entry`; then resend under the \
          same key"
     ))]
     FromFuture {
-        /// The key.
+        /// The order key.
         key: OrderKey,
-        /// How far ahead.
+        /// Difference between the key's creation time and the local clock.
         ahead: Duration,
         /// The bound.
         allowed: Duration,
     },
-    /// The claim region is not one in which the service allows its data.
+    /// The service does not allow its data in the claim region.
     #[snafu(display(
         "order key {key} has its claims decided in region {region}, where the service does not \
          allow its data: take a key for an allowed region from `GET /v1/entry`"
     ))]
     RegionNotAllowed {
-        /// The key.
+        /// The order key.
         key: OrderKey,
-        /// The region that the key names.
+        /// The claim region.
         region: RegionName,
     },
-    /// Nothing is known of the region's claim replicas.
+    /// No claim replicas are configured for the region.
     #[snafu(display(
         "no claim replicas are configured for region {region}: take a key for a region of this \
          deployment from `GET /v1/entry`"
@@ -57,45 +57,45 @@
         /// The claim region.
         region: RegionName,
     },
-    /// Too few replicas answered.
+    /// Too few replicas voted.
     #[snafu(display(
         "{answered} of {members} claim replicas of region {region} could vote on order key {key}, \
          {needed} are needed ({reason}): resend under the same key later"
     ))]
     NoQuorum {
-        /// The key.
+        /// The order key.
         key: OrderKey,
         /// The claim region.
         region: RegionName,
-        /// Replicas that voted.
+        /// Number of replicas that voted.
         answered: usize,
-        /// Replicas in the group.
+        /// Number of replicas in the group.
         members: usize,
-        /// The quorum.
+        /// Size of a quorum.
         needed: usize,
-        /// The last reason a replica gave for not voting.
+        /// A reason that a replica gave for not voting.
         reason: &'static str,
-        /// Whether enough replicas have recorded that the key was not run.
+        /// True if enough replicas have recorded that the key was not run.
         not_run: bool,
     },
-    /// A later send under the same key took over before this one was dispatched.
+    /// Another send under the same key superseded this one before its dispatch.
     #[snafu(display(
         "another send under order key {key} took over before this one was dispatched: its answer \
          comes by a resend under the same key"
     ))]
     Superseded {
-        /// The key.
+        /// The order key.
         key: OrderKey,
     },
-    /// The send, or its grant, has waited too long.
+    /// The send or its grant is older than the limit.
     #[snafu(display(
         "this send of order key {key} has waited {age:?}, longer than {limit:?}, and was not run: \
          resend under the same key"
     ))]
     SendTooOld {
-        /// The key.
+        /// The order key.
         key: OrderKey,
-        /// How long it waited.
+        /// Age of the send, or time since its grant.
         age: Duration,
         /// The bound.
         limit: Duration,
@@ -103,9 +103,9 @@
 }
 
 impl ClaimError {
-    /// Whether it is known that *no* send under the key has run, nor any send received before now
-    /// will. Where false, the caller is told `unknown`: an earlier send may have run, and a caller
-    /// who was told "not run" would order again under a new key.
+    /// Returns true if *no* send under the key has run, and no send received before now will run.
+    /// If false, the caller is told `unknown`: an earlier send may have run, and a caller who was
+    /// told "not run" would order again under a new key.
     pub fn proves_not_run(&self) -> bool {
         matches!(self, ClaimError::NoQuorum { not_run: true, .. })
     }
--- a/crates/claim/src/group.rs
+++ b/crates/claim/src/group.rs
@@ -1,4 +1,4 @@
-//! Which processes decide a key.
+//! Replica groups: the processes that decide which send of a key may run.
 
 use {
     crate::ClaimDigest,
@@ -7,54 +7,55 @@
     std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc},
 };
 
-/// A group of replicas: one of a region's numbered groups, among which its keys are divided.
+/// Identifies a replica group. The keys of a region are partitioned among its numbered groups.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupId {
     /// The claim region.
     pub region: RegionName,
-    /// Counted from zero.
+    /// Index of the group in its region, from zero.
     pub number: u16,
 }
 
-/// A process that holds claims of a group. It need not stand in the group's region: a third
-/// replica in a neighbouring region lets a region of two VMs lose one of them. Such a replica holds
-/// digests and votes, never an answer, because the service may not allow its data there.
+/// A member of a replica group. Members may be in another region than the group: a third replica in
+/// a neighbouring region lets a region of two VMs tolerate the loss of one. Such a replica stores
+/// digests and votes but never an answer, because the service may not allow its data there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaMember {
-    /// The VM's name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Its address for peer sessions.
+    /// Address for peer sessions.
     pub address: SocketAddr,
 }
 
 /// The members of a group during one epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaGroup {
-    /// Which group.
+    /// Identifies the group.
     pub id: GroupId,
-    /// Counts the changes of membership, from 1.
+    /// Number of the epoch, from 1. Each change of membership increments it.
     pub epoch: u64,
-    /// When the epoch was decided upon; unknown where the members come from flags.
+    /// Wall-clock time at which the epoch was decided. `None` if the members come from command-line
+    /// flags.
     pub created: Option<WallMillis>,
-    /// The members, each VM once.
+    /// The members. Each VM occurs once.
     pub members: Vec<ReplicaMember>,
-    /// The members of the epoch before; none in the first.
+    /// The members of the previous epoch. Empty in the first epoch.
     pub previous: Vec<ReplicaMember>,
-    /// VMs of the epoch before that the operator has destroyed: they will never vote again, so
-    /// nobody waits for them to hear of this epoch. Needed where too few others are left, as when
-    /// one VM of two is lost.
+    /// VMs of the previous epoch that the operator has destroyed. They never vote again, so the new
+    /// epoch begins without waiting for them to learn of it. This is needed if too few other
+    /// members remain, for example after the loss of one VM of two.
     pub retired: Vec<VmName>,
 }
 
 impl ReplicaGroup {
-    /// The first epoch of a group.
+    /// Creates the first epoch of a group.
     pub fn first(id: GroupId, created: Option<WallMillis>, members: Vec<ReplicaMember>) -> Self {
         Self { id, epoch: 1, created, members, previous: Vec::new(), retired: Vec::new() }
     }
 
-    /// The next epoch, with `members`.
+    /// Creates the next epoch, with `members`.
     pub fn next(&self, created: WallMillis, members: Vec<ReplicaMember>) -> Self {
         let previous = self.members.clone();
         Self {
@@ -67,24 +68,24 @@
         }
     }
 
-    /// The same epoch, with VMs that the operator has destroyed.
+    /// Sets the VMs that the operator has destroyed.
     pub fn with_retired(mut self, retired: Vec<VmName>) -> Self {
         self.retired = retired;
         self
     }
 
-    /// The fewest members of which any two such sets share one: a majority. With two VMs that is
-    /// both of them.
+    /// Size of a quorum: a majority, so that any two quorums share a member. With two VMs, both are
+    /// needed.
     pub fn quorum(&self) -> usize {
         quorum_size_of(self.members.len())
     }
 
-    /// The fewest members without which the others have no quorum.
+    /// Size of a blocking set: the fewest members without which the others have no quorum.
     pub fn blocking_size(&self) -> usize {
         blocking_size_of(self.members.len())
     }
 
-    /// The place of `vm` among the members.
+    /// Index of `vm` in `members`.
     pub(crate) fn position(&self, vm: &VmName) -> Option<usize> {
         position_in(&self.members, vm)
     }
@@ -94,14 +95,15 @@
     members / 2 + 1
 }
 
-/// How many of `members` have to be sealed before the epoch after theirs begins. A quorum, not
-/// just a blocking set: a member that restarts and has only old configuration must hear of the
-/// seal from whichever blocking set of the others it asks. Zero of zero.
+/// Number of the given members that must be sealed before the next epoch begins; zero for no
+/// members. This is a quorum rather than a blocking set: a member that restarts with only an old
+/// configuration must learn of the seal from whichever blocking set of the others it asks.
 pub(crate) fn seal_size_of(members: usize) -> usize {
     quorum_size_of(members).min(members)
 }
 
-/// Zero of zero: the first epoch waits for nobody of an epoch before.
+/// Size of a blocking set of the given number of members; zero for no members, because the first
+/// epoch waits for no previous one.
 pub(crate) fn blocking_size_of(members: usize) -> usize {
     (members + 1).saturating_sub(quorum_size_of(members))
 }
@@ -110,27 +112,28 @@
     members.iter().position(|member| member.vm == *vm)
 }
 
-/// Knows the groups of every region, from the accepted configuration.
+/// Provides the replica groups of every region, from the accepted configuration.
 pub trait GroupSource {
-    /// The group of `region` that decides `digest`; `None` where the region has none.
+    /// Returns the group of `region` that decides `digest`, or `None` if the region has no groups.
     fn group(&self, region: &RegionName, digest: &ClaimDigest) -> Option<Rc<ReplicaGroup>>;
 }
 
-/// Groups held in memory and replaced as configurations come into force.
+/// An in-memory table of groups, updated as configurations come into force.
 #[derive(Default)]
 pub struct GroupTable {
     groups: RefCell<BTreeMap<GroupId, Rc<ReplicaGroup>>>,
 }
 
 impl GroupTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts `group` in place of an earlier epoch of it. Says whether it did: an epoch never goes
-    /// back. The *number* of a region's groups must not change while claims are held, because a
-    /// key would move to replicas that know nothing of it.
+    /// Inserts `group`, replacing an earlier epoch of it. Returns false and changes nothing if the
+    /// table already has this epoch or a later one. The *number* of a region's groups must not
+    /// change while claims are held, because a key would move to replicas that have no record of
+    /// it.
     pub fn put(&self, group: Rc<ReplicaGroup>) -> bool {
         let mut groups = self.groups.borrow_mut();
         let newer = groups.get(&group.id).is_none_or(|held| held.epoch < group.epoch);
--- a/crates/claim/src/join.rs
+++ b/crates/claim/src/join.rs
@@ -1,6 +1,7 @@
-//! How a replica that holds nothing, or has not yet taken part in its epoch, comes to vote on all
-//! keys: it copies the claims of enough others that every quorum it may have been part of, or that
-//! the epoch before had, shares a member with them.
+//! State transfer to a replica that has lost its records or enters a new epoch.
+//!
+//! Before such a replica votes on all keys, it copies the claims of enough other members that every
+//! quorum that it may have been part of, or that the previous epoch had, shares a member with them.
 
 use {
     crate::{
@@ -17,30 +18,31 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// First pause between rounds of copying while too few members can give a copy; doubles.
+/// Initial delay between copy rounds while too few members can provide a copy. The delay doubles
+/// after each round.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The longest such pause.
+/// Maximum delay between copy rounds.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
 
-/// What a replica has gathered from others since it went over to its epoch.
+/// Progress of the state transfer since the replica entered its epoch.
 #[derive(Default)]
 pub(crate) struct JoinProgress {
-    /// Members of this epoch and the one before that answered, with the latest epoch that each
-    /// held completely when it was copied.
+    /// Members of this epoch and the previous one that have answered, with the latest epoch for
+    /// which each held all claims when it was copied.
     copied: BTreeMap<VmName, u64>,
-    /// When enough members of the epoch before were known to vote in it no more.
+    /// Time at which enough members of the previous epoch were known to vote in it no more.
     sealed_at: Option<StepTime>,
 }
 
 impl JoinProgress {
-    /// See the field.
+    /// Time at which enough members of the previous epoch were sealed, if they are.
     pub(crate) fn sealed_at(&self) -> Option<StepTime> {
         self.sealed_at
     }
 
-    /// Whether enough other members of the epoch answered that one of them would know of a later
-    /// epoch, had that begun.
+    /// Returns true if enough other members of the epoch have answered that one of them would know
+    /// of a later epoch if one had begun.
     pub(crate) fn has_asked_enough(&self, group: &ReplicaGroup) -> bool {
         let answered = self.count_copied(&group.members, 0);
         answered >= group.blocking_size().min(group.members.len() - 1)
@@ -63,27 +65,29 @@
         }
     }
 
-    /// Whether the copies hold whatever a quorum of the epoch before decided.
+    /// Returns true if the copies include every decision of a quorum of the previous epoch.
     fn covers_previous_epoch(&self, replica: &ClaimReplica, group: &ReplicaGroup) -> bool {
         let needed = group.epoch - 1;
         let was_member = position_in(&group.previous, &replica.identity.vm).is_some();
         let own = usize::from(was_member && replica.complete_epoch() >= needed);
         let others = self.count_copied(&group.previous, needed);
         let copied = own + others >= blocking_size_of(group.previous.len());
-        // In the first epoch there is nobody to copy from; the others are asked all the same. A
-        // clock that was set back during a restart makes this run look older than the group, and
-        // only another member's clock, or its knowledge of a later run, shows that it is not.
+        // In the first epoch there is no previous member to copy from, but the other members are
+        // still asked. A clock that was set back during a restart makes this run look older than
+        // the group; only another member's clock, or its knowledge of a later run, reveals this.
         let asked = !group.previous.is_empty() || self.has_asked_enough(group);
         self.sealed_at.is_some() && copied && asked
     }
 
-    /// Whether the copies hold whatever an earlier run of this replica took part in.
+    /// Returns true if the copies include every decision that an earlier run of this replica took
+    /// part in.
     fn covers_earlier_runs(&self, group: &ReplicaGroup) -> bool {
         self.count_copied(&group.members, group.epoch) >= group.blocking_size()
     }
 }
 
-/// Copies until the replica is complete in its epoch.
+/// Copies claims from the other members until the replica is complete in its epoch, is stale, or
+/// has entered another epoch.
 pub(crate) async fn join_group(
     replica: Rc<ClaimReplica>,
     transport: Rc<dyn PeerTransport>,
@@ -126,8 +130,9 @@
         .field("epoch", group.epoch)
 }
 
-/// Whether the replica holds all claims of the epoch. Not where the epoch is over: an earlier run
-/// may have voted in the next one, and this run would enter that as if it had lost nothing.
+/// Returns true if the replica holds all claims of the epoch and may vote on every key. Returns
+/// false if the epoch is over: an earlier run may have voted in the next one, and this run would
+/// enter that epoch as if it had lost nothing.
 fn may_complete(replica: &ClaimReplica, group: &ReplicaGroup) -> bool {
     if replica.is_sealed() {
         return false;
@@ -140,7 +145,7 @@
     copied || replica.unknown_keys_expired()
 }
 
-/// Up to which epoch a member's claims must be complete for a copy of them to help.
+/// The epoch for which a member must hold all claims for a copy of them to be useful.
 fn needed_epoch(replica: &ClaimReplica, group: &ReplicaGroup) -> u64 {
     if replica.started_before_epoch() { group.epoch - 1 } else { group.epoch }
 }
@@ -164,7 +169,8 @@
     replica.progress.borrow_mut().update_seal(group, own, time);
 }
 
-/// Copies all of one member's pages; the epoch it held completely when the copy began.
+/// Copies all pages of one member. Returns the latest epoch for which the member held all claims
+/// when the copy began, or `None` if the copy failed or the member restarted meanwhile.
 async fn copy_member(
     replica: &ClaimReplica,
     transport: &dyn PeerTransport,
--- a/crates/claim/src/key.rs
+++ b/crates/claim/src/key.rs
@@ -1,4 +1,4 @@
-//! What is claimed: the key within its workspace, and the fingerprint of the request.
+//! Digests of order keys, request fingerprints, and the parameters of a claim.
 
 use {
     gullglade_units::{MonotonicTime, OrderKey, RegionName, WorkspaceName},
@@ -7,11 +7,12 @@
     std::{fmt, time::Duration},
 };
 
-/// Bytes kept of a SHA-256 digest: a collision is then expected after about 2^64 keys.
+/// Length of the truncated SHA-256 digests. With 16 bytes, a collision is expected after about 2^64
+/// keys.
 const DIGEST_BYTES: usize = 16;
 
-/// SHA-256 over length-prefixed parts, cut to [`DIGEST_BYTES`]. The prefixes keep `("ab", "c")`
-/// apart from `("a", "bc")`.
+/// Returns the SHA-256 digest of the length-prefixed parts, truncated to [`DIGEST_BYTES`]. The
+/// prefixes distinguish `("ab", "c")` from `("a", "bc")`.
 fn digest_parts(parts: &[&[u8]]) -> [u8; DIGEST_BYTES] {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -23,19 +24,21 @@
     digest
 }
 
-/// An order key within its workspace. Replicas hold only this, so that a key's text, which a
-/// caller may have made from an order's content, stays on the gateway that received it.
+/// Digest of an order key and its workspace. Replicas store only the digest, so that the text of a
+/// key, which a caller may have derived from an order's content, stays on the gateway that received
+/// it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimDigest([u8; DIGEST_BYTES]);
 
 impl ClaimDigest {
-    /// The digest of `key` in `workspace`. The workspace is part of it: otherwise one workspace
-    /// could read another's stored answer by guessing its key.
+    /// Returns the digest of `key` in `workspace`. The digest includes the workspace: otherwise one
+    /// workspace could read another's stored answer by guessing its key.
     pub fn new(workspace: &WorkspaceName, key: &OrderKey) -> Self {
         Self(digest_parts(&[workspace.as_str().as_bytes(), key.as_str().as_bytes()]))
     }
 
-    /// Which of `count` equal shares the digest falls into.
+    /// Index of the partition, of `count` equal ones, that the digest belongs to. `None` if `count`
+    /// is zero.
     pub(crate) fn bucket(&self, count: usize) -> Option<usize> {
         let mut head = [0; 8];
         head.copy_from_slice(&self.0[..8]);
@@ -55,13 +58,14 @@
     }
 }
 
-/// Tells a resend of the same request from another request under the same key.
+/// Distinguishes a resend of a request from a different request under the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint([u8; DIGEST_BYTES]);
 
 impl RequestFingerprint {
-    /// The fingerprint of a request's parts: service, method, path with query, content type, body.
-    /// Parts that differ between two sends of one request (date, trace ids) must be left out.
+    /// Returns the fingerprint of a request's parts: service, method, path with query, content type
+    /// and body. Parts that differ between two sends of one request, such as the date and trace
+    /// ids, must be left out.
     pub fn new(parts: &[&[u8]]) -> Self {
         Self(digest_parts(parts))
     }
@@ -70,26 +74,27 @@
 /// One send of a non-idempotent request.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest<'a> {
-    /// The caller's key.
+    /// The order key given by the caller.
     pub key: &'a OrderKey,
-    /// The caller's workspace.
+    /// The workspace of the caller.
     pub workspace: &'a WorkspaceName,
-    /// Where the service's document has opaque keys decided.
+    /// The region that decides opaque keys, from the service's document.
     pub service_region: &'a RegionName,
-    /// Regions in which the service allows its data; the claim region must be one of them,
-    /// because its replicas hold the answer.
+    /// Regions in which the service allows its data. The claim region must be one of them, because
+    /// its replicas store the answer.
     pub allowed_regions: &'a [RegionName],
-    /// The request's fingerprint.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// When this process received the send. A send received before another one was told "not run"
-    /// must not run afterwards.
+    /// Time at which this process received the send. A send received before another one was told
+    /// "not run" must not run afterwards.
     pub received: MonotonicTime,
-    /// How long to wait for the answer of another send that is running.
+    /// Maximum time to wait for the answer of another send that is running.
     pub wait: Duration,
 }
 
 impl ClaimRequest<'_> {
-    /// The region whose replicas decide this key.
+    /// The region whose replicas decide this key: the region named in the key, or the service's
+    /// region for an opaque key.
     pub fn claim_region(&self) -> RegionName {
         match self.key.origin() {
             Some((region, _)) => region,
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,19 +1,20 @@
 //! At-most-once execution of non-idempotent requests.
 //!
-//! A caller gives every such request an order key. Before a byte of the request goes to a backend
-//! server, the gateway *claims* the key at a quorum of the key's claim replicas, in two steps:
+//! A caller gives every such request an order key. Before a byte of the request is sent to a
+//! backend server, the gateway *claims* the key at a quorum of the key's claim replicas, by
+//! single-decree Paxos, in two steps:
 //!
-//! 1. [`ClaimCoordinator::claim`] asks whether the key is free. It returns a [`ClaimGrant`], the stored
-//!    answer of an earlier send, or word that another send may be running.
+//! 1. [`ClaimCoordinator::claim`] asks whether the key is free. It returns a [`ClaimGrant`], the
+//!    stored answer of an earlier send, or a notice that another send may be running.
 //! 2. [`ClaimGrant::dispatch`] records, just before the first byte, that the request may run from
-//!    now on. Only the [`RunPermit`] it returns entitles the gateway to send that byte.
+//!    now on. Only the [`RunPermit`] that it returns entitles the gateway to send that byte.
 //!
-//! Two steps, because a request may wait seconds for capacity between them: a gateway killed in
-//! that time provably ran nothing, so a resend may run instead of being told `unknown`.
+//! There are two steps because a request may wait seconds for capacity between them. A gateway
+//! killed in that time provably ran nothing, so a resend may run instead of being told `unknown`.
 //!
 //! "Not run" is always a statement about the *key*: no send under it has run, and no send that was
-//! received before the statement will. A [`ClaimError`] says by [`ClaimError::proves_not_run`]
-//! whether that much is known; where it is not, the caller must be told `unknown`.
+//! received before the statement will run. [`ClaimError::proves_not_run`] tells whether an error
+//! proves that; if it does not, the caller must be told `unknown`.
 
 mod answer;
 mod coordinator;
--- a/crates/claim/src/local.rs
+++ b/crates/claim/src/local.rs
@@ -1,4 +1,4 @@
-//! Claims in the memory of one process: for a deployment of one gateway, and for tests.
+//! Claims in the memory of one process, for deployments with a single gateway and for tests.
 
 use {
     crate::{
@@ -14,44 +14,45 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// The claims of a single process: a quorum of one, for the keys of every region.
+/// Claims of a single process: a quorum of one that decides the keys of every region.
 ///
-/// It forgets them with the process. A restarted one therefore refuses keys that may have been
-/// claimed before; see [`LocalClaims::restarted`].
+/// The claims are lost when the process ends. A restarted process therefore refuses keys that may
+/// have been claimed before; see [`LocalClaims::restarted`].
 pub struct LocalClaims {
     coordinator: QuorumClaims,
     replica: Rc<ClaimReplica>,
 }
 
 impl LocalClaims {
-    /// Claims of a deployment that takes its very first orders.
+    /// Creates the claims of a deployment that has never taken an order.
     pub fn first_start(context: ProcessContext, settings: ClaimSettings) -> Self {
         let claims = Self::restarted(context, settings);
         claims.replica.set_initial();
         claims
     }
 
-    /// Claims of a process that may have run before: until the window has passed it refuses opaque
-    /// keys, and keys made before its start.
+    /// Creates the claims of a process that may have run before. It refuses opaque keys, and keys
+    /// created before its start, until the retention window has passed.
     pub fn restarted(context: ProcessContext, settings: ClaimSettings) -> Self {
         let group = Rc::new(single_group());
         let identity = PeerIdentity {
             vm: group.members[0].vm.clone(),
             region: group.id.region.clone(),
-            domain: checked("local", |text| FailureDomain::try_from(text).ok()),
+            domain: parse_name("local", |text| FailureDomain::try_from(text).ok()),
             incarnation: Incarnation(1),
         };
         let transport: Rc<dyn PeerTransport> = Rc::new(NoTransport);
         let service = ClaimService::new(context.clone(), settings, identity, Rc::clone(&transport));
         let service = Rc::new(service);
         service.adopt(Rc::clone(&group));
-        let replica = service.replica(&group.id).expect("the process is the group's member");
+        let replica =
+            service.replica(&group.id).expect("this process is the only member of the group");
         let groups = Rc::new(SingleGroup(group));
         let coordinator = QuorumClaims::new(context, settings, groups, service, transport);
         Self { coordinator, replica }
     }
 
-    /// Keys held.
+    /// Number of keys with a record.
     pub fn record_count(&self) -> usize {
         self.replica.record_count()
     }
@@ -66,19 +67,19 @@
     }
 }
 
-fn checked<T>(text: &str, parse: impl Fn(&str) -> Option<T>) -> T {
-    parse(text).expect("a constant that is a name")
+fn parse_name<T>(text: &str, parse: impl Fn(&str) -> Option<T>) -> T {
+    parse(text).expect("the constant is a valid name")
 }
 
 fn single_group() -> ReplicaGroup {
-    let region = checked("local", |text| RegionName::try_from(text).ok());
-    let vm = checked("local", |text| VmName::try_from(text).ok());
+    let region = parse_name("local", |text| RegionName::try_from(text).ok());
+    let vm = parse_name("local", |text| VmName::try_from(text).ok());
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let member = ReplicaMember { vm, region: region.clone(), address };
     ReplicaGroup::first(GroupId { region, number: 0 }, None, vec![member])
 }
 
-/// One group for the keys of all regions.
+/// A group source with one group for the keys of all regions.
 struct SingleGroup(Rc<ReplicaGroup>);
 
 impl GroupSource for SingleGroup {
@@ -87,12 +88,12 @@
     }
 }
 
-/// Reaches nobody: the only member is this process.
+/// A transport that fails every call. It is never needed, because the only member is this process.
 struct NoTransport;
 
 impl NoTransport {
     fn refusal(method: &str) -> PeerError {
-        let reason = "this process claims for itself alone".to_owned();
+        let reason = "claims are local to this process, there are no other replicas".to_owned();
         PeerError::Unsendable { method: method.to_owned(), reason }
     }
 }
--- a/crates/claim/src/message.rs
+++ b/crates/claim/src/message.rs
@@ -1,4 +1,4 @@
-//! What gateways and replicas tell each other: bincode bodies of peer calls.
+//! Messages between gateways and replicas: bincode bodies of peer calls.
 
 use {
     crate::{
@@ -10,13 +10,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The peer method of [`StepCall`].
+/// Peer method of [`StepCall`].
 pub(crate) const STEP_METHOD: &str = "claim.step";
 
-/// The peer method of [`CopyCall`].
+/// Peer method of [`CopyCall`].
 pub(crate) const COPY_METHOD: &str = "claim.copy";
 
-/// One step of an attempt, from its gateway to a replica.
+/// One step of an attempt, sent from its gateway to a replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct StepCall {
     pub(crate) group: GroupId,
@@ -25,72 +25,73 @@
     pub(crate) step: ClaimStep,
 }
 
-/// The steps.
+/// The steps of the claim protocol.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum ClaimStep {
-    /// Promise not to accept lower ballots.
+    /// Promise not to accept lower ballots (Paxos phase 1).
     Prepare(Ballot),
-    /// Record that the attempt may run. Counts only at the incarnation that gave the promise: a
-    /// replica that restarted since has forgotten what it promised others.
+    /// Record that the attempt may run (Paxos phase 2). Valid only at the incarnation that gave the
+    /// promise: a replica that has restarted since has lost its promises to other attempts.
     Accept { acceptance: Acceptance, promised_by: Incarnation },
     /// Record that the attempt has not run and never will.
     Release { attempt: AttemptId, deny: bool },
-    /// Record how the attempt ended.
+    /// Record the result of the attempt.
     Finish { acceptance: Acceptance, result: RunResult },
 }
 
 /// A replica's answer to a step.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct StepReply {
-    /// The replica's run.
+    /// Incarnation of the replica.
     pub(crate) incarnation: Incarnation,
-    /// The latest runs of the group's members that the replica knows of, in the group's order. A
-    /// vote by an earlier run of a member is void: that run's memory is lost.
+    /// The latest incarnation of each member that the replica knows of, in the group's order. A
+    /// vote by an earlier incarnation of a member is void, because its state is lost.
     pub(crate) known: Vec<Incarnation>,
     pub(crate) outcome: StepOutcome,
 }
 
-/// What came of a step.
+/// Outcome of a step.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum StepOutcome {
-    /// To a prepare or accept.
+    /// Reply to a prepare or accept.
     Vote(RecordVote),
-    /// To a release: whether no other attempt may have run, as far as the replica knows.
+    /// Reply to a release. `clean` is true if, as far as the replica knows, no other attempt may
+    /// have run.
     Released { clean: bool },
-    /// To a finish.
+    /// Reply to a finish.
     Stored,
-    /// The replica has no say.
+    /// The replica does not vote.
     Abstained(AbstainReason),
 }
 
-/// A replica that joins an epoch, or lost its memory, asks another for its records.
+/// Request for another replica's records, from a replica that enters an epoch or has lost its
+/// state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CopyCall {
     pub(crate) group: GroupId,
     pub(crate) epoch: u64,
-    /// Records are of use only from a member whose claims are complete up to this epoch; others
-    /// answer without any.
+    /// The reply includes records only if the member holds all claims up to this epoch.
     pub(crate) needed: u64,
-    /// Continue after this record.
+    /// Start after this record.
     pub(crate) cursor: Option<ClaimDigest>,
 }
 
-/// A page of records.
+/// One page of a replica's records.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CopyPage {
-    /// The run of the replica that answers.
+    /// Incarnation of the replica that answers.
     pub(crate) incarnation: Incarnation,
-    /// The latest epoch whose claims the replica holds completely; zero for none.
+    /// The latest epoch for which the replica holds all claims; zero for none.
     pub(crate) complete: u64,
-    /// The latest epoch it knows to be decided upon.
+    /// The latest epoch that the replica knows to have been decided.
     pub(crate) sealed: u64,
-    /// The replica's wall clock.
+    /// Wall clock of the replica.
     pub(crate) wall: WallMillis,
-    /// The latest making of a key whose record it forgot.
+    /// The latest creation time of a key whose record the replica has evicted.
     pub(crate) forgotten: WallMillis,
-    /// The latest runs it knows of.
+    /// The latest incarnations that the replica knows of.
     pub(crate) known: Vec<(VmName, Incarnation)>,
     pub(crate) records: Vec<CopiedRecord>,
-    /// Where to continue; `None` at the end.
+    /// Cursor of the next page. `None` on the last page.
     pub(crate) next: Option<ClaimDigest>,
 }
--- a/crates/claim/src/quorum.rs
+++ b/crates/claim/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Claims at a quorum of a group's replicas: the gateway's side.
+//! Gateway side of the claim protocol: claims at a quorum of a group's replicas.
 
 use {
     crate::{
@@ -21,13 +21,13 @@
     std::{cell::Cell, rc::Rc, time::Duration},
 };
 
-/// How often an end that too few replicas stored is told again.
+/// Number of retries if fewer than a quorum of replicas stored a result.
 const FINISH_RETRIES: u32 = 3;
 
-/// The first pause before an end is told again; doubles.
+/// Delay before the first retry. The delay doubles after each retry.
 const FINISH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Claims at the replicas of each key's group.
+/// Claims keys at the replicas of their groups.
 pub struct QuorumClaims {
     shared: Rc<QuorumShared>,
 }
@@ -41,8 +41,8 @@
 }
 
 impl QuorumClaims {
-    /// Claims at the groups that `groups` knows, reached over `transport`; replicas of `service`,
-    /// which are this process's own, are asked directly.
+    /// Creates a coordinator that claims keys at the groups of `groups` over `transport`. Replicas
+    /// of `service`, which belong to this process, are called directly.
     pub fn new(
         context: ProcessContext,
         settings: ClaimSettings,
@@ -62,14 +62,14 @@
         request: ClaimRequest<'a>,
     ) -> LocalFuture<'a, Result<ClaimOutcome, ClaimError>> {
         Box::pin(async move {
-            let attempt = self.shared.attempt(&request)?;
+            let attempt = self.shared.new_attempt(&request)?;
             claim_key(attempt, &request).await
         })
     }
 }
 
 impl QuorumShared {
-    fn attempt(self: &Rc<Self>, request: &ClaimRequest<'_>) -> Result<KeyAttempt, ClaimError> {
+    fn new_attempt(self: &Rc<Self>, request: &ClaimRequest<'_>) -> Result<KeyAttempt, ClaimError> {
         let region = request.claim_region();
         let key = request.key.clone();
         ensure!(request.allowed_regions.contains(&region), RegionNotAllowedSnafu { key, region });
@@ -86,13 +86,13 @@
             key: request.key.clone(),
             fingerprint: request.fingerprint,
             received: request.received,
-            claimed: (self.context.clock.now(), self.context.clock.wall()),
-            attempt: AttemptId::new(&*self.context.random),
+            claimed_at: (self.context.clock.now(), self.context.clock.wall()),
+            id: AttemptId::new(&*self.context.random),
         })
     }
 }
 
-/// One attempt at one key.
+/// One attempt to claim one key.
 #[derive(Clone)]
 struct KeyAttempt {
     shared: Rc<QuorumShared>,
@@ -101,9 +101,9 @@
     key: OrderKey,
     fingerprint: RequestFingerprint,
     received: MonotonicTime,
-    /// Both clocks at the claim.
-    claimed: (MonotonicTime, WallMillis),
-    attempt: AttemptId,
+    /// Monotonic and wall clock at the time of the claim.
+    claimed_at: (MonotonicTime, WallMillis),
+    id: AttemptId,
 }
 
 impl KeyAttempt {
@@ -111,7 +111,7 @@
         StepCall { group: self.group.id.clone(), epoch: self.group.epoch, scope: self.scope, step }
     }
 
-    /// Puts one step to all members.
+    /// Sends one step to all members.
     fn round(&self, step: &ClaimStep) -> ReplyRound {
         let calls = self.group.members.iter().map(|_| Some(self.call(step.clone()))).collect();
         self.start(calls)
@@ -126,54 +126,55 @@
         self.shared.context.clock.now()
     }
 
-    /// Time since the send was received. By both clocks, because the monotonic clock stands still
-    /// while a VM is suspended: the send would seem young when the VM wakes, and run although its
-    /// caller gave it up and was told "not run" elsewhere meanwhile.
+    /// Returns the time since the send was received. Both clocks are used, because the monotonic
+    /// clock stops while a VM is suspended: after it resumes, the send would seem recent and run
+    /// although its caller had given up and had been told "not run" elsewhere.
     fn age(&self) -> Duration {
-        let (claimed, wall) = self.claimed;
+        let (claimed_at, wall) = self.claimed_at;
         let by_wall = self.shared.context.clock.wall().0.saturating_sub(wall.0);
-        let since_claim = self.now().since(claimed).max(Duration::from_millis(by_wall));
-        claimed.since(self.received) + since_claim
+        let since_claim = self.now().since(claimed_at).max(Duration::from_millis(by_wall));
+        claimed_at.since(self.received) + since_claim
     }
 
-    /// Replicas forget after some time that a caller was told "not run": older sends must not run.
+    /// Fails if the send is too old to run. Replicas record that a caller was told "not run" only
+    /// for a limited time, so older sends must not run.
     fn check_age(&self) -> Result<(), ClaimError> {
         let (age, limit) = (self.age(), self.shared.settings.send_limit());
         ensure!(age < limit, SendTooOldSnafu { key: self.key.clone(), age, limit });
         Ok(())
     }
 
-    /// Whether this send was received after a caller was last told "not run" under the key: one
-    /// received before must not run, because that caller may have ordered elsewhere since.
+    /// Returns true if this send was received after a caller was last told "not run" under the key.
+    /// A send received before must not run, because that caller may have ordered elsewhere since.
     fn follows_denial(&self, denied_age: Option<Duration>) -> bool {
         denied_age.is_none_or(|denied| self.age() < denied)
     }
 
     async fn prepare(&self, counter: u32) -> (PrepareVerdict, Option<Duration>, RoundReplies) {
-        let ballot = Ballot { counter, attempt: self.attempt };
+        let ballot = Ballot { counter, attempt: self.id };
         let mut round = self.round(&ClaimStep::Prepare(ballot));
         let (verdict, denied) = round
-            .verdict(|replies, last| {
-                let tally = ReplyTally::new(&self.group, replies, self.attempt);
-                tally.prepare(last).map(|verdict| (verdict, tally.denied_age()))
+            .verdict(|replies, is_last| {
+                let tally = ReplyTally::new(&self.group, replies, self.id);
+                tally.prepare(is_last).map(|verdict| (verdict, tally.denied_age()))
             })
             .await
-            .expect("a tally decides when no more replies come");
+            .expect("the tally decides once all replies have arrived");
         (verdict, denied, round.replies)
     }
 
-    /// Tells all replicas that this attempt will never run; with `deny`, that a caller is told so.
+    /// Tells all replicas that this attempt will never run. `deny` states that a caller is told so.
     fn release(&self, deny: bool) -> ReplyRound {
-        self.round(&ClaimStep::Release { attempt: self.attempt, deny })
+        self.round(&ClaimStep::Release { attempt: self.id, deny })
     }
 
-    /// Gives up, and finds out whether the key as a whole was not run.
+    /// Releases this attempt and determines whether any attempt under the key may have run.
     async fn prove_not_run(&self) -> ReleaseProof {
         let mut round = self.release(true);
         let proved = round
-            .verdict(|replies, last| {
-                let tally = ReplyTally::new(&self.group, replies, self.attempt);
-                if tally.proves_not_run() { Some(true) } else { last.then_some(false) }
+            .verdict(|replies, is_last| {
+                let tally = ReplyTally::new(&self.group, replies, self.id);
+                if tally.proves_not_run() { Some(true) } else { is_last.then_some(false) }
             })
             .await;
         if proved == Some(true) { ReleaseProof::NotRun } else { ReleaseProof::Unknown }
@@ -186,20 +187,20 @@
             Some(AbstainReason::Expired) => {
                 ExpiredSnafu { key, window: self.shared.settings.window }.build()
             }
-            Some(AbstainReason::FromFuture) => self.from_future_error(),
+            Some(AbstainReason::FromFuture) => self.key_ahead_error(),
             _ => ClaimError::NoQuorum {
                 key,
                 region: self.group.id.region.clone(),
                 answered,
                 members: self.group.members.len(),
                 needed: self.group.quorum(),
-                reason: reason.map_or("the others did not answer", AbstainReason::text),
+                reason: reason.map_or("the other replicas did not answer", AbstainReason::text),
                 not_run: proof == ReleaseProof::NotRun,
             },
         }
     }
 
-    fn from_future_error(&self) -> ClaimError {
+    fn key_ahead_error(&self) -> ClaimError {
         let made = self.scope.made.map_or(0, |made| made.0);
         let wall = self.shared.context.clock.wall().0;
         let ahead = Duration::from_millis(made.saturating_sub(wall));
@@ -208,16 +209,16 @@
     }
 }
 
-/// Withdraws an attempt whose claim ends without a grant, also when the caller hangs up.
-struct WithdrawOnDrop {
+/// Releases an attempt whose claim ends without a grant, including when the caller disconnects.
+struct ReleaseAttemptOnDrop {
     attempt: KeyAttempt,
     armed: Cell<bool>,
 }
 
-impl Drop for WithdrawOnDrop {
+impl Drop for ReleaseAttemptOnDrop {
     fn drop(&mut self) {
         if self.armed.get() {
-            // The round's tasks go on by themselves.
+            // The calls of the round run in tasks of their own.
             drop(self.attempt.release(false));
         }
     }
@@ -229,12 +230,12 @@
 ) -> Result<ClaimOutcome, ClaimError> {
     let shared = Rc::clone(&attempt.shared);
     let (settings, clock) = (shared.settings, Rc::clone(&shared.context.clock));
-    let mut withdraw = WithdrawOnDrop { attempt, armed: Cell::new(true) };
+    let mut release_guard = ReleaseAttemptOnDrop { attempt, armed: Cell::new(true) };
     let started = clock.now();
     let mut counter = 1;
     let mut pause = settings.min_poll_delay;
     loop {
-        let attempt = &withdraw.attempt;
+        let attempt = &release_guard.attempt;
         let (verdict, denied, replies) = attempt.prepare(counter).await;
         let waited = clock.now().since(started);
         let mut limit = request.wait;
@@ -245,11 +246,11 @@
                     attempt.follows_denial(denied),
                     SupersededSnafu { key: attempt.key.clone() }
                 );
-                withdraw.armed.set(false);
+                release_guard.armed.set(false);
                 return Ok(granted(attempt.clone(), counter, replies));
             }
             PrepareVerdict::Finished(accepted, result) => {
-                withdraw.armed.set(false);
+                release_guard.armed.set(false);
                 return Ok(finished(accepted, result, attempt.fingerprint));
             }
             PrepareVerdict::Contended { counter: highest, split } => {
@@ -264,7 +265,7 @@
             PrepareVerdict::NoQuorum { answered, reason } => {
                 limit = settings.takeover_delay;
                 if waited >= limit || !reason.is_some_and(AbstainReason::passes_soon) {
-                    withdraw.armed.set(false);
+                    release_guard.armed.set(false);
                     return Err(attempt.no_quorum(answered, reason).await);
                 }
             }
@@ -276,7 +277,7 @@
         let jitter = Duration::from_millis(shared.context.random.below(20));
         clock.sleep(pause.min(limit - waited) + jitter).await;
         pause = (pause * 2).min(settings.max_poll_delay);
-        withdraw.attempt.group = shared.attempt(request)?.group;
+        release_guard.attempt.group = shared.new_attempt(request)?.group;
     }
 }
 
@@ -292,7 +293,7 @@
 }
 
 fn granted(attempt: KeyAttempt, counter: u32, promises: RoundReplies) -> ClaimOutcome {
-    let ballot = Ballot { counter, attempt: attempt.attempt };
+    let ballot = Ballot { counter, attempt: attempt.id };
     let acceptance = Acceptance { ballot, fingerprint: attempt.fingerprint };
     let granted_age = attempt.age();
     let chosen = Rc::new(Cell::new(false));
@@ -300,19 +301,19 @@
     ClaimOutcome::Granted(ClaimGrant::new(Rc::new(driver)))
 }
 
-/// A granted attempt.
+/// The driver of a granted attempt.
 #[derive(Clone)]
 struct QuorumDriver {
     attempt: KeyAttempt,
     acceptance: Acceptance,
     promises: RoundReplies,
-    /// The send's age when it was granted.
+    /// Age of the send when it was granted.
     granted_age: Duration,
     chosen: Rc<Cell<bool>>,
 }
 
 impl QuorumDriver {
-    /// An accept for each member that promised, addressed to the run that promised.
+    /// Returns an accept for each member that promised, addressed to the incarnation that promised.
     fn accept_calls(&self) -> Vec<Option<StepCall>> {
         let call = |reply: &crate::message::StepReply| match &reply.outcome {
             StepOutcome::Vote(vote) if vote.agreed => Some(self.attempt.call(ClaimStep::Accept {
@@ -335,12 +336,12 @@
         }
         let mut round = attempt.start(self.accept_calls());
         let (verdict, denied) = round
-            .verdict(|replies, last| {
-                let tally = ReplyTally::new(&attempt.group, replies, attempt.attempt);
-                tally.accept(last).map(|verdict| (verdict, tally.denied_age()))
+            .verdict(|replies, is_last| {
+                let tally = ReplyTally::new(&attempt.group, replies, attempt.id);
+                tally.accept(is_last).map(|verdict| (verdict, tally.denied_age()))
             })
             .await
-            .expect("a tally decides when no more replies come");
+            .expect("the tally decides once all replies have arrived");
         match verdict {
             AcceptVerdict::Chosen if attempt.follows_denial(denied) => {
                 self.chosen.set(true);
@@ -349,7 +350,7 @@
             AcceptVerdict::NoQuorum { answered, reason } => {
                 Err(attempt.no_quorum(answered, reason).await)
             }
-            AcceptVerdict::Chosen | AcceptVerdict::Overtaken => {
+            AcceptVerdict::Chosen | AcceptVerdict::Superseded => {
                 drop(attempt.release(false));
                 SupersededSnafu { key: attempt.key.clone() }.fail()
             }
@@ -362,7 +363,8 @@
         }
     }
 
-    /// Answers stay in the claim region, which the service allows; others hear only of the end.
+    /// Returns a finish for each member. Answers stay in the claim region, where the service allows
+    /// its data; other members receive only the fact that the request ran.
     fn finish_calls(&self, result: &RunResult) -> Vec<Option<StepCall>> {
         let group = &self.attempt.group;
         let call = |member: &ReplicaMember| {
@@ -380,9 +382,9 @@
         let attempt = &self.attempt;
         let mut round = attempt.start(self.finish_calls(result));
         let stored = round
-            .verdict(|replies, last| {
-                let tally = ReplyTally::new(&attempt.group, replies, attempt.attempt);
-                if tally.stored() { Some(true) } else { last.then_some(false) }
+            .verdict(|replies, is_last| {
+                let tally = ReplyTally::new(&attempt.group, replies, attempt.id);
+                if tally.is_stored() { Some(true) } else { is_last.then_some(false) }
             })
             .await;
         stored == Some(true)
@@ -404,7 +406,7 @@
             return ReleaseProof::Unknown;
         }
         let proof = self.attempt.prove_not_run().await;
-        // A chosen attempt kept all others from running, and its own gateway did not run it.
+        // A chosen attempt prevents all others from running, and its own gateway did not run it.
         if self.chosen.get() { ReleaseProof::NotRun } else { proof }
     }
 }
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -1,10 +1,10 @@
-//! What one replica holds of one key: the acceptor of single-decree Paxos (Lamport, "Paxos Made
-//! Simple", 2001), where the value to choose is the attempt that may run.
+//! The record of one key at one replica: the acceptor of single-decree Paxos (Lamport, "Paxos Made
+//! Simple", 2001). The value to choose is the attempt that may run.
 //!
-//! It differs from the textbook in two points. An attempt proposes only itself: it never completes
-//! another's proposal, because choosing an attempt would not make that attempt's gateway run it.
-//! And an attempt can be *released* by its own gateway, the only one that knows for certain that
-//! it did not run.
+//! The protocol differs from the textbook in two points. An attempt proposes only itself and never
+//! completes another's proposal, because choosing an attempt would not make that attempt's gateway
+//! run it. An attempt can also be *released* by its own gateway, the only process that knows for
+//! certain that the attempt did not run.
 
 use {
     crate::{RequestFingerprint, RunResult},
@@ -13,23 +13,23 @@
     std::time::Duration,
 };
 
-/// The most released attempts a record remembers. They only keep a vote that arrives after its
-/// own attempt's release from holding the key; forgetting one costs a resend an `unknown`.
+/// Maximum number of released attempts in a record. They only prevent a vote that arrives after the
+/// release of its attempt from blocking the key; dropping one costs a resend an `unknown`.
 const MAX_RELEASED: usize = 8;
 
-/// One send of a request through one gateway: 128 random bits.
+/// Identifies one send of a request through one gateway: 128 random bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct AttemptId([u64; 2]);
 
 impl AttemptId {
-    /// A new id.
+    /// Creates a random id.
     pub(crate) fn new(random: &dyn RandomSource) -> Self {
         Self([random.next_u64(), random.next_u64()])
     }
 }
 
-/// An attempt's turn. Only the counter orders turns: of two attempts with equal counters a replica
-/// promises the first one it hears.
+/// A Paxos ballot of an attempt. Ballots are ordered by the counter alone: of two attempts with
+/// equal counters, a replica promises the first that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ballot {
     pub(crate) counter: u32,
@@ -37,39 +37,39 @@
 }
 
 impl Ballot {
-    /// Whether a replica that promised `promised` may promise or accept this ballot.
+    /// Returns true if a replica that promised `promised` may promise or accept this ballot.
     fn may_follow(&self, promised: &Ballot) -> bool {
         self.counter > promised.counter || self == promised
     }
 }
 
-/// A dispatch that a replica recorded.
+/// An accepted proposal: the attempt that may run, and the fingerprint of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Acceptance {
     pub(crate) ballot: Ballot,
     pub(crate) fingerprint: RequestFingerprint,
 }
 
-/// A record as its replica tells it to gateways.
+/// The state of a record as sent to gateways and other replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordView {
     pub(crate) promised: Option<Ballot>,
     pub(crate) accepted: Option<Acceptance>,
     pub(crate) result: Option<RunResult>,
     pub(crate) released: Vec<AttemptId>,
-    /// Time since a caller may last have been told "not run", by the replica's clock: never more
-    /// than the true time at the moment the view is read elsewhere.
+    /// Time since a caller may last have been told "not run", by the replica's clock. When the view
+    /// is read elsewhere, this is at most the true time.
     pub(crate) denied_age: Option<Duration>,
 }
 
-/// What a replica answers to a prepare or accept.
+/// A replica's vote on a prepare or accept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordVote {
     pub(crate) agreed: bool,
     pub(crate) view: RecordView,
 }
 
-/// One key at one replica.
+/// The record of one key at one replica.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimRecord {
     pub(crate) promised: Option<Ballot>,
@@ -79,12 +79,12 @@
     pub(crate) denied_at: Option<MonotonicTime>,
     pub(crate) made: Option<WallMillis>,
     pub(crate) expires: MonotonicTime,
-    /// The latest step.
+    /// Time of the latest step.
     pub(crate) last_step: MonotonicTime,
 }
 
 impl ClaimRecord {
-    /// An empty record of a key made at `made`, begun now and kept until `expires`.
+    /// Creates an empty record of a key created at `made`, which is kept until `expires`.
     pub(crate) fn new(
         made: Option<WallMillis>,
         now: MonotonicTime,
@@ -102,7 +102,8 @@
         }
     }
 
-    /// When the record may be forgotten: where nobody may have run, sooner than otherwise.
+    /// Time at which the record may be evicted. A record of a key under which nobody may have run
+    /// is evicted earlier.
     pub(crate) fn evict_at(&self, idle_limit: Duration) -> MonotonicTime {
         match self.accepted.is_none() && self.result.is_none() {
             true => self.expires.min(self.last_step + idle_limit),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The record as of `now`.
+    /// Returns the state of the record as of `now`.
     pub(crate) fn view(&self, now: MonotonicTime) -> RecordView {
         RecordView {
             promised: self.promised,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// First step: promise not to accept lower ballots.
+    /// First step: promises not to accept lower ballots.
     pub(crate) fn prepare(&mut self, ballot: Ballot, now: MonotonicTime) -> RecordVote {
         let agreed = self.admits(&ballot);
         if agreed {
@@ -130,7 +131,7 @@
         RecordVote { agreed, view: self.view(now) }
     }
 
-    /// Second step: record that the ballot's attempt may run from now on.
+    /// Second step: records that the ballot's attempt may run from now on.
     pub(crate) fn accept(&mut self, acceptance: Acceptance, now: MonotonicTime) -> RecordVote {
         let agreed = self.admits(&acceptance.ballot);
         if agreed {
@@ -146,17 +147,18 @@
         self.result.is_none() && follows && !released
     }
 
-    /// A released attempt never runs, so another may take its turn. The promise itself stays: were
-    /// it dropped, a lower ballot could be accepted here after a higher one was granted elsewhere
-    /// on the strength of a promise made here, and both would run.
+    /// Returns true if `ballot` may replace the promise. A released attempt never runs, so another
+    /// attempt may use its counter. The promise itself is kept: without it, a lower ballot could be
+    /// accepted here after a higher one was granted elsewhere on the strength of a promise made
+    /// here, and both would run.
     fn may_replace(&self, promised: &Ballot, ballot: &Ballot) -> bool {
         let is_released = self.released.contains(&promised.attempt);
         ballot.may_follow(promised) || (is_released && ballot.counter == promised.counter)
     }
 
-    /// Records that `attempt` has not run and never will. With `deny`, also that a caller may be
-    /// told so from now on. Says whether, as far as this replica knows, no other attempt may have
-    /// run either.
+    /// Records that `attempt` has not run and never will. With `deny`, also records that a caller
+    /// may be told so from now on. Returns true if, as far as this replica knows, no other attempt
+    /// may have run either.
     pub(crate) fn release(&mut self, attempt: AttemptId, deny: bool, now: MonotonicTime) -> bool {
         if self.accepted.is_some_and(|accepted| accepted.ballot.attempt == attempt) {
             self.accepted = None;
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Takes over what another replica holds of the key; `now` is this replica's time.
+    /// Merges another replica's state of the key. `now` is this replica's time.
     pub(crate) fn merge(&mut self, view: RecordView, now: MonotonicTime) {
         let denied = view.denied_age.map(|age| MonotonicTime(now.0.saturating_sub(age)));
         self.denied_at = self.denied_at.max(denied);
@@ -193,7 +195,7 @@
             .filter(|accepted| !self.released.contains(&accepted.ballot.attempt));
     }
 
-    /// An answer counts for more than word that there was one.
+    /// Merges a result. A stored answer replaces [`RunResult::Unkept`].
     fn merge_result(&mut self, accepted: Option<Acceptance>, result: RunResult) {
         let better = matches!(result, RunResult::Answered(_))
             && matches!(self.result.as_deref(), Some(RunResult::Unkept));
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Records how the chosen attempt ended. Its gateway knows that it was chosen, so this stands
-    /// over whatever the replica accepted: it may have missed the choice.
+    /// Records the result of the chosen attempt. Its gateway knows that it was chosen, so this
+    /// overrides whatever the replica accepted: the replica may have missed the choice.
     pub(crate) fn finish(&mut self, acceptance: Acceptance, result: RunResult) {
         if self.result.is_some() {
             return;
--- a/crates/claim/src/replica.rs
+++ b/crates/claim/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of a group: answers steps and copies, in memory.
+//! One replica of a group. It answers protocol steps and copy requests from memory.
 
 use {
     crate::{
@@ -17,17 +17,18 @@
     },
 };
 
-/// About the most bytes of one page of a copy.
+/// Approximate maximum size in bytes of one page of a copy.
 const PAGE_BYTES: usize = 128 << 10;
 
-/// What a replica can vote on.
+/// The keys that a replica can vote on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Every key.
+    /// The replica votes on every key.
     Complete,
-    /// Keys made well after the replica's start; it has not copied the older claims.
+    /// The replica has not copied the older claims, so it votes only on keys created well after its
+    /// start.
     Blind,
-    /// Another member knows a later run under this VM's name: the VM's clock went back, or two
+    /// Another member knows a later run under this VM's name: the VM's clock was set back, or two
     /// processes use one name. The replica never becomes complete.
     Stale,
 }
@@ -39,22 +40,23 @@
     pub(crate) identity: PeerIdentity,
     pub(crate) group: RefCell<Rc<ReplicaGroup>>,
     table: RefCell<ClaimTable>,
-    /// Latest run of each VM, as it presented itself when it copied.
-    known: RefCell<BTreeMap<VmName, Incarnation>>,
-    /// The latest epoch whose claims are all held; zero for none.
-    complete: Cell<u64>,
-    /// The latest epoch known to be decided upon: no vote is given in an earlier one.
-    sealed: Cell<u64>,
-    /// What has been gathered from others in this epoch.
+    /// The latest known incarnation of each VM.
+    known_incarnations: RefCell<BTreeMap<VmName, Incarnation>>,
+    /// The latest epoch for which all claims are held; zero for none.
+    complete_epoch: Cell<u64>,
+    /// The latest epoch known to have been decided. The replica does not vote in earlier epochs.
+    sealed_epoch: Cell<u64>,
+    /// Progress of the state transfer in this epoch.
     pub(crate) progress: RefCell<JoinProgress>,
     stale: Cell<bool>,
     start: Cell<StepTime>,
-    /// When this run, or its part in this epoch, began; `None` where nothing was before it.
-    since: Cell<Option<MonotonicTime>>,
+    /// Start of this run or of its membership in this epoch. `None` if neither an earlier run nor
+    /// an earlier epoch existed.
+    membership_start: Cell<Option<MonotonicTime>>,
 }
 
 impl ClaimReplica {
-    /// A replica that holds nothing yet, of a process that started at `start`.
+    /// Creates an empty replica of a process that started at `start`.
     pub(crate) fn new(
         context: ProcessContext,
         settings: ClaimSettings,
@@ -67,18 +69,18 @@
             settings,
             identity,
             table: RefCell::new(ClaimTable::new(settings)),
-            known: RefCell::default(),
-            complete: Cell::new(0),
-            sealed: Cell::new(group.epoch),
+            known_incarnations: RefCell::default(),
+            complete_epoch: Cell::new(0),
+            sealed_epoch: Cell::new(group.epoch),
             progress: RefCell::default(),
             stale: Cell::new(false),
             start: Cell::new(start),
-            since: Cell::new(Some(start.now)),
+            membership_start: Cell::new(Some(start.now)),
             group: RefCell::new(group),
         }
     }
 
-    /// What the replica can vote on.
+    /// Returns the keys that the replica can vote on.
     pub fn state(&self) -> ReplicaState {
         match (self.stale.get(), self.is_complete()) {
             (true, _) => ReplicaState::Stale,
@@ -87,24 +89,25 @@
         }
     }
 
-    /// Keys held.
+    /// Number of keys with a record.
     pub fn record_count(&self) -> usize {
         self.table.borrow().len()
     }
 
-    /// The group as this replica knows it.
+    /// Returns the latest epoch of the group that this replica has adopted.
     pub fn group(&self) -> Rc<ReplicaGroup> {
         Rc::clone(&self.group.borrow())
     }
 
-    /// Goes over to a later epoch of the group; votes in the earlier one end here.
+    /// Enters a later epoch of the group; votes in the earlier one end here. Returns false if
+    /// `group` is not a later epoch.
     pub(crate) fn adopt(&self, group: Rc<ReplicaGroup>) -> bool {
         if group.epoch <= self.group().epoch {
             return false;
         }
-        self.sealed.set(self.sealed.get().max(group.epoch));
+        self.sealed_epoch.set(self.sealed_epoch.get().max(group.epoch));
         self.progress.take();
-        self.since.set(Some(self.context.clock.now()));
+        self.membership_start.set(Some(self.context.clock.now()));
         *self.group.borrow_mut() = group;
         true
     }
@@ -114,38 +117,38 @@
     }
 
     pub(crate) fn is_complete(&self) -> bool {
-        self.complete.get() >= self.group().epoch
+        self.complete_epoch.get() >= self.group().epoch
     }
 
     pub(crate) fn complete_epoch(&self) -> u64 {
-        self.complete.get()
+        self.complete_epoch.get()
     }
 
-    /// All claims of the present epoch are held.
+    /// Records that all claims of the current epoch are held.
     pub(crate) fn set_complete(&self) {
-        self.complete.set(self.group().epoch);
+        self.complete_epoch.set(self.group().epoch);
     }
 
-    /// There was no run of this replica, and no epoch, before.
+    /// Records that neither an earlier run of this replica nor an earlier epoch existed.
     pub(crate) fn set_initial(&self) {
-        self.since.set(None);
+        self.membership_start.set(None);
         self.set_complete();
     }
 
-    /// Whether a later epoch is known to be decided upon.
+    /// Returns true if a later epoch is known to have been decided.
     pub(crate) fn is_sealed(&self) -> bool {
-        self.sealed.get() > self.group().epoch
+        self.sealed_epoch.get() > self.group().epoch
     }
 
     pub(crate) fn set_stale(&self) {
         self.stale.set(true);
     }
 
-    /// Whether the process ran before its epoch was decided upon, by the clocks' bound: no earlier
-    /// run of it can have voted in the epoch, or been told of a later one.
+    /// Returns true if the process started before its epoch was decided, within the bound on clock
+    /// errors. No earlier run of it can then have voted in the epoch or learned of a later one.
     ///
-    /// That it has held a configuration without the epoch would not show that: after a restart it
-    /// may have been given an old one.
+    /// That the process has held a configuration without the epoch does not prove this, because a
+    /// restarted process may have been given an old one.
     pub(crate) fn started_before_epoch(&self) -> bool {
         let group = self.group();
         let started = self.start.get().wall.0 + millis(self.settings.clock_error * 2);
@@ -153,14 +156,14 @@
         ran_before || self.continues_previous_epoch()
     }
 
-    /// Whether this very run held all claims of the epoch before, since a time when this epoch had
-    /// not begun: a replica becomes complete in no epoch that it knows to be over.
+    /// Returns true if this run already held all claims of the previous epoch before the current
+    /// epoch began. A replica never becomes complete in an epoch that it knows to be over.
     fn continues_previous_epoch(&self) -> bool {
-        self.complete.get() > 0 && self.complete.get() + 1 >= self.group().epoch
+        self.complete_epoch.get() > 0 && self.complete_epoch.get() + 1 >= self.group().epoch
     }
 
-    /// Whether this epoch is the one that counts: the one before can gather no quorum any more,
-    /// and had there been a seal on this one, it would be known.
+    /// Returns true if this is the epoch in force: the previous one can no longer gather a quorum,
+    /// and a seal on this one would be known.
     fn epoch_is_confirmed(&self) -> bool {
         let group = self.group();
         let progress = self.progress.borrow();
@@ -168,7 +171,7 @@
         current && progress.sealed_at().is_some()
     }
 
-    /// Answers one step.
+    /// Handles one protocol step.
     pub(crate) fn step(&self, call: StepCall) -> StepReply {
         let outcome = self.outcome(&call).unwrap_or_else(StepOutcome::Abstained);
         let group = self.group();
@@ -191,7 +194,8 @@
                 Ok(self.vote(table.accept(scope, acceptance, time)?, time))
             }
             ClaimStep::Release { attempt, deny } => {
-                // A replica without a say proves nothing, so it holds back no other send either.
+                // A replica that may not vote proves nothing, so it does not block other sends
+                // either.
                 let vote = self.check_vote(call, time);
                 let clean = table.release(scope, attempt, deny && vote.is_ok(), time)?;
                 vote.map(|()| StepOutcome::Released { clean })
@@ -203,11 +207,11 @@
         }
     }
 
-    /// Counts the replica's own beginning as a "not run". One may have been told on the word of an
-    /// earlier run, or of a member that has left, whose memory is gone: a send received before
-    /// would find no trace of it here, and run.
+    /// Adds the start of the replica to the vote as a possible "not run". A caller may have been
+    /// told so because of a reply from an earlier run, or from a former member, whose state is
+    /// lost. A send received before that would find no trace of it here, and would run.
     fn vote(&self, mut vote: RecordVote, time: StepTime) -> StepOutcome {
-        if let Some(since) = self.since.get() {
+        if let Some(since) = self.membership_start.get() {
             let age = time.now.since(since);
             vote.view.denied_age = Some(vote.view.denied_age.map_or(age, |denied| denied.min(age)));
         }
@@ -233,8 +237,8 @@
         Err(AbstainReason::Blind)
     }
 
-    /// Whether neither an earlier run of this replica nor the epoch before can have voted on the
-    /// key: it was made after they ended, or is past the window anyway.
+    /// Returns true if neither an earlier run of this replica nor the previous epoch can have voted
+    /// on the key: it was created after they ended, or is past the retention window anyway.
     fn cannot_have_votes(&self, scope: &KeyScope, time: StepTime) -> bool {
         let Some(since) = self.blind_since() else { return false };
         let blind_until = since.wall.0 + millis(self.settings.blind_time());
@@ -242,13 +246,14 @@
         young || time.now.since(since.now) >= self.settings.retention()
     }
 
-    /// When the last votes were given that this replica may know nothing of.
+    /// Latest time at which votes unknown to this replica can have been given.
     fn blind_since(&self) -> Option<StepTime> {
         let (start, sealed) = (self.start.get(), self.progress.borrow().sealed_at()?);
         Some(StepTime { now: start.now.max(sealed.now), wall: start.wall.max(sealed.wall) })
     }
 
-    /// Whether every key that it may know nothing of is past the window.
+    /// Returns true if every key that may have votes unknown to this replica is past the retention
+    /// window.
     pub(crate) fn unknown_keys_expired(&self) -> bool {
         let now = self.context.clock.now();
         let passed = |since: StepTime| now.since(since.now) >= self.settings.retention();
@@ -259,31 +264,31 @@
         if *vm == self.identity.vm {
             return self.identity.incarnation;
         }
-        self.known.borrow().get(vm).copied().unwrap_or_default()
+        self.known_incarnations.borrow().get(vm).copied().unwrap_or_default()
     }
 
-    /// Learns of a run of `vm`; false where a later one is known.
+    /// Records an incarnation of `vm`. Returns false if a later one is known.
     pub(crate) fn record_incarnation(&self, vm: &VmName, incarnation: Incarnation) -> bool {
-        let mut known = self.known.borrow_mut();
+        let mut known = self.known_incarnations.borrow_mut();
         let latest = known.entry(vm.clone()).or_default();
         *latest = (*latest).max(incarnation);
         *latest == incarnation
     }
 
-    /// Answers a copy. From the first page on, votes of earlier runs of the copying replica are
-    /// void, and votes in earlier epochs end: whatever was decided with this replica's vote is
-    /// either in the pages or will not count.
+    /// Handles a copy request. From the first page on, votes of earlier runs of the copying replica
+    /// are void, and votes in earlier epochs end: whatever was decided with this replica's vote is
+    /// either in the pages or does not count.
     pub(crate) fn copy(&self, from: &PeerIdentity, call: &CopyCall) -> Result<CopyPage, PeerFault> {
         if !self.record_incarnation(&from.vm, from.incarnation) {
             return Err(PeerFault::refused(format_args!(
-                "a later run of VM {} is known: set its clock, or give each VM its own name",
+                "a later run of VM {} is known: correct its clock, or give each VM a unique name",
                 from.vm
             )));
         }
-        self.sealed.set(self.sealed.get().max(call.epoch));
+        self.sealed_epoch.set(self.sealed_epoch.get().max(call.epoch));
         let time = self.time();
         let table = self.table.borrow();
-        let (records, next) = match self.complete.get() >= call.needed {
+        let (records, next) = match self.complete_epoch.get() >= call.needed {
             true => table.page(call.cursor, PAGE_BYTES, time.now),
             false => (Vec::new(), None),
         };
@@ -294,22 +299,27 @@
         };
         Ok(CopyPage {
             incarnation: self.identity.incarnation,
-            complete: self.complete.get(),
-            sealed: self.sealed.get(),
+            complete: self.complete_epoch.get(),
+            sealed: self.sealed_epoch.get(),
             wall: time.wall,
             forgotten: table.forgotten(),
-            known: self.known.borrow().iter().map(|(vm, run)| (vm.clone(), *run)).collect(),
+            known: self
+                .known_incarnations
+                .borrow()
+                .iter()
+                .map(|(vm, run)| (vm.clone(), *run))
+                .collect(),
             records,
             next,
         })
     }
 
-    /// Takes over a page.
+    /// Merges a page of another member's records.
     pub(crate) fn merge(&self, vm: &VmName, page: CopyPage) {
         let now = self.context.clock.now();
         self.record_incarnation(vm, page.incarnation);
         self.advance_start(page.wall);
-        self.sealed.set(self.sealed.get().max(page.sealed));
+        self.sealed_epoch.set(self.sealed_epoch.get().max(page.sealed));
         let others = page.known.iter().filter(|(other, _)| *other != self.identity.vm);
         others.for_each(|(other, run)| {
             self.record_incarnation(other, *run);
@@ -319,9 +329,9 @@
         page.records.into_iter().for_each(|record| table.merge(record, now));
     }
 
-    /// Another member's clock is ahead of this one's: count the start as that much later. A clock
-    /// that was set back during the restart would else make keys voted on before look younger than
-    /// the start, and they would run again.
+    /// Moves the start forward if another member's clock is ahead. If this clock was set back
+    /// during a restart, keys that were voted on before would otherwise look newer than the start,
+    /// and would run again.
     fn advance_start(&self, wall: WallMillis) {
         let start = self.start.get();
         let elapsed = millis(self.context.clock.now().since(start.now));
--- a/crates/claim/src/round.rs
+++ b/crates/claim/src/round.rs
@@ -1,4 +1,4 @@
-//! One step put to every replica of a group at once.
+//! Concurrent calls of one protocol step to the replicas of a group.
 
 use {
     crate::{
@@ -15,10 +15,12 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// Replies in the group's order. Replies that come after the round's verdict still land here.
+/// Replies in the group's order. Replies that arrive after the round's verdict are stored here,
+/// too.
 pub(crate) type RoundReplies = Rc<RefCell<Vec<Option<StepReply>>>>;
 
-/// Reaches the replicas of a group: by peer calls, and directly where this process is one.
+/// Calls the replicas of a group: over the peer transport, or directly if the replica belongs to
+/// this process.
 #[derive(Clone)]
 pub(crate) struct ReplicaCaller {
     pub(crate) context: ProcessContext,
@@ -27,8 +29,8 @@
 }
 
 impl ReplicaCaller {
-    /// Sends each member its call, in tasks of their own: a step that is on its way is not taken
-    /// back when the caller hangs up, and late replies are still noted.
+    /// Sends each member its call, in tasks of their own: a step that has been sent is not
+    /// cancelled when the caller disconnects, and late replies are still stored.
     pub(crate) fn start(
         &self,
         group: &ReplicaGroup,
@@ -48,7 +50,8 @@
             self.context.spawner.spawn(Box::pin(async move {
                 let reply = reply.await;
                 replies.borrow_mut()[index] = reply;
-                // The round may be over; the reply is noted above all the same.
+                // The receiver may be gone when the round is over; the reply is stored above
+                // regardless.
                 let _over = sender.unbounded_send(());
             }));
         }
@@ -73,7 +76,7 @@
     }
 }
 
-/// A round under way.
+/// A round of calls in progress.
 pub(crate) struct ReplyRound {
     pub(crate) replies: RoundReplies,
     arrivals: UnboundedReceiver<()>,
@@ -81,16 +84,16 @@
 }
 
 impl ReplyRound {
-    /// Waits until `decide` has a verdict on the replies. Its second argument says that no more
-    /// replies will come; it must decide then.
+    /// Waits until `decide` returns a verdict on the replies. Its second argument is true if no
+    /// more replies will arrive; it must decide then, or the wait ends without a verdict.
     pub(crate) async fn verdict<T>(
         &mut self,
         decide: impl Fn(&[Option<StepReply>], bool) -> Option<T>,
     ) -> Option<T> {
         loop {
-            let last = self.pending == 0;
-            let verdict = decide(&self.replies.borrow(), last);
-            if verdict.is_some() || last {
+            let is_last = self.pending == 0;
+            let verdict = decide(&self.replies.borrow(), is_last);
+            if verdict.is_some() || is_last {
                 return verdict;
             }
             self.arrivals.next().await;
--- a/crates/claim/src/service.rs
+++ b/crates/claim/src/service.rs
@@ -1,4 +1,4 @@
-//! The replicas of this process, and the peer calls they serve.
+//! The replicas of this process, and the peer calls that they handle.
 
 use {
     crate::{
@@ -14,7 +14,7 @@
     std::{cell::RefCell, collections::BTreeMap, rc::Rc},
 };
 
-/// All replicas of this process. To be registered as the peer handler of prefix `claim`.
+/// All replicas of this process. Register it as the peer handler of prefix `claim`.
 pub struct ClaimService {
     context: ProcessContext,
     settings: ClaimSettings,
@@ -26,7 +26,7 @@
 }
 
 impl ClaimService {
-    /// A process without replicas yet; its start is counted as now.
+    /// Creates a service without replicas. The current time counts as the start of the process.
     pub fn new(
         context: ProcessContext,
         settings: ClaimSettings,
@@ -38,15 +38,16 @@
         Self { context, settings, identity, transport, events, replicas, start }
     }
 
-    /// Tells `events` when a replica is blind, complete or stale. By default nobody is told.
+    /// Sets the sink of the events that report a replica as blind, complete or stale. By default
+    /// they are discarded.
     pub fn events(mut self, events: Rc<dyn EventSink>) -> Self {
         self.events = events;
         self
     }
 
-    /// Takes note of a group, or of a later epoch of it: where this process is a member, it starts
-    /// to take part. A new replica counts as one that lost its memory, unless the group's time of
-    /// creation shows that this process ran before.
+    /// Adopts a group or a later epoch of it. If this process is a member, its replica starts to
+    /// participate. A new replica counts as one that has lost its state, unless the group's
+    /// creation time shows that this process started before.
     pub fn adopt(&self, group: Rc<ReplicaGroup>) {
         let replica = self.replica(&group.id);
         let newer = replica.as_ref().is_some_and(|replica| replica.adopt(Rc::clone(&group)));
@@ -72,12 +73,12 @@
         replica
     }
 
-    /// This process's replica of a group.
+    /// Returns this process's replica of a group.
     pub fn replica(&self, id: &GroupId) -> Option<Rc<ClaimReplica>> {
         self.replicas.borrow().get(id).cloned()
     }
 
-    /// The state of each replica.
+    /// Returns the state of each replica.
     pub fn states(&self) -> Vec<(GroupId, ReplicaState)> {
         let replicas = self.replicas.borrow();
         replicas.iter().map(|(id, replica)| (id.clone(), replica.state())).collect()
@@ -86,7 +87,7 @@
     fn find(&self, id: &GroupId) -> Result<Rc<ClaimReplica>, PeerFault> {
         self.replica(id).ok_or_else(|| {
             PeerFault::unavailable(format_args!(
-                "this process holds no claims of region {} group {}: has its configuration arrived?",
+                "no claim replica of region {} group {} on this process: check its configuration",
                 id.region, id.number
             ))
         })
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -1,4 +1,4 @@
-//! All records of one replica, bounded in number, in time and in bytes of answers.
+//! The records of one replica, bounded by number, age and total size of answers.
 
 use {
     crate::{
@@ -15,95 +15,94 @@
     },
 };
 
-/// About the encoded bytes of a record without its answer; only sizes the pages of copies.
+/// Approximate encoded size in bytes of a record without its answer, used to size the pages of
+/// copies.
 const RECORD_BYTES: usize = 100;
 
-/// A key as replicas see it.
+/// A key as identified to replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KeyScope {
     pub(crate) digest: ClaimDigest,
-    /// When the key was made, where it says so; opaque keys do not.
+    /// Creation time of the key. `None` for opaque keys.
     pub(crate) made: Option<WallMillis>,
 }
 
-/// The time of a step at a replica, by both clocks.
+/// Monotonic and wall clock at the time of a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepTime {
     pub(crate) now: MonotonicTime,
     pub(crate) wall: WallMillis,
 }
 
-/// A record on its way to another replica.
+/// A record as sent to another replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CopiedRecord {
     pub(crate) scope: KeyScope,
-    /// How long the record is still kept.
+    /// Remaining time until the record expires.
     pub(crate) left: Duration,
     pub(crate) view: RecordView,
 }
 
 impl CopiedRecord {
-    /// What a replica outside of the claim region may hold of it.
+    /// Removes the answer, which replicas outside the claim region must not hold.
     pub(crate) fn without_answer(mut self) -> Self {
         self.view.result = self.view.result.map(RunResult::without_answer);
         self
     }
 }
 
-/// Why a replica has no say on a key.
+/// The reason why a replica does not vote on a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AbstainReason {
-    /// The key is older than the window, or than keys already forgotten.
+    /// The key is older than the retention window, or not newer than a key already evicted.
     Expired,
-    /// The key's time is too far ahead of the replica's clock.
+    /// The key's creation time is too far ahead of the replica's clock.
     FromFuture,
-    /// The replica lost its memory and may have voted on this key before.
+    /// The replica has lost its state and may have voted on this key before.
     Blind,
-    /// No further record fits.
+    /// The table is full.
     Full,
-    /// The gateway and the replica go by different groups.
+    /// The gateway and the replica use different epochs of the group, or the epoch is over.
     WrongGroup,
     /// The replica restarted between the two steps of the claim.
     Restarted,
 }
 
 impl AbstainReason {
-    /// Whether the reason may go away within a second: a change of members takes a moment to reach
-    /// every process, and a copy of the claims takes a moment too.
+    /// Returns true if the reason may disappear within a second: a change of members takes a moment
+    /// to reach every process, as does a copy of the claims.
     pub(crate) fn passes_soon(self) -> bool {
         matches!(self, Self::Blind | Self::WrongGroup | Self::Restarted)
     }
 
-    /// The reason in words, for errors.
+    /// Text of the reason for error messages.
     pub(crate) fn text(self) -> &'static str {
         match self {
             AbstainReason::Expired => "the key is past the retention window",
-            AbstainReason::FromFuture => "the key was made ahead of a replica's clock",
+            AbstainReason::FromFuture => "the key was created ahead of a replica's clock",
             AbstainReason::Blind => "a restarted replica has not yet copied the claims",
-            AbstainReason::Full => "a replica holds as many claims as its settings allow",
+            AbstainReason::Full => "a replica has reached its limit on claims",
             AbstainReason::WrongGroup => "the group of replicas is changing",
-            AbstainReason::Restarted => "a replica restarted meanwhile",
+            AbstainReason::Restarted => "a replica restarted during the claim",
         }
     }
 }
 
-/// A replica's records.
+/// The records of one replica.
 pub(crate) struct ClaimTable {
     settings: ClaimSettings,
     records: BTreeMap<ClaimDigest, ClaimRecord>,
-    /// One entry for each record: when to see whether it may be forgotten, at the latest.
+    /// One entry for each record: the latest time at which to check it for eviction.
     eviction_queue: BinaryHeap<Reverse<(MonotonicTime, ClaimDigest)>>,
     /// Keys with a stored answer, oldest first.
     answer_queue: VecDeque<ClaimDigest>,
     answer_bytes: usize,
-    /// The latest making of a forgotten key. Keys up to it count as expired whatever the wall
-    /// clock says: after a step back it would call forgotten keys young again, and they would run
-    /// twice.
+    /// The latest creation time of an evicted key.
     forgotten: WallMillis,
 }
 
 impl ClaimTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(crate) fn new(settings: ClaimSettings) -> Self {
         Self {
             settings,
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Records held.
+    /// Number of records.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
@@ -131,7 +130,7 @@
         Ok(())
     }
 
-    /// First step of a claim.
+    /// Handles the first step of a claim.
     pub(crate) fn prepare(
         &mut self,
         scope: &KeyScope,
@@ -142,7 +141,7 @@
         Ok(record.prepare(ballot, time.now))
     }
 
-    /// Second step of a claim.
+    /// Handles the second step of a claim.
     pub(crate) fn accept(
         &mut self,
         scope: &KeyScope,
@@ -153,7 +152,7 @@
         Ok(record.accept(acceptance, time.now))
     }
 
-    /// An attempt gave up; see [`ClaimRecord::release`].
+    /// Releases an attempt; see [`ClaimRecord::release`].
     pub(crate) fn release(
         &mut self,
         scope: &KeyScope,
@@ -165,7 +164,7 @@
         Ok(record.release(attempt, deny, time.now))
     }
 
-    /// The chosen attempt ended.
+    /// Records the result of the chosen attempt.
     pub(crate) fn finish(
         &mut self,
         scope: &KeyScope,
@@ -183,7 +182,8 @@
         Ok(())
     }
 
-    /// A page of records after `cursor`, of about `limit` bytes, and the cursor of the next page.
+    /// Returns a page of about `limit` bytes of the records after `cursor`, and the cursor of the
+    /// next page.
     pub(crate) fn page(
         &self,
         cursor: Option<ClaimDigest>,
@@ -208,8 +208,8 @@
         (copies, None)
     }
 
-    /// Takes over a record from another replica, whatever the bound on claims: a replica that
-    /// lacked it would vote as if the key were free.
+    /// Merges a record from another replica. The limit on claims does not apply: a replica without
+    /// the record would vote as if the key were free.
     pub(crate) fn merge(&mut self, copy: CopiedRecord, now: MonotonicTime) {
         let CopiedRecord { scope, left, view } = copy;
         let record = self.entry(&scope, now, now + left);
@@ -219,12 +219,14 @@
         self.enqueue_answer(scope.digest, after - before);
     }
 
-    /// The latest making of a forgotten key.
+    /// The latest creation time of an evicted key. Keys up to it count as expired whatever the wall
+    /// clock says: after a step back of the clock, evicted keys would look recent and would run
+    /// twice.
     pub(crate) fn forgotten(&self) -> WallMillis {
         self.forgotten
     }
 
-    /// Counts keys made up to `made` as forgotten, because another replica forgot them.
+    /// Treats keys created up to `made` as evicted, because another replica evicted them.
     pub(crate) fn raise_forgotten(&mut self, made: WallMillis) {
         self.forgotten = self.forgotten.max(made);
     }
@@ -257,7 +259,8 @@
         record
     }
 
-    /// A key that has a record is decided by it, whatever the wall clock says by now.
+    /// Checks that a key without a record may get one. A key that has a record is decided by the
+    /// record, whatever the wall clock says.
     fn check_new(&self, scope: &KeyScope, wall: WallMillis) -> Result<(), AbstainReason> {
         self.check_time(scope, wall)?;
         match self.records.len() < self.settings.claim_limit {
@@ -266,10 +269,10 @@
         }
     }
 
-    /// Forgets records whose time has passed: the window, or, where nobody may have run, the time in
-    /// which a send may wait. Refused orders would otherwise fill the table for a day, and then new
-    /// orders would be refused for want of room. By monotonic time: a wall clock that steps ahead by
-    /// a day would otherwise empty the table at once.
+    /// Evicts expired records: those past the retention window, and earlier those of keys under
+    /// which nobody may have run. The latter would otherwise fill the table for a day with refused
+    /// orders, and new orders would be refused for lack of space. Expiry uses monotonic time: a
+    /// wall clock that steps ahead by a day would otherwise empty the table at once.
     fn evict_due(&mut self, now: MonotonicTime) {
         let idle = self.settings.idle_limit();
         while let Some(Reverse((time, digest))) = self.eviction_queue.peek().copied() {
@@ -330,7 +333,7 @@
     }
 }
 
-/// Whole milliseconds of `duration`.
+/// Returns `duration` in whole milliseconds.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/claim/src/tally.rs
+++ b/crates/claim/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a gateway may conclude from the replies of a group's replicas.
+//! Evaluates the replies of a group's replicas to one protocol step.
 
 use {
     crate::{
@@ -10,58 +10,59 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// The replies to one step so far, in the group's order; `None` where none came yet, or a call
+/// The replies to one step so far, in the group's order. `None` if no reply has arrived or the call
 /// failed.
 pub(crate) struct ReplyTally<'a> {
     group: &'a ReplicaGroup,
     replies: &'a [Option<StepReply>],
-    /// The attempt that asks.
+    /// The attempt that sent the step.
     attempt: AttemptId,
 }
 
-/// What the replies to a prepare amount to.
+/// Verdict on the replies to a prepare.
 #[derive(Debug)]
 pub(crate) enum PrepareVerdict {
-    /// The key is this attempt's to dispatch.
+    /// This attempt may dispatch.
     Granted,
-    /// An earlier attempt ended.
+    /// An earlier attempt has a result.
     Finished(Acceptance, RunResult),
     /// Another attempt may have been dispatched.
     Dispatched,
-    /// Other attempts hold promises, and none is known to have been dispatched.
+    /// Other attempts hold promises, but none is known to have been dispatched.
     Contended {
-        /// The highest counter promised.
+        /// The highest promised counter.
         counter: u32,
-        /// Whether no other attempt can hold a quorum of promises, and this one is to go on.
+        /// True if the promises are split so that no attempt can hold a quorum of them, and this
+        /// attempt is to proceed with a higher ballot.
         split: bool,
     },
-    /// Too few replicas have a say.
+    /// Too few replicas voted.
     NoQuorum {
-        /// How many have.
+        /// Number of replicas that voted.
         answered: usize,
-        /// Why one has not; `None` where it did not answer.
+        /// Reason of a replica that abstained. `None` if the others did not answer.
         reason: Option<AbstainReason>,
     },
 }
 
-/// What the replies to an accept amount to.
+/// Verdict on the replies to an accept.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum AcceptVerdict {
     /// The attempt is chosen: it may run, and no other will.
     Chosen,
-    /// Another attempt was promised the key since.
-    Overtaken,
-    /// Too few replicas have a say.
+    /// Another attempt has been promised the key since.
+    Superseded,
+    /// Too few replicas voted.
     NoQuorum {
-        /// How many have.
+        /// Number of replicas that voted.
         answered: usize,
-        /// Why one has not.
+        /// Reason of a replica that abstained. `None` if the others did not answer.
         reason: Option<AbstainReason>,
     },
 }
 
 impl<'a> ReplyTally<'a> {
-    /// A tally for `attempt`.
+    /// Creates a tally for `attempt`.
     pub(crate) fn new(
         group: &'a ReplicaGroup,
         replies: &'a [Option<StepReply>],
@@ -70,8 +71,9 @@
         Self { group, replies, attempt }
     }
 
-    /// Replies that count: not those of a run whose memory is lost since. Such a replica may have
-    /// promised or accepted again in its present run, without knowledge of the vote counted here.
+    /// Returns the valid replies. A reply from an incarnation whose state has been lost since is
+    /// void: the replica may have promised or accepted again in its current run, without knowledge
+    /// of the vote counted here.
     fn valid(&self) -> impl Iterator<Item = &'a StepReply> + Clone {
         let replies = self.replies;
         let is_void = move |index: usize, reply: &StepReply| {
@@ -104,13 +106,13 @@
         })
     }
 
-    /// Attempts known to be released, by themselves.
+    /// Attempts known to have been released by their gateways.
     fn released(&self) -> BTreeSet<AttemptId> {
         self.views().flat_map(|view| view.released.iter().copied()).collect()
     }
 
-    /// Whether some other attempt may be chosen: enough replicas accepted it, or may have. A
-    /// replica that promised this attempt will accept no earlier one any more.
+    /// Returns true if another attempt may be chosen: enough replicas accepted it, or may have
+    /// accepted it. A replica that promised this attempt accepts no earlier one any more.
     fn other_may_be_chosen(&self) -> bool {
         let released = self.released();
         let accepted: BTreeSet<AttemptId> = self
@@ -130,23 +132,23 @@
         self.group.members.len() - excluded >= self.group.quorum()
     }
 
-    /// The shortest time since a caller was told "not run" under this key.
+    /// Shortest time since a caller was told "not run" under this key.
     pub(crate) fn denied_age(&self) -> Option<Duration> {
         self.views().filter_map(|view| view.denied_age).min()
     }
 
-    /// The verdict on a prepare; `None` while replies that are still to come can change it.
-    pub(crate) fn prepare(&self, last: bool) -> Option<PrepareVerdict> {
+    /// Returns the verdict on a prepare, or `None` while outstanding replies can change it.
+    pub(crate) fn prepare(&self, is_last: bool) -> Option<PrepareVerdict> {
         if let Some((accepted, result)) = self.finished() {
-            // Another replica may have kept the answer that this one has not.
-            let wait = result == RunResult::Unkept && !last;
+            // Another replica may have stored the answer that this one lacks.
+            let wait = result == RunResult::Unkept && !is_last;
             return (!wait).then_some(PrepareVerdict::Finished(accepted, result));
         }
         let chosen = self.other_may_be_chosen();
         if self.agreed() >= self.group.quorum() && !chosen {
             return Some(PrepareVerdict::Granted);
         }
-        if !last {
+        if !is_last {
             return None;
         }
         let answered = self.votes().count();
@@ -179,32 +181,32 @@
         PrepareVerdict::Contended { counter, split: first && !decided }
     }
 
-    /// The verdict on an accept; `None` while replies still to come can change it.
-    pub(crate) fn accept(&self, last: bool) -> Option<AcceptVerdict> {
+    /// Returns the verdict on an accept, or `None` while outstanding replies can change it.
+    pub(crate) fn accept(&self, is_last: bool) -> Option<AcceptVerdict> {
         if self.agreed() >= self.group.quorum() {
             return Some(AcceptVerdict::Chosen);
         }
-        if !last {
+        if !is_last {
             return None;
         }
         if self.votes().any(|vote| !vote.agreed) {
-            return Some(AcceptVerdict::Overtaken);
+            return Some(AcceptVerdict::Superseded);
         }
         let answered = self.agreed();
         Some(AcceptVerdict::NoQuorum { answered, reason: self.reason() })
     }
 
-    /// Whether a release proves that no attempt under the key ran: enough replicas know of none
-    /// that any quorum, past or to come, shares one of them.
+    /// Returns true if a release proves that no attempt under the key ran: the replicas that know
+    /// of none intersect every quorum, past or future.
     pub(crate) fn proves_not_run(&self) -> bool {
         let clean =
             |reply: &&StepReply| matches!(reply.outcome, StepOutcome::Released { clean: true });
         self.valid().filter(clean).count() >= self.group.blocking_size()
     }
 
-    /// Whether a quorum holds the result.
-    pub(crate) fn stored(&self) -> bool {
-        let stored = |reply: &&StepReply| matches!(reply.outcome, StepOutcome::Stored);
-        self.valid().filter(stored).count() >= self.group.quorum()
+    /// Returns true if a quorum has stored the result.
+    pub(crate) fn is_stored(&self) -> bool {
+        let is_stored = |reply: &&StepReply| matches!(reply.outcome, StepOutcome::Stored);
+        self.valid().filter(is_stored).count() >= self.group.quorum()
     }
 }
--- a/crates/claim/tests/local.rs
+++ b/crates/claim/tests/local.rs
@@ -1,4 +1,4 @@
-//! Claims in one process's memory.
+//! Tests of claims in the memory of one process.
 
 mod support;
 
@@ -17,13 +17,13 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-struct Office {
+struct LocalFixture {
     world: FakeWorld,
     process: FakeProcess,
     claims: LocalClaims,
 }
 
-impl Office {
+impl LocalFixture {
     fn new() -> Self {
         let (world, _) = FakeWorld::new(1);
         let process = world.process();
@@ -66,91 +66,91 @@
 }
 
 #[test]
-fn a_resend_gets_the_same_bytes() {
-    // Symptom: the caller never saw the answer of an order. Events: the order ran, the connection
-    // broke, the caller sent it again. Cause: callers cannot tell a lost answer from a lost order.
-    let office = Office::new();
-    let key = office.key();
-    office.run(&key, "40 t", "placed 7");
-    assert_eq!(answered(office.send(&key, "40 t")), answer("placed 7"));
+fn resend_returns_the_stored_answer() {
+    // Guards against a second run of an order whose answer was lost. The connection broke after the
+    // order ran, and the caller cannot distinguish a lost answer from a lost order.
+    let fixture = LocalFixture::new();
+    let key = fixture.key();
+    fixture.run(&key, "40 t", "placed 7");
+    assert_eq!(answered(fixture.send(&key, "40 t")), answer("placed 7"));
 }
 
 #[test]
-fn another_request_under_the_same_key_is_refused() {
-    // Symptom: 60 t ordered, and the answer is of 40 t. Events: a client takes the key of an
-    // earlier order for a new one. Cause: the key alone does not tell two orders apart.
-    let office = Office::new();
-    let key = office.key();
-    office.run(&key, "40 t", "placed 7");
-    assert!(matches!(office.send(&key, "60 t"), Ok(ClaimOutcome::Mismatch)));
+fn different_request_under_the_same_key_is_a_mismatch() {
+    // Guards against answering an order with the answer of a different one. A client reuses the key
+    // of an earlier order, and the key alone does not distinguish the two.
+    let fixture = LocalFixture::new();
+    let key = fixture.key();
+    fixture.run(&key, "40 t", "placed 7");
+    assert!(matches!(fixture.send(&key, "60 t"), Ok(ClaimOutcome::Mismatch)));
 }
 
 #[test]
-fn a_dropped_permit_is_unknown_for_good() {
-    // Symptom: nobody knows whether the order was placed. Events: dispatched, then the link to the
-    // backend server broke. Cause: no answer came, yet the bytes may have arrived.
-    let office = Office::new();
-    let key = office.key();
-    let Ok(ClaimOutcome::Granted(grant)) = office.send(&key, "40 t") else { panic!() };
-    drop(office.world.run_until(grant.dispatch()).unwrap());
-    office.world.run_for(SECOND);
-    assert!(matches!(office.send(&key, "40 t"), Ok(ClaimOutcome::Unknown)));
+fn dropped_permit_leaves_the_key_unknown() {
+    // Guards against a resend that runs an order again after the link to the backend server broke.
+    // No answer came, but the request may have arrived.
+    let fixture = LocalFixture::new();
+    let key = fixture.key();
+    let Ok(ClaimOutcome::Granted(grant)) = fixture.send(&key, "40 t") else { panic!() };
+    drop(fixture.world.run_until(grant.dispatch()).unwrap());
+    fixture.world.run_for(SECOND);
+    assert!(matches!(fixture.send(&key, "40 t"), Ok(ClaimOutcome::Unknown)));
 }
 
 #[test]
-fn a_release_frees_the_key_for_later_sends_only() {
-    // Symptom: a caller told "not run" orders again by telephone, and the order runs after all.
-    // Events: a first send is held up in a gateway; a second one is refused as not run; the first
-    // goes on. Cause: the first would find the key free again.
-    let office = Office::new();
-    let key = office.key();
-    let held_up = SentOrder::new(&key, "40 t", office.world.now());
-    let Ok(ClaimOutcome::Granted(grant)) = office.send(&key, "40 t") else { panic!() };
-    assert_eq!(office.world.run_until(grant.release_not_run()), ReleaseProof::NotRun);
-    let late = office.claim(&held_up);
+fn release_frees_the_key_for_later_sends_only() {
+    // Guards against a run after the caller was told "not run". A first send is delayed in a
+    // gateway, a second one is refused as not run, and then the first proceeds and would find the
+    // key free.
+    let fixture = LocalFixture::new();
+    let key = fixture.key();
+    let held_up = SentOrder::new(&key, "40 t", fixture.world.now());
+    let Ok(ClaimOutcome::Granted(grant)) = fixture.send(&key, "40 t") else { panic!() };
+    assert_eq!(fixture.world.run_until(grant.release_not_run()), ReleaseProof::NotRun);
+    let late = fixture.claim(&held_up);
     assert!(matches!(late, Err(ClaimError::Superseded { .. })), "{late:?}");
 
-    office.world.run_for(SECOND);
-    office.world.run_for(SECOND);
-    office.run(&key, "40 t", "placed 8");
-    assert_eq!(answered(office.send(&key, "40 t")), answer("placed 8"));
+    fixture.world.run_for(SECOND);
+    fixture.world.run_for(SECOND);
+    fixture.run(&key, "40 t", "placed 8");
+    assert_eq!(answered(fixture.send(&key, "40 t")), answer("placed 8"));
 }
 
 #[test]
-fn a_restarted_process_refuses_what_it_may_have_run() {
-    // Symptom: an order is doubled after a restart. Events: it ran, the process lost its memory,
-    // the caller sent it again. Cause: an empty table calls every key free.
-    let office = Office::new();
-    let old = office.key();
+fn restarted_process_refuses_keys_it_may_have_run() {
+    // Guards against a second run after a restart. The process has lost its claims, so every key
+    // would look free.
+    let fixture = LocalFixture::new();
+    let old = fixture.key();
     let opaque = OrderKey::try_from("order-17".to_owned()).unwrap();
-    office.run(&old, "40 t", "placed 7");
-    office.run(&opaque, "40 t", "placed 8");
-    let office = office.restarted();
+    fixture.run(&old, "40 t", "placed 7");
+    fixture.run(&opaque, "40 t", "placed 8");
+    let fixture = fixture.restarted();
     for key in [&old, &opaque] {
-        let error = office.send(key, "40 t").unwrap_err();
+        let error = fixture.send(key, "40 t").unwrap_err();
         assert!(matches!(error, ClaimError::NoQuorum { .. }), "{error}");
         assert!(!error.proves_not_run(), "{error}");
     }
-    office.world.run_for(SECOND * 21);
-    office.run(&office.key(), "40 t", "placed 9");
-    office.world.run_for(SECOND * 25 * 3600);
-    let error = office.send(&old, "40 t").unwrap_err();
+    fixture.world.run_for(SECOND * 21);
+    fixture.run(&fixture.key(), "40 t", "placed 9");
+    fixture.world.run_for(SECOND * 25 * 3600);
+    let error = fixture.send(&old, "40 t").unwrap_err();
     assert!(matches!(error, ClaimError::Expired { .. }), "{error}");
     assert!(!error.proves_not_run(), "it ran: {error}");
-    office.run(&opaque, "40 t", "placed 10");
+    fixture.run(&opaque, "40 t", "placed 10");
 }
 
 #[test]
-fn a_wall_clock_that_steps_does_not_bring_keys_back() {
-    // Symptom: an order is doubled after a clock was set back. Events: the record of an old key is
-    // forgotten, the clock steps back a day, a resend arrives. Cause: by the clock the key is young.
-    let office = Office::new();
-    let key = office.key();
-    office.run(&key, "40 t", "placed 7");
-    office.world.run_for(SECOND * 25 * 3600);
-    office.run(&office.key(), "1 t", "placed 8");
-    assert_eq!(office.claims.record_count(), 1, "the old record is forgotten");
-    office.process.set_wall_offset(-25 * 3_600_000);
-    let error = office.send(&key, "40 t").unwrap_err();
+fn wall_clock_step_back_does_not_revive_expired_keys() {
+    // Guards against a second run after the clock was set back. The record of an old key has been
+    // evicted, and by the corrected clock the key looks recent.
+    let fixture = LocalFixture::new();
+    let key = fixture.key();
+    fixture.run(&key, "40 t", "placed 7");
+    fixture.world.run_for(SECOND * 25 * 3600);
+    fixture.run(&fixture.key(), "1 t", "placed 8");
+    assert_eq!(fixture.claims.record_count(), 1, "the old record has been evicted");
+    fixture.process.set_wall_offset(-25 * 3_600_000);
+    let error = fixture.send(&key, "40 t").unwrap_err();
     assert!(matches!(error, ClaimError::Expired { .. }), "{error}");
 }
--- a/crates/claim/tests/support/caller.rs
+++ b/crates/claim/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send, and answers.
+//! Requests of callers, and answers.
 
 use {
     gullglade_claim::{ClaimRequest, RequestFingerprint, StoredAnswer},
--- a/crates/claim/tests/support/history.rs
+++ b/crates/claim/tests/support/history.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers saw, and whether it can be right.
+//! The history of sends and runs, and the check of its consistency.
 
 use {
     gullglade_claim::StoredAnswer,
@@ -6,15 +6,15 @@
     std::collections::BTreeMap,
 };
 
-/// One send, numbered in the order of sending.
+/// Identifies one send. Sends are numbered in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SendId(pub(crate) usize);
 
-/// What a caller was told.
+/// The outcome reported to a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum ToldOutcome {
+pub(crate) enum ReportedOutcome {
     Answer(StoredAnswer),
-    /// Ran, but the answer was not kept.
+    /// The order ran, but its answer is not stored.
     Ran,
     NotRun,
     Unknown,
@@ -26,8 +26,8 @@
     key: OrderKey,
     body: String,
     sent: MonotonicTime,
-    /// The outcome, and when the gateway began to make sure of it at the earliest.
-    told: Option<(MonotonicTime, ToldOutcome)>,
+    /// The reported outcome, and the earliest time at which the gateway began to establish it.
+    reported: Option<(MonotonicTime, ReportedOutcome)>,
 }
 
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     answer: StoredAnswer,
 }
 
-/// Everything that happened to all keys.
+/// All sends and runs of all keys.
 #[derive(Default, Debug)]
 pub(crate) struct ClaimHistory {
     sends: Vec<SendRecord>,
@@ -47,23 +47,28 @@
 impl ClaimHistory {
     pub(crate) fn sent(&mut self, key: &OrderKey, body: &str, at: MonotonicTime) -> SendId {
         let (key, body) = (key.clone(), body.to_owned());
-        self.sends.push(SendRecord { key, body, sent: at, told: None });
+        self.sends.push(SendRecord { key, body, sent: at, reported: None });
         SendId(self.sends.len() - 1)
     }
 
-    /// A backend server runs a send's request.
+    /// Records that a backend server runs a send's request.
     pub(crate) fn ran(&mut self, send: SendId, at: MonotonicTime, answer: &StoredAnswer) {
         let key = self.sends[send.0].key.clone();
         self.runs.entry(key).or_default().push(RunRecord { send, at, answer: answer.clone() });
     }
 
-    /// A caller is told something that holds since `since` at the latest.
-    pub(crate) fn told(&mut self, send: SendId, since: MonotonicTime, outcome: ToldOutcome) {
-        self.sends[send.0].told = Some((since, outcome));
+    /// Records the outcome reported to a caller, which was established at `since` or later.
+    pub(crate) fn reported(
+        &mut self,
+        send: SendId,
+        since: MonotonicTime,
+        outcome: ReportedOutcome,
+    ) {
+        self.sends[send.0].reported = Some((since, outcome));
     }
 
-    pub(crate) fn outcome(&self, send: SendId) -> Option<ToldOutcome> {
-        self.sends[send.0].told.clone().map(|(_, outcome)| outcome)
+    pub(crate) fn outcome(&self, send: SendId) -> Option<ReportedOutcome> {
+        self.sends[send.0].reported.clone().map(|(_, outcome)| outcome)
     }
 
     pub(crate) fn runs(&self, key: &OrderKey) -> usize {
@@ -74,41 +79,44 @@
         self.sends.len()
     }
 
-    pub(crate) fn all_runs(&self) -> usize {
+    pub(crate) fn total_runs(&self) -> usize {
         self.runs.values().map(Vec::len).sum()
     }
 
-    pub(crate) fn count(&self, outcome: impl Fn(&ToldOutcome) -> bool) -> usize {
-        let told = self.sends.iter().filter_map(|send| send.told.as_ref());
-        told.filter(|(_, told)| outcome(told)).count()
+    pub(crate) fn count(&self, outcome: impl Fn(&ReportedOutcome) -> bool) -> usize {
+        let reported = self.sends.iter().filter_map(|send| send.reported.as_ref());
+        reported.filter(|(_, reported)| outcome(reported)).count()
     }
 
-    /// What cannot be right: a key run twice, a "not run" that ran, an answer that is not the
-    /// run's.
-    pub(crate) fn fault(&self) -> Option<String> {
-        let doubled = self.runs.iter().find(|(_, runs)| runs.len() > 1);
-        if let Some((key, runs)) = doubled {
+    /// Returns a description of the first violation, if any: a key run twice, a "not run" for a key
+    /// that ran, or an answer that is not that of the run.
+    pub(crate) fn violation(&self) -> Option<String> {
+        let doubly_run = self.runs.iter().find(|(_, runs)| runs.len() > 1);
+        if let Some((key, runs)) = doubly_run {
             return Some(format!("{key} ran {} times: {runs:?}", runs.len()));
         }
         self.sends.iter().enumerate().find_map(|(index, send)| {
-            let (since, outcome) = send.told.as_ref()?;
+            let (since, outcome) = send.reported.as_ref()?;
             let run = self.runs.get(&send.key).and_then(|runs| runs.first());
-            let wrong = match outcome {
-                ToldOutcome::NotRun => run.is_some_and(|run| self.denied(run, *since)),
-                ToldOutcome::Answer(answer) => run.is_none_or(|run| run.answer != *answer),
-                ToldOutcome::Ran => run.is_none(),
-                ToldOutcome::Mismatch => {
+            let is_violated = match outcome {
+                ReportedOutcome::NotRun => {
+                    run.is_some_and(|run| self.contradicts_denial(run, *since))
+                }
+                ReportedOutcome::Answer(answer) => run.is_none_or(|run| run.answer != *answer),
+                ReportedOutcome::Ran => run.is_none(),
+                ReportedOutcome::Mismatch => {
                     run.is_none_or(|run| self.sends[run.send.0].body == send.body)
                 }
-                ToldOutcome::Unknown => false,
+                ReportedOutcome::Unknown => false,
             };
-            wrong.then(|| format!("send {index} of {} was told {outcome:?}: {run:?}", send.key))
+            is_violated
+                .then(|| format!("send {index} of {} was told {outcome:?}: {run:?}", send.key))
         })
     }
 
-    /// Whether a caller was told "not run" wrongly, the gateway having made sure of it after
-    /// `since`: a send received before that ran, then or later.
-    fn denied(&self, run: &RunRecord, since: MonotonicTime) -> bool {
+    /// Returns true if the run contradicts a reported "not run" that the gateway began to establish
+    /// at `since`: a send received before that ran, at whatever time.
+    fn contradicts_denial(&self, run: &RunRecord, since: MonotonicTime) -> bool {
         run.at <= since || self.sends[run.send.0].sent <= since
     }
 }
--- a/crates/claim/tests/support/mod.rs
+++ b/crates/claim/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of this crate share: a network, VMs, callers, and the check of their history.
+//! Shared test support: a network, VMs, callers, and the check of their history.
 
-// Each test program uses another part of this module.
+// Each test binary uses a different part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod caller;
@@ -10,7 +10,7 @@
 
 pub(crate) use {
     caller::{SentOrder, answer},
-    history::{ClaimHistory, SendId, ToldOutcome},
+    history::{ClaimHistory, ReportedOutcome, SendId},
     network::{ANSWER_TEXT, FakeLink, FakeNetwork},
-    region::{ClaimVm, ClaimWorld, GatewayHabits},
+    region::{ClaimVm, ClaimWorld, GatewayBehavior},
 };
--- a/crates/claim/tests/support/network.rs
+++ b/crates/claim/tests/support/network.rs
@@ -1,4 +1,5 @@
-//! A network between fake processes that loses, delays and repeats messages from a seed.
+//! A network between fake processes that loses, delays and duplicates messages by a seeded random
+//! source.
 
 use {
     bytes::Bytes,
@@ -14,7 +15,7 @@
     },
 };
 
-/// What every answer of a test's backend server begins with.
+/// Prefix of every answer of a test's backend server.
 pub(crate) const ANSWER_TEXT: &str = "answer to send";
 
 /// One-way delay inside a region.
@@ -23,8 +24,8 @@
 /// One-way delay between regions.
 const FAR: Duration = Duration::from_millis(55);
 
-/// How far beyond its time a late message comes, at most.
-const LATE: u64 = 20_000;
+/// Maximum additional delay of a late message in milliseconds.
+const MAX_EXTRA_DELAY_MS: u64 = 20_000;
 
 struct FakeNode {
     process: FakeProcess,
@@ -32,16 +33,16 @@
     region: String,
 }
 
-/// All links.
+/// All nodes and the links between them.
 pub(crate) struct FakeNetwork {
     nodes: RefCell<BTreeMap<SocketAddr, FakeNode>>,
     cuts: RefCell<BTreeSet<(SocketAddr, SocketAddr)>>,
-    /// Links, one way, that take longer than they should.
+    /// Delays of individual links, one way, that replace the default.
     slow: RefCell<BTreeMap<(SocketAddr, SocketAddr), Duration>>,
     random: Rc<dyn RandomSource>,
-    /// Of a thousand messages, how many are lost, and how many come late or twice.
+    /// Of a thousand messages, how many are lost, how many are late, and how many are duplicated.
     pub(crate) faults: Cell<u64>,
-    /// Processes that received a message with the text of an answer.
+    /// Processes that received a message containing the text of an answer.
     pub(crate) answer_holders: RefCell<BTreeSet<SocketAddr>>,
     pub(crate) messages: Cell<u64>,
     pub(crate) bytes: Cell<u64>,
@@ -61,7 +62,7 @@
         })
     }
 
-    pub(crate) fn put(
+    pub(crate) fn register(
         &self,
         address: SocketAddr,
         process: &FakeProcess,
@@ -76,7 +77,7 @@
         self.nodes.borrow_mut().remove(&address);
     }
 
-    /// Cuts or heals the link between two processes, both ways.
+    /// Cuts or restores the link between two processes in both directions.
     pub(crate) fn set_cut(&self, one: SocketAddr, other: SocketAddr, cut: bool) {
         let mut cuts = self.cuts.borrow_mut();
         for link in [(one, other), (other, one)] {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Makes messages from one process to another take `delay`, if they leave from now on.
+    /// Sets the delay of messages from one process to another that are sent from now on.
     pub(crate) fn set_slow(&self, from: SocketAddr, to: SocketAddr, delay: Duration) {
         self.slow.borrow_mut().insert((from, to), delay);
     }
@@ -102,21 +103,21 @@
         if region(from) == region(to) { NEAR } else { FAR }
     }
 
-    /// Whether chance, or a cut, takes this message; and how much it is held up.
-    fn fate(&self, from: SocketAddr, to: SocketAddr, body: &Bytes) -> Option<Duration> {
+    /// Returns the delay of a message, or `None` if it is lost at random or its link is cut.
+    fn delivery_delay(&self, from: SocketAddr, to: SocketAddr, body: &Bytes) -> Option<Duration> {
         self.messages.set(self.messages.get() + 1);
         self.bytes.set(self.bytes.get() + body.len() as u64);
         if body.windows(ANSWER_TEXT.len()).any(|part| part == ANSWER_TEXT.as_bytes()) {
             self.answer_holders.borrow_mut().insert(to);
         }
-        let lost = self.random.below(1000) < self.faults.get();
-        let cut = self.cuts.borrow().contains(&(from, to));
-        let late = self.random.below(1000) < self.faults.get();
-        let extra = if late { self.random.below(LATE) } else { 0 };
-        (!lost && !cut).then(|| self.delay(from, to) + Duration::from_millis(extra))
+        let is_lost = self.random.below(1000) < self.faults.get();
+        let is_cut = self.cuts.borrow().contains(&(from, to));
+        let is_late = self.random.below(1000) < self.faults.get();
+        let extra = if is_late { self.random.below(MAX_EXTRA_DELAY_MS) } else { 0 };
+        (!is_lost && !is_cut).then(|| self.delay(from, to) + Duration::from_millis(extra))
     }
 
-    fn doubled(&self) -> bool {
+    fn is_duplicated(&self) -> bool {
         self.random.below(1000) < self.faults.get()
     }
 
@@ -126,7 +127,7 @@
     }
 }
 
-/// One process's end of the network.
+/// One process's transport.
 pub(crate) struct FakeLink {
     pub(crate) network: Rc<FakeNetwork>,
     pub(crate) address: SocketAddr,
@@ -135,8 +136,8 @@
 }
 
 impl FakeLink {
-    /// Carries one message there and its reply back, in tasks of the process that sends.
-    fn carry(
+    /// Delivers one message and returns its reply, in a task of the sending process.
+    fn transmit(
         &self,
         to: SocketAddr,
         method: &str,
@@ -147,7 +148,7 @@
         let (address, method) = (self.address, method.to_owned());
         let clock = Rc::clone(&self.context.clock);
         Box::pin(async move {
-            let Some(delay) = network.fate(address, to, &body) else { return };
+            let Some(delay) = network.delivery_delay(address, to, &body) else { return };
             clock.sleep(delay).await;
             let Some((process, handler)) = network.target(to) else { return };
             let (done, answer) = oneshot::channel();
@@ -156,7 +157,7 @@
             }));
             let Ok(answer) = answer.await else { return };
             let body = answer.clone().unwrap_or_default();
-            let Some(delay) = network.fate(to, address, &body) else { return };
+            let Some(delay) = network.delivery_delay(to, address, &body) else { return };
             clock.sleep(delay).await;
             let _gone = reply.send(answer);
         })
@@ -173,10 +174,10 @@
     ) -> LocalFuture<'a, Result<Bytes, PeerError>> {
         let (reply, answer) = oneshot::channel();
         let spawner = Rc::clone(&self.context.spawner);
-        spawner.spawn(self.carry(to, method, body.clone(), reply));
-        if self.network.doubled() {
-            let (nobody, _) = oneshot::channel();
-            spawner.spawn(self.carry(to, method, body, nobody));
+        spawner.spawn(self.transmit(to, method, body.clone(), reply));
+        if self.network.is_duplicated() {
+            let (discarded_reply, _) = oneshot::channel();
+            spawner.spawn(self.transmit(to, method, body, discarded_reply));
         }
         let clock = Rc::clone(&self.context.clock);
         Box::pin(async move {
--- a/crates/claim/tests/support/region.rs
+++ b/crates/claim/tests/support/region.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        ANSWER_TEXT, ClaimHistory, FakeLink, FakeNetwork, SendId, SentOrder, ToldOutcome, answer,
+        ANSWER_TEXT, ClaimHistory, FakeLink, FakeNetwork, ReportedOutcome, SendId, SentOrder,
+        answer,
     },
     gullglade_claim::{
         ClaimCoordinator, ClaimError, ClaimOutcome, ClaimService, ClaimSettings, GroupId,
@@ -23,27 +24,28 @@
     },
 };
 
-/// From the start of the first processes to the configuration that names the replicas.
-const INSTALLED_AFTER: Duration = Duration::from_secs(30);
+/// Time from the start of the first processes to the creation of the configuration that names the
+/// replicas.
+const CONFIGURED_AFTER: Duration = Duration::from_secs(30);
 
-/// What a gateway does with a grant.
+/// Behavior of a gateway for one send.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct GatewayHabits {
+pub(crate) struct GatewayBehavior {
     /// Time in the admission queue.
     pub(crate) queue: Duration,
-    /// Admission refuses.
+    /// Admission refuses the request.
     pub(crate) refuse: bool,
     /// Time at the backend server.
     pub(crate) run: Duration,
-    /// The backend server provably never got a byte.
+    /// The backend server provably received no byte.
     pub(crate) unreached: bool,
-    /// The link to the backend server breaks after the request is out.
+    /// The link to the backend server breaks after the request was sent.
     pub(crate) broken: bool,
-    /// How long the send waits for another one's answer.
+    /// Maximum time to wait for the answer of another send.
     pub(crate) wait: Duration,
 }
 
-/// One run of one gateway process.
+/// One run of a gateway process.
 pub(crate) struct ClaimVm {
     pub(crate) process: FakeProcess,
     pub(crate) service: Rc<ClaimService>,
@@ -54,7 +56,7 @@
     pub(crate) region: RegionName,
 }
 
-/// VMs, the network between them, and what happened.
+/// VMs, the network between them, and the history of their sends.
 pub(crate) struct ClaimWorld {
     pub(crate) world: FakeWorld,
     pub(crate) context: ProcessContext,
@@ -62,7 +64,7 @@
     pub(crate) settings: ClaimSettings,
     pub(crate) vms: RefCell<Vec<Rc<ClaimVm>>>,
     pub(crate) history: Rc<RefCell<ClaimHistory>>,
-    /// The group's epochs, the one in force last.
+    /// The epochs of the group; the last one is in force.
     epochs: RefCell<Vec<Rc<ReplicaGroup>>>,
     starts: Cell<u64>,
 }
@@ -78,8 +80,8 @@
 }
 
 impl ClaimWorld {
-    /// VMs in the named regions, of which the first `members` are the replicas of region puget.
-    /// They have just been installed: nothing was claimed before.
+    /// Creates VMs in the named regions. The first `members` are the replicas of region puget. The
+    /// deployment is new: nothing has been claimed before.
     pub(crate) fn new(
         seed: u64,
         settings: ClaimSettings,
@@ -88,11 +90,12 @@
     ) -> Self {
         let (world, context) = FakeWorld::new(seed);
         let id = GroupId { region: region("puget"), number: 0 };
-        let installed = WallMillis(context.clock.wall().0 + INSTALLED_AFTER.as_millis() as u64);
+        let configured_at =
+            WallMillis(context.clock.wall().0 + CONFIGURED_AFTER.as_millis() as u64);
         let members = (0..members).map(|index| member(index, regions[index])).collect();
-        let group = ReplicaGroup::first(id, Some(installed), members);
+        let group = ReplicaGroup::first(id, Some(configured_at), members);
         let network = FakeNetwork::new(&context);
-        let plant = Self {
+        let claim_world = Self {
             world,
             context,
             network,
@@ -103,11 +106,11 @@
             starts: Cell::new(0),
         };
         for (index, name) in regions.iter().enumerate() {
-            let vm = plant.start(index, name, 0, 0);
-            plant.vms.borrow_mut().push(vm);
+            let vm = claim_world.start(index, name, 0, 0);
+            claim_world.vms.borrow_mut().push(vm);
         }
-        plant.run_for(INSTALLED_AFTER * 2);
-        plant
+        claim_world.run_for(CONFIGURED_AFTER * 2);
+        claim_world
     }
 
     fn start(&self, index: usize, region_name: &str, offset: i64, group_age: usize) -> Rc<ClaimVm> {
@@ -132,7 +135,7 @@
         let events = Rc::new(MemorySink::default());
         let service = ClaimService::new(context.clone(), settings, identity, Rc::clone(&transport));
         let service = Rc::new(service.events(Rc::clone(&events) as _));
-        self.network.put(member.address, &process, Rc::clone(&service) as _, region_name);
+        self.network.register(member.address, &process, Rc::clone(&service) as _, region_name);
         let groups = Rc::new(GroupTable::new());
         let coordinator = Rc::new(QuorumClaims::new(
             context,
@@ -158,7 +161,7 @@
         self.network.remove(vm.member.address);
     }
 
-    /// The group as of so many epochs ago.
+    /// Returns the group as of `age` epochs ago.
     pub(crate) fn group(&self, age: usize) -> Rc<ReplicaGroup> {
         let epochs = self.epochs.borrow();
         Rc::clone(&epochs[epochs.len().saturating_sub(1 + age)])
@@ -171,8 +174,8 @@
             .collect()
     }
 
-    /// Kills the VM's process and starts it with empty memory, a clock wrong by `offset` and the
-    /// configuration of so many epochs ago.
+    /// Kills the VM's process and restarts it without state, with its clock off by `offset`
+    /// milliseconds and the configuration of `group_age` epochs ago.
     pub(crate) fn restart(&self, index: usize, offset: i64, group_age: usize) {
         self.kill(index);
         let region = self.vm(index).region.clone();
@@ -180,22 +183,22 @@
         self.vms.borrow_mut()[index] = vm;
     }
 
-    /// Gives the next process to start the run after this one.
-    pub(crate) fn set_run(&self, run: u64) {
+    /// Sets the incarnation counter: the next process gets the incarnation after `run`.
+    pub(crate) fn set_last_incarnation(&self, run: u64) {
         self.starts.set(run);
     }
 
-    /// Changes the members; `aware` are the VMs that hear of it now.
-    pub(crate) fn regroup(&self, members: &[usize], aware: &[usize]) {
+    /// Changes the members. Only the VMs in `aware` learn of it now.
+    pub(crate) fn change_members(&self, members: &[usize], aware: &[usize]) {
         let members = members.iter().map(|index| self.vm(*index).member.clone()).collect();
         let wall = self.context.clock.wall();
         let next = Rc::new(self.group(0).next(wall, members));
         self.epochs.borrow_mut().push(next);
-        aware.iter().for_each(|index| self.tell(*index));
+        aware.iter().for_each(|index| self.deliver_group(*index));
     }
 
-    /// Brings the newest group to a VM.
-    pub(crate) fn tell(&self, index: usize) {
+    /// Delivers the latest group to a VM.
+    pub(crate) fn deliver_group(&self, index: usize) {
         let (vm, group) = (self.vm(index), self.group(0));
         if vm.groups.put(Rc::clone(&group)) {
             vm.service.adopt(group);
@@ -215,7 +218,7 @@
         self.vm(index).service.replica(&id).expect("a member").state()
     }
 
-    /// A key of region puget made now.
+    /// Creates a dated key of region puget.
     pub(crate) fn key(&self) -> OrderKey {
         OrderKey::new(&region("puget"), &self.context)
     }
@@ -224,74 +227,74 @@
         self.world.run_for(duration);
     }
 
-    /// Sends an order to a gateway; what it is told stands in the history later.
+    /// Sends an order to a gateway. The history records the outcome.
     pub(crate) fn send(
         &self,
         index: usize,
         key: &OrderKey,
         body: &str,
-        habits: GatewayHabits,
+        behavior: GatewayBehavior,
     ) -> SendId {
         let vm = self.vm(index);
         let now = self.world.now();
         let send = self.history.borrow_mut().sent(key, body, now);
         let mut order = SentOrder::new(key, body, now);
-        order.wait = habits.wait;
-        let task = serve(Rc::clone(&vm), Rc::clone(&self.history), send, order, habits);
+        order.wait = behavior.wait;
+        let task = handle_send(Rc::clone(&vm), Rc::clone(&self.history), send, order, behavior);
         vm.process.context().spawner.spawn(Box::pin(task));
         send
     }
 
-    /// Sends an order and waits until it is told something, or `limit` passes.
-    pub(crate) fn ask(
+    /// Sends an order, runs the world for 8 s and returns the outcome, if there is one by then.
+    pub(crate) fn send_and_wait(
         &self,
         index: usize,
         key: &OrderKey,
         body: &str,
-        habits: GatewayHabits,
-    ) -> Option<ToldOutcome> {
-        let send = self.send(index, key, body, habits);
+        behavior: GatewayBehavior,
+    ) -> Option<ReportedOutcome> {
+        let send = self.send(index, key, body, behavior);
         self.run_for(Duration::from_secs(8));
         self.history.borrow().outcome(send)
     }
 
     pub(crate) fn check(&self) {
-        if let Some(fault) = self.history.borrow().fault() {
-            panic!("{fault}");
+        if let Some(violation) = self.history.borrow().violation() {
+            panic!("{violation}");
         }
     }
 }
 
-/// What a gateway does with one send of an order.
-async fn serve(
+/// Handles one send of an order as a gateway does.
+async fn handle_send(
     vm: Rc<ClaimVm>,
     history: Rc<RefCell<ClaimHistory>>,
     send: SendId,
     order: SentOrder,
-    habits: GatewayHabits,
+    behavior: GatewayBehavior,
 ) {
     let clock = Rc::clone(&vm.process.context().clock);
     let mut since = clock.now();
-    let told = match vm.coordinator.claim(order.request()).await {
+    let reported = match vm.coordinator.claim(order.request()).await {
         Ok(ClaimOutcome::Granted(grant)) => {
-            clock.sleep(habits.queue).await;
+            clock.sleep(behavior.queue).await;
             since = clock.now();
-            if habits.refuse {
+            if behavior.refuse {
                 proved(grant.release_not_run().await)
             } else {
                 match grant.dispatch().await {
-                    Ok(permit) => run(&vm, &history, send, permit, &habits).await,
+                    Ok(permit) => run(&vm, &history, send, permit, &behavior).await,
                     Err(error) => refused(&error),
                 }
             }
         }
-        Ok(ClaimOutcome::Answered(answer)) => ToldOutcome::Answer(answer),
-        Ok(ClaimOutcome::RanUnkept) => ToldOutcome::Ran,
-        Ok(ClaimOutcome::Unknown | ClaimOutcome::InProgress) => ToldOutcome::Unknown,
-        Ok(ClaimOutcome::Mismatch) => ToldOutcome::Mismatch,
+        Ok(ClaimOutcome::Answered(answer)) => ReportedOutcome::Answer(answer),
+        Ok(ClaimOutcome::RanUnkept) => ReportedOutcome::Ran,
+        Ok(ClaimOutcome::Unknown | ClaimOutcome::InProgress) => ReportedOutcome::Unknown,
+        Ok(ClaimOutcome::Mismatch) => ReportedOutcome::Mismatch,
         Err(error) => refused(&error),
     };
-    history.borrow_mut().told(send, since, told);
+    history.borrow_mut().reported(send, since, reported);
 }
 
 async fn run(
@@ -299,33 +302,33 @@
     history: &RefCell<ClaimHistory>,
     send: SendId,
     permit: gullglade_claim::RunPermit,
-    habits: &GatewayHabits,
-) -> ToldOutcome {
+    behavior: &GatewayBehavior,
+) -> ReportedOutcome {
     let clock = Rc::clone(&vm.process.context().clock);
-    if habits.unreached {
+    if behavior.unreached {
         return proved(permit.release_not_run().await);
     }
     let text = answer(&format!("{ANSWER_TEXT} {}", send.0));
     history.borrow_mut().ran(send, clock.now(), &text);
-    clock.sleep(habits.run).await;
-    if habits.broken {
+    clock.sleep(behavior.run).await;
+    if behavior.broken {
         drop(permit);
-        return ToldOutcome::Unknown;
+        return ReportedOutcome::Unknown;
     }
     permit.answered(text.clone()).await;
-    ToldOutcome::Answer(text)
+    ReportedOutcome::Answer(text)
 }
 
-fn proved(proof: ReleaseProof) -> ToldOutcome {
+fn proved(proof: ReleaseProof) -> ReportedOutcome {
     match proof {
-        ReleaseProof::NotRun => ToldOutcome::NotRun,
-        ReleaseProof::Unknown => ToldOutcome::Unknown,
+        ReleaseProof::NotRun => ReportedOutcome::NotRun,
+        ReleaseProof::Unknown => ReportedOutcome::Unknown,
     }
 }
 
-fn refused(error: &ClaimError) -> ToldOutcome {
+fn refused(error: &ClaimError) -> ReportedOutcome {
     match error.proves_not_run() {
-        true => ToldOutcome::NotRun,
-        false => ToldOutcome::Unknown,
+        true => ReportedOutcome::NotRun,
+        false => ReportedOutcome::Unknown,
     }
 }
