--- a/crates/order/src/action.rs
+++ b/crates/order/src/action.rs
@@ -1,4 +1,5 @@
-//! What can be ordered. The JSON form is the body of `POST /platform/orders`.
+//! Orders and their actions. The JSON form of [`PlatformOrder`] is the body of `POST
+//! /platform/orders`.
 
 use {
     crate::FenceNumber,
@@ -8,7 +9,7 @@
     std::net::SocketAddr,
 };
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum OrderAction {
@@ -16,29 +17,29 @@
     LoadModel {
         /// The model.
         model: ModelName,
-        /// The version; the engine's choice where absent.
+        /// The version. If absent, the engine chooses.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         version: Option<String>,
-        /// The size of its weights, bytes.
+        /// Size of the weights in bytes.
         #[serde(default)]
         bytes: u64,
     },
-    /// Give a model up.
+    /// Unload a model.
     UnloadModel {
         /// The model.
         model: ModelName,
     },
-    /// Load an adapter; it is served as a model of its own name.
+    /// Load an adapter, which is served as a model of its own name.
     LoadAdapter {
-        /// The model it belongs to.
+        /// The base model.
         model: ModelName,
-        /// The name it is served under.
+        /// The name under which the adapter is served.
         adapter: ModelName,
-        /// The size of its weights, bytes.
+        /// Size of the weights in bytes.
         #[serde(default)]
         bytes: u64,
     },
-    /// Work on one stage only, or on both.
+    /// Change the inference stages that the engine works on.
     ChangeRole {
         /// The new role.
         role: EngineRole,
@@ -46,7 +47,7 @@
 }
 
 impl OrderAction {
-    /// Bytes that the engine will fetch from the weight store.
+    /// Returns the number of bytes that the engine fetches from the weight store.
     pub fn weight_bytes(&self) -> u64 {
         match self {
             Self::LoadModel { bytes, .. } | Self::LoadAdapter { bytes, .. } => *bytes,
@@ -55,7 +56,7 @@
     }
 }
 
-/// What an engine works on.
+/// The inference stages that an engine works on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineRole {
@@ -68,35 +69,35 @@
     Decode,
 }
 
-/// The engine that an order is for, as it announced itself.
+/// The engine that an order is sent to, as it announced itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineTarget {
-    /// Its name.
+    /// Name of the engine.
     pub backend: BackendName,
-    /// Where it takes orders.
+    /// Address for orders.
     pub address: SocketAddr,
-    /// Whether it refuses orders with an old fencing number.
+    /// Tells if the engine refuses orders with a stale fencing number.
     pub fencing: FencingMode,
 }
 
-/// One order to one engine, before it has a fencing number.
+/// An order to one engine, without a fencing number yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// The id; a resend carries the same one.
+    /// The id. A resend has the same id.
     pub id: ChangeId,
     /// The engine.
     pub target: EngineTarget,
-    /// What to do.
+    /// The action.
     pub action: OrderAction,
 }
 
-/// An order as the platform gets it.
+/// An order as sent to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformOrder {
-    /// The id, for platforms that remember it.
+    /// The id, which lets a platform detect resends.
     pub id: ChangeId,
-    /// The fencing number of the lease it is given under.
+    /// The fencing number of the lease under which the order is sent.
     pub fence: FenceNumber,
-    /// What to do.
+    /// The action.
     pub action: OrderAction,
 }
--- a/crates/order/src/bucket.rs
+++ b/crates/order/src/bucket.rs
@@ -1,27 +1,30 @@
-//! Paces what all regions fetch from the weight store.
+//! Rate limit for weights that engines load from the weight store, which all regions share.
 
 use {gullglade_units::MonotonicTime, std::time::Duration};
 
-/// A token bucket: in any time T it gives at most `burst + rate * T` bytes.
+/// A token bucket. In any time T it grants at most `burst + rate * T` bytes.
 ///
-/// It starts empty. A full one would let each new holder of the lease give a whole burst on top of
-/// its predecessor's, and the store would be asked for more than its rate after each succession.
+/// The bucket starts empty. If it started full, each new holder of the lease could grant a whole
+/// burst in addition to its predecessor's, and the load on the store would exceed its rate after
+/// each succession.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: u64,
     burst: u64,
-    /// When the bucket will be empty of debt: tokens are `(now - empty_at) * rate`.
+    /// Time at which the level is zero. The level at `now` is `(now - empty_at) * rate`; it is
+    /// negative before that time.
     empty_at: MonotonicTime,
 }
 
 impl TokenBucket {
-    /// A bucket of `rate` bytes a second (above zero) and `burst` bytes, empty at `start`.
+    /// Creates a bucket of `rate` bytes per second (at least 1) and `burst` bytes, which is empty
+    /// at `start`.
     pub fn new(rate: u64, burst: u64, start: MonotonicTime) -> Self {
         Self { rate: rate.max(1), burst, empty_at: start }
     }
 
-    /// Takes `bytes`, in the order of asking, and says how long to wait for them. `None` where
-    /// more is asked for than the bucket ever holds.
+    /// Takes `bytes` and returns how long to wait for them. Calls are served in order. Returns
+    /// `None` if `bytes` exceeds the burst.
     pub fn take(&mut self, bytes: u64, now: MonotonicTime) -> Option<Duration> {
         if bytes > self.burst {
             return None;
@@ -29,18 +32,18 @@
         if bytes == 0 {
             return Some(Duration::ZERO);
         }
-        let full_since = MonotonicTime(now.0.saturating_sub(self.time_of(self.burst)));
-        self.empty_at = self.empty_at.max(full_since) + self.time_of(bytes);
+        let full_since = MonotonicTime(now.0.saturating_sub(self.fill_time(self.burst)));
+        self.empty_at = self.empty_at.max(full_since) + self.fill_time(bytes);
         Some(self.empty_at.since(now))
     }
 
-    /// Gives back `bytes` that were taken and not used.
+    /// Returns `bytes` that were taken but not used to the bucket.
     pub fn refund(&mut self, bytes: u64) {
-        let time = self.time_of(bytes);
+        let time = self.fill_time(bytes);
         self.empty_at = MonotonicTime(self.empty_at.0.saturating_sub(time));
     }
 
-    fn time_of(&self, bytes: u64) -> Duration {
+    fn fill_time(&self, bytes: u64) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.rate as f64)
     }
 }
--- a/crates/order/src/dispatcher.rs
+++ b/crates/order/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Holds the lease and gives the orders.
+//! Holds the lease and sends orders to engines.
 
 use {
     crate::{
@@ -14,38 +14,38 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// Renew when this part of the usable lease has passed.
+/// The lease is renewed after its remaining usable time divided by this number.
 const RENEWAL_DIVISOR: u32 = 3;
 
-/// What became of an order.
+/// Outcome of a successful order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it now.
+    /// The engine took the order now.
     Taken,
-    /// The engine had taken it before, under the same id.
+    /// The engine had already taken the order under the same id.
     AlreadyTaken,
 }
 
-/// Whether the desk may give orders.
+/// State of a dispatcher's lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatcherState {
-    /// It has the lease.
+    /// The dispatcher has the lease.
     Holding {
         /// The fencing number.
         fence: FenceNumber,
-        /// How long orders may still be sent.
+        /// Remaining time in which orders may be sent.
         left: Duration,
-        /// How long until engines that ignore fencing may be given orders.
+        /// Time until orders may be sent to engines that ignore fencing.
         predecessor_left: Duration,
     },
-    /// It has not.
+    /// The dispatcher does not have the lease.
     Waiting {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// One VM's desk for orders.
+/// Sends the orders of one VM while the VM holds the lease.
 #[derive(Clone)]
 pub struct OrderDispatcher {
     shared: Rc<DispatcherShared>,
@@ -64,7 +64,7 @@
 }
 
 impl OrderDispatcher {
-    /// A desk of VM `holder`, without the lease yet.
+    /// Creates a dispatcher of VM `holder`, without the lease.
     pub fn new(
         context: ProcessContext,
         settings: OrderSettings,
@@ -82,14 +82,14 @@
             source,
             platform,
             events,
-            lease: RefCell::new(Err("it has not asked for the lease yet".to_owned())),
+            lease: RefCell::new(Err("the lease has not been requested yet".to_owned())),
             registry: RefCell::new(OrderRegistry::new(settings.outcome_limit)),
             bucket: RefCell::new(bucket),
         };
         Self { shared: Rc::new(shared) }
     }
 
-    /// Takes the lease whenever it is free and keeps it; never returns.
+    /// Acquires the lease whenever it is free and renews it. Never returns.
     pub async fn run(self) {
         loop {
             self.shared.acquire().await;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether the desk may give orders now.
+    /// Returns the state of the lease.
     pub fn state(&self) -> DispatcherState {
         match self.shared.live_lease() {
             Ok(lease) => DispatcherState::Holding {
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Gives an order, once under its id however often it is asked for, and waits until the engine
-    /// has taken it. The order goes on when the caller goes away.
+    /// Sends an order, once per id however often it is submitted, and waits until the engine has
+    /// taken it. The order proceeds even if this future is dropped.
     pub async fn submit(&self, order: EngineOrder) -> Result<OrderOutcome, OrderError> {
         let registration = self.shared.registry.borrow_mut().register(&order)?;
         let result = match registration {
@@ -120,14 +120,14 @@
                 let shared = Rc::clone(&self.shared);
                 self.shared.context.spawner.spawn(Box::pin(async move {
                     let outcome = shared.execute(&order).await;
-                    shared.note(&order, &outcome);
-                    // Nobody may be waiting any more; the ledger knows all the same.
+                    shared.record_outcome(&order, &outcome);
+                    // The receivers may be gone; the registry records the outcome regardless.
                     let _gone = sender.send(outcome);
                 }));
                 result
             }
         };
-        result.await.unwrap_or_else(|_| not_holder("the process is ending"))
+        result.await.unwrap_or_else(|_| not_holder("the process is stopping"))
     }
 }
 
@@ -137,12 +137,14 @@
 
 impl DispatcherShared {
     async fn acquire(&self) {
-        let (asked, asked_wall) = (self.context.clock.now(), self.context.clock.wall());
+        let (requested_at, requested_at_wall) =
+            (self.context.clock.now(), self.context.clock.wall());
         match self.source.acquire(&self.holder).await {
             Ok(grant) => {
                 let (context, settings) = (&self.context, &self.settings);
-                let lease = HeldLease::new(&grant, asked, asked_wall, context, settings);
-                // Until then the predecessor may go on ordering at the full rate.
+                let lease =
+                    HeldLease::new(&grant, requested_at, requested_at_wall, context, settings);
+                // Until then the predecessor may still send orders at the full rate.
                 let predecessor_ends_at = context.clock.now() + lease.predecessor_left(context);
                 let (rate, burst) = (settings.weight_rate, settings.weight_burst);
                 *self.bucket.borrow_mut() = TokenBucket::new(rate, burst, predecessor_ends_at);
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Renews until the lease is lost.
+    /// Renews the lease until it is lost.
     async fn renew_until_lost(&self) {
         while let Ok(lease) = self.live_lease() {
             let pause = lease.left(&self.context) / RENEWAL_DIVISOR;
@@ -162,17 +164,18 @@
                 return;
             }
         }
-        self.set_lost("its lease ended before it could be renewed");
+        self.set_lost("the lease ended before it could be renewed");
     }
 
-    /// False where the lease is lost for good.
+    /// Renews the lease once. Returns false if the lease is lost.
     async fn renew(&self, lease: HeldLease) -> bool {
-        let (asked, asked_wall) = (self.context.clock.now(), self.context.clock.wall());
+        let (requested_at, requested_at_wall) =
+            (self.context.clock.now(), self.context.clock.wall());
         let left = lease.left(&self.context);
         let clock = &*self.context.clock;
         match timeout(clock, left, self.source.renew(lease.fence())).await {
             Some(Ok(duration)) => self.extend(lease.fence(), |lease| {
-                lease.renewed(duration, asked, asked_wall, &self.settings)
+                lease.renewed(duration, requested_at, requested_at_wall, &self.settings)
             }),
             Some(Err(LeaseError::Unavailable { .. })) => true,
             Some(Err(error)) => {
@@ -183,8 +186,8 @@
         }
     }
 
-    /// Only a lease that is still live may be lengthened: an engine may have told meanwhile that
-    /// there is a newer holder.
+    /// Extends the lease if it is still live: an engine may have reported a newer holder meanwhile.
+    /// Returns false if it is not.
     fn extend(&self, fence: FenceNumber, renewed: impl Fn(HeldLease) -> HeldLease) -> bool {
         let Ok(lease) = self.live_lease() else { return false };
         if lease.fence() != fence {
@@ -205,7 +208,7 @@
     fn live_lease(&self) -> Result<HeldLease, String> {
         let lease = self.lease.borrow().clone()?;
         match lease.left(&self.context) {
-            Duration::ZERO => Err("its lease ended before it could be renewed".to_owned()),
+            Duration::ZERO => Err("the lease ended before it could be renewed".to_owned()),
             _ => Ok(lease),
         }
     }
@@ -224,15 +227,16 @@
         result
     }
 
-    /// Whether the engine says that it has taken the order, perhaps from an earlier holder.
+    /// Returns true if the engine reports that it has taken the order, possibly from an earlier
+    /// holder.
     async fn has_taken(&self, order: &EngineOrder) -> bool {
         let (clock, limit) = (&*self.context.clock, self.settings.send_limit);
-        let asked = timeout(clock, limit, self.platform.orders(&order.target)).await;
-        asked.is_some_and(|orders| orders.is_ok_and(|orders| orders.taken.contains(&order.id)))
+        let answer = timeout(clock, limit, self.platform.orders(&order.target)).await;
+        answer.is_some_and(|orders| orders.is_ok_and(|orders| orders.taken.contains(&order.id)))
     }
 
-    /// Waits for the weight store's turn and, where the engine would obey anybody, for the end of
-    /// the predecessor's lease.
+    /// Waits for the weight store's rate limit and, if the engine does not check fencing, for the
+    /// end of the predecessor's lease.
     async fn wait_until_allowed(
         &self,
         order: &EngineOrder,
@@ -251,14 +255,15 @@
         Ok(())
     }
 
-    /// Sends until the engine answers. Orders state a goal, so an engine that takes one twice ends
-    /// up as if it had taken it once.
+    /// Sends the order, with retries, until the engine answers. Orders are idempotent: each states
+    /// a goal, so an engine that takes one twice ends up as if it had taken it once.
     async fn send(&self, order: &EngineOrder, fence: FenceNumber) -> OrderResult {
         let message = PlatformOrder { id: order.id.clone(), fence, action: order.action.clone() };
         let mut pause = self.settings.retry_pause;
         let mut taken = "it was not sent";
         for attempt in 1.. {
-            // Checked right before each sending: the waits before may have outlasted the lease.
+            // Checked directly before each attempt, because the lease may have ended during the
+            // waits.
             self.check_lease(order, fence, taken)?;
             let error = match self.send_once(order, &message).await {
                 Ok(()) => return Ok(OrderOutcome::Taken),
@@ -266,7 +271,7 @@
             };
             self.handle_stale_fence(&error);
             let final_error = matches!(error, PlatformError::Refused { .. });
-            if final_error || attempt >= self.settings.send_tries {
+            if final_error || attempt >= self.settings.max_send_attempts {
                 return Err(OrderError::Platform { id: order.id.clone(), source: error });
             }
             if !is_not_taken(&error) {
@@ -298,21 +303,21 @@
         let (clock, limit) = (&*self.context.clock, self.settings.send_limit);
         let sent = timeout(clock, limit, self.platform.send(&order.target, message)).await;
         sent.unwrap_or_else(|| {
-            let reason = format!("not within {limit:?}");
+            let reason = format!("no answer within {limit:?}");
             Err(PlatformError::Unanswered { backend: order.target.backend.clone(), reason })
         })
     }
 
-    /// An engine that has seen a higher number proves that there is a newer holder: stop at once,
-    /// also towards engines that would obey.
+    /// Gives up the lease if the engine has seen a higher fencing number. That proves that there is
+    /// a newer holder, so orders to engines that ignore fencing must stop, too.
     fn handle_stale_fence(&self, error: &PlatformError) {
         if let PlatformError::StaleFence { seen, .. } = error {
-            self.set_lost(&format!("an engine has orders under fencing number {seen}"));
+            self.set_lost(&format!("an engine has taken orders under fencing number {seen}"));
         }
     }
 
-    fn note(&self, order: &EngineOrder, outcome: &OrderResult) {
-        self.registry.borrow_mut().end(&order.id, outcome.is_ok());
+    fn record_outcome(&self, order: &EngineOrder, outcome: &OrderResult) {
+        self.registry.borrow_mut().complete(&order.id, outcome.is_ok());
         let event = match outcome {
             Ok(_) => EventDraft::new("order.taken"),
             Err(_) => EventDraft::new("order.failed").level(Level::Warn),
@@ -325,7 +330,7 @@
     }
 }
 
-/// Whether the engine certainly did not take the order.
+/// Returns true if the engine certainly did not take the order.
 fn is_not_taken(error: &PlatformError) -> bool {
     !matches!(error, PlatformError::Unanswered { .. })
 }
--- a/crates/order/src/error.rs
+++ b/crates/order/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an order was not given.
+//! Errors of orders.
 
 use {
     crate::PlatformError,
@@ -6,57 +6,57 @@
     snafu::Snafu,
 };
 
-/// Why an order has no outcome.
+/// An order failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OrderError {
-    /// This VM has no lease.
+    /// This VM does not hold the lease.
     #[snafu(display(
-        "this VM may not give orders now ({reason}): send the order, under the same id, to the \
+        "this VM may not send orders now ({reason}): submit the order, under the same id, to the \
          holder that `gladectl status` names"
     ))]
     NotHolder {
-        /// Why not.
+        /// The reason.
         reason: String,
     },
-    /// The id was used for another order.
+    /// The id was used for a different order.
     #[snafu(display("order id {id} was used for a different order: give this one its own id"))]
     IdReused {
-        /// The id.
+        /// Id of the order.
         id: ChangeId,
     },
-    /// The weights are larger than the store may ever be asked for at once.
+    /// The weights exceed the burst of the weight store's rate limit.
     #[snafu(display(
-        "order {id} loads {bytes} bytes of weights, {burst} are allowed at once: raise the weight \
+        "order {id} loads {bytes} bytes of weights, at most {burst} are allowed: raise the weight \
          burst in the settings"
     ))]
     TooLarge {
-        /// The id.
+        /// Id of the order.
         id: ChangeId,
-        /// Bytes of weights.
+        /// Size of the weights in bytes.
         bytes: u64,
-        /// The bound.
+        /// The burst in bytes.
         burst: u64,
     },
-    /// The lease ended while the order waited or was under way.
+    /// The lease ended while the order waited or was being sent.
     #[snafu(display(
-        "the lease ended before engine {backend} was seen to take order {id} ({taken}): send it \
+        "the lease ended before engine {backend} confirmed order {id} ({taken}): submit it \
          again, under the same id, to the new holder"
     ))]
     LeaseEnded {
-        /// The id.
+        /// Id of the order.
         id: ChangeId,
         /// The engine.
         backend: BackendName,
-        /// Whether it may have been taken.
+        /// Text that tells if the engine may have taken the order.
         taken: &'static str,
     },
-    /// The platform did not take it.
+    /// The engine did not take the order, or gave no answer.
     #[snafu(display("order {id} failed: {source}"))]
     Platform {
-        /// The id.
+        /// Id of the order.
         id: ChangeId,
-        /// What went wrong last.
+        /// The last error.
         source: PlatformError,
     },
 }
--- a/crates/order/src/http.rs
+++ b/crates/order/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP: `POST` and `GET /platform/orders` of each engine.
+//! HTTP client of the platform: `POST` and `GET /platform/orders` of each engine.
 
 use {
     crate::{
@@ -12,48 +12,48 @@
     std::rc::Rc,
 };
 
-/// The path of an engine's orders.
+/// Path of an engine's orders.
 const ORDERS_PATH: &str = "/platform/orders";
 
-/// The most bytes read of an engine's answer: about its thousand latest orders.
+/// Maximum size in bytes of an engine's answer: about its thousand latest orders.
 const ANSWER_LIMIT: usize = 1 << 20;
 
-/// Sends orders through an HTTP client.
+/// Sends orders over HTTP.
 pub struct HttpPlatform {
     client: Rc<dyn HttpClient>,
 }
 
-/// What an engine answers. Fields that it has beyond these are left alone.
+/// An engine's answer. Additional fields are ignored.
 #[derive(Deserialize)]
-struct OrderAnswer {
+struct OrdersReply {
     #[serde(default)]
     fence: FenceNumber,
     #[serde(default)]
-    orders: Vec<AnsweredOrder>,
+    orders: Vec<ListedOrder>,
 }
 
 #[derive(Deserialize)]
-struct AnsweredOrder {
-    order: OrderIdPart,
-    outcome: AnsweredOutcome,
+struct ListedOrder {
+    order: ListedOrderId,
+    outcome: ListedOutcome,
 }
 
 #[derive(Deserialize)]
-struct OrderIdPart {
+struct ListedOrderId {
     #[serde(default)]
     id: Option<ChangeId>,
 }
 
 #[derive(Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-enum AnsweredOutcome {
+enum ListedOutcome {
     Obeyed,
     #[serde(other)]
     Other,
 }
 
 impl HttpPlatform {
-    /// A platform reached through `client`, whose time limits apply.
+    /// Creates a platform client that uses `client` and its time limits.
     pub fn new(client: Rc<dyn HttpClient>) -> Self {
         Self { client }
     }
@@ -68,7 +68,7 @@
             .header(header::HOST, target.address.to_string())
             .header(header::CONTENT_TYPE, "application/json")
             .body(body)
-            .expect("a constant path and printable headers make a request");
+            .expect("the path is constant and the headers are printable");
         let sent = self.client.send(target.address, request).await;
         let reply = sent.map_err(|error| client_error(target, &error))?;
         read_answer(target, reply).await
@@ -94,13 +94,13 @@
     }
 }
 
-/// What an answer other than success means: a conflict is an old fencing number, another client
-/// error is a refusal, and a server error leaves open whether the order was taken.
+/// Maps an unsuccessful answer to an error. A conflict means a stale fencing number, any other
+/// client error is a refusal, and after a server error the engine may have taken the order.
 fn refusal(target: &EngineTarget, status: StatusCode, body: &[u8]) -> PlatformError {
     let backend = target.backend.clone();
     if status == StatusCode::CONFLICT {
         let answer = serde_json::from_slice(body);
-        let seen = answer.map_or(FenceNumber(0), |answer: OrderAnswer| answer.fence);
+        let seen = answer.map_or(FenceNumber(0), |answer: OrdersReply| answer.fence);
         return PlatformError::StaleFence { backend, seen };
     }
     let reason = format!("status {}", status.as_u16());
@@ -117,7 +117,7 @@
         order: &'a PlatformOrder,
     ) -> LocalFuture<'a, Result<(), PlatformError>> {
         Box::pin(async move {
-            let body = serde_json::to_vec(order).expect("an order is plain data");
+            let body = serde_json::to_vec(order).expect("an order serializes to JSON");
             let (status, body) = self.call(target, Request::post(ORDERS_PATH), body.into()).await?;
             match status.is_success() {
                 true => Ok(()),
@@ -135,11 +135,11 @@
             if !status.is_success() {
                 return Err(refusal(target, status, &body));
             }
-            let answer: OrderAnswer = serde_json::from_slice(&body).map_err(|error| {
-                let reason = format!("its list of orders is not understood: {error}");
+            let answer: OrdersReply = serde_json::from_slice(&body).map_err(|error| {
+                let reason = format!("its list of orders cannot be parsed: {error}");
                 PlatformError::Refused { backend: target.backend.clone(), reason }
             })?;
-            let obeyed = answer.orders.into_iter().filter(|o| o.outcome == AnsweredOutcome::Obeyed);
+            let obeyed = answer.orders.into_iter().filter(|o| o.outcome == ListedOutcome::Obeyed);
             let taken = obeyed.filter_map(|order| order.order.id).collect();
             Ok(EngineOrders { fence: answer.fence, taken })
         })
--- a/crates/order/src/lease.rs
+++ b/crates/order/src/lease.rs
@@ -1,4 +1,4 @@
-//! The right to give orders.
+//! The lease that entitles one VM at a time to send orders.
 
 use {
     crate::OrderSettings,
@@ -8,7 +8,8 @@
     std::{fmt, time::Duration},
 };
 
-/// Grows with each holder of the lease; of two holders the higher is the newer.
+/// Fencing number of a lease. Each new lease has a higher number than all before it, so engines can
+/// refuse orders under an earlier lease.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,119 +22,123 @@
     }
 }
 
-/// A lease as its source gives it.
+/// A lease as granted by its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// The number to give orders under: higher than any given before, and given once.
+    /// The fencing number: unique, and higher than any granted before.
     pub fence: FenceNumber,
-    /// How long it lasts, from a moment that is not before the call was made.
+    /// Duration of the lease, counted from a time that is not before the call was made.
     pub duration: Duration,
-    /// How long, from the moment of the grant, the lease of any predecessor may still last by that
-    /// holder's own count: zero where the source knows that none does.
+    /// Time after the grant for which the lease of any predecessor may still last by that holder's
+    /// own clock. Zero if the source knows that no lease remains.
     pub predecessor_left: Duration,
 }
 
-/// Why there is no lease.
+/// A lease was not granted or not renewed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum LeaseError {
-    /// Another VM has it.
+    /// Another VM holds the lease.
     #[snafu(display("VM {holder} holds the lease for orders under fencing number {fence}"))]
     Held {
         /// The holder.
         holder: VmName,
-        /// Its number.
+        /// Fencing number of the holder.
         fence: FenceNumber,
     },
-    /// The number is not the current one any more.
+    /// The fencing number is no longer the current one.
     #[snafu(display("fencing number {fence} is no longer the current one"))]
     Lost {
-        /// The number given.
+        /// The given fencing number.
         fence: FenceNumber,
     },
-    /// The control log does not answer.
+    /// The control log is unavailable.
     #[snafu(display(
-        "the control log gives no lease now ({reason}): see `gladectl status` for its voters"
+        "the control log cannot grant a lease now ({reason}): see `gladectl status` for its voters"
     ))]
     Unavailable {
-        /// What failed.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// Gives the lease: the control log, which decides on each call in its one order.
+/// Grants the lease. Implemented by the control log, which decides all calls in one total order.
 pub trait LeaseSource {
-    /// Takes the lease, where nobody else has it. Each success gives a new fencing number, also
-    /// to a VM that has the lease already: a restarted process cannot know what it gave before.
+    /// Acquires the lease if no other VM holds it. Each success returns a new fencing number, even
+    /// if the VM already holds the lease: a restarted process does not know which orders it sent
+    /// before.
     fn acquire<'a>(&'a self, holder: &'a VmName)
     -> LocalFuture<'a, Result<LeaseGrant, LeaseError>>;
 
-    /// Lengthens the lease of `fence`; its duration from a moment not before the call was made.
+    /// Renews the lease of `fence`. Returns its new duration, counted from a time that is not
+    /// before the call was made.
     fn renew(&self, fence: FenceNumber) -> LocalFuture<'_, Result<Duration, LeaseError>>;
 }
 
-/// A lease in its holder's hands. It ends for the holder before it ends for anybody else.
+/// A lease as seen by its holder. It ends for the holder before it ends for any other process.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldLease {
     fence: FenceNumber,
-    /// Both clocks when the last call that gave or renewed it was *made*.
-    since: MonotonicTime,
-    since_wall: WallMillis,
+    /// Monotonic and wall clock when the last successful call to acquire or renew the lease was
+    /// *made*.
+    last_request: MonotonicTime,
+    last_request_wall: WallMillis,
     usable: Duration,
-    /// When no predecessor's order can reach an engine any more.
+    /// Time after which no order of a predecessor can reach an engine.
     predecessor_ends_at: MonotonicTime,
 }
 
 impl HeldLease {
-    /// The lease of `grant`, for which the source was asked at `asked` and `asked_wall` and which
-    /// arrived now.
+    /// Creates the lease of a `grant` that was requested at `requested_at` and `requested_at_wall`
+    /// and has just arrived.
     pub fn new(
         grant: &LeaseGrant,
-        asked: MonotonicTime,
-        asked_wall: WallMillis,
+        requested_at: MonotonicTime,
+        requested_at_wall: WallMillis,
         context: &ProcessContext,
         settings: &OrderSettings,
     ) -> Self {
         let wait = settings.predecessor_wait(grant.predecessor_left);
         Self {
             fence: grant.fence,
-            since: asked,
-            since_wall: asked_wall,
+            last_request: requested_at,
+            last_request_wall: requested_at_wall,
             usable: settings.usable(grant.duration),
             predecessor_ends_at: context.clock.now() + wait,
         }
     }
 
-    /// The same lease, renewed by a call made at `asked` and `asked_wall`.
+    /// Returns the lease as renewed by a call that was made at `requested_at` and
+    /// `requested_at_wall`.
     pub fn renewed(
         self,
         duration: Duration,
-        asked: MonotonicTime,
-        asked_wall: WallMillis,
+        requested_at: MonotonicTime,
+        requested_at_wall: WallMillis,
         settings: &OrderSettings,
     ) -> Self {
         let usable = settings.usable(duration);
-        Self { since: asked, since_wall: asked_wall, usable, ..self }
+        Self { last_request: requested_at, last_request_wall: requested_at_wall, usable, ..self }
     }
 
-    /// The number to give orders under.
+    /// Returns the fencing number.
     pub fn fence(&self) -> FenceNumber {
         self.fence
     }
 
-    /// How long orders may still be sent.
+    /// Returns the remaining time in which orders may be sent.
     ///
-    /// By both clocks, because the monotonic clock stands still while a VM is suspended: the
-    /// holder would wake up hours later, find its lease young, and give orders beside its
-    /// successor. The wall clock shows the gap. One that steps ahead ends the lease too early,
-    /// which costs a renewal.
+    /// Both clocks are used, because the monotonic clock stops while a VM is suspended: hours
+    /// later, the holder would resume with a seemingly recent lease and send orders alongside its
+    /// successor. The wall clock reveals the gap. If the wall clock steps ahead, the lease ends too
+    /// early, which costs a renewal.
     pub fn left(&self, context: &ProcessContext) -> Duration {
-        let by_monotonic = context.clock.now().since(self.since);
-        let wall = context.clock.wall().0.saturating_sub(self.since_wall.0);
+        let by_monotonic = context.clock.now().since(self.last_request);
+        let wall = context.clock.wall().0.saturating_sub(self.last_request_wall.0);
         let spent = by_monotonic.max(Duration::from_millis(wall));
         self.usable.saturating_sub(spent)
     }
 
-    /// How long until engines that ignore fencing may be given orders.
+    /// Returns the time until orders may be sent to engines that ignore fencing.
     pub fn predecessor_left(&self, context: &ProcessContext) -> Duration {
         self.predecessor_ends_at.since(context.clock.now())
     }
--- a/crates/order/src/lib.rs
+++ b/crates/order/src/lib.rs
@@ -1,12 +1,14 @@
-//! Orders to the platform's engines: load models, adapters and versions, or change role.
+//! Orders to the platform's engines: load or unload models, adapters and versions, or change role.
 //!
-//! At most one VM gives them at a time, the holder of a lease that comes from the control log with
-//! a fencing number ([`LeaseSource`]). Engines that check the number refuse an old holder by
-//! themselves. Others obey whoever speaks, so the holder stops before its lease ends
-//! ([`HeldLease`]) and its successor waits until that end has passed by every clock's error.
+//! At most one VM sends orders at a time: the holder of a lease, which the control log grants with
+//! a fencing number ([`LeaseSource`]). Engines that check the number refuse orders of an earlier
+//! holder. Other engines obey every order, so the holder stops before its lease ends
+//! ([`HeldLease`]), and its successor waits until that end has passed, including the maximum clock
+//! drift.
 //!
-//! An [`OrderDispatcher`] holds the lease, gives each order once by its id, and paces whatever loads
-//! weights under the rate of the weight store, which all regions share ([`TokenBucket`]).
+//! An [`OrderDispatcher`] holds the lease, carries out each order once per id, and keeps the
+//! loading of weights within the rate of the weight store, which all regions share
+//! ([`TokenBucket`]).
 
 mod action;
 mod bucket;
--- a/crates/order/src/platform.rs
+++ b/crates/order/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's face for orders.
+//! The interface to the platform's engines.
 
 use {
     crate::{EngineTarget, FenceNumber, PlatformOrder},
@@ -6,62 +6,62 @@
     snafu::Snafu,
 };
 
-/// Why an order has no receipt.
+/// A call to an engine failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PlatformError {
     /// The engine has seen a higher fencing number.
-    #[snafu(display("engine {backend} has orders under fencing number {seen}"))]
+    #[snafu(display("engine {backend} has taken orders under fencing number {seen}"))]
     StaleFence {
         /// The engine.
         backend: BackendName,
-        /// The highest number it has seen, where it says so.
+        /// The highest number that the engine has seen; zero if it does not report one.
         seen: FenceNumber,
     },
-    /// The engine refuses the order itself.
-    #[snafu(display("engine {backend} refuses the order: {reason}"))]
+    /// The engine refused the order.
+    #[snafu(display("engine {backend} refused the order: {reason}"))]
     Refused {
         /// The engine.
         backend: BackendName,
-        /// Its words.
+        /// The reason given by the engine.
         reason: String,
     },
-    /// No byte of the order reached the engine.
+    /// No byte of the order was sent to the engine.
     #[snafu(display("engine {backend} cannot be reached: {reason}; check that it runs"))]
     Unreachable {
         /// The engine.
         backend: BackendName,
-        /// What failed.
+        /// Description of the failure.
         reason: String,
     },
-    /// The order may have been taken.
+    /// The engine gave no usable answer, so it may have taken the order.
     #[snafu(display("engine {backend} gave no answer ({reason}): it may have taken the order"))]
     Unanswered {
         /// The engine.
         backend: BackendName,
-        /// What failed.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// The orders an engine says it has taken.
+/// The orders that an engine reports to have taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineOrders {
-    /// The highest fencing number it has seen.
+    /// The highest fencing number that the engine has seen.
     pub fence: FenceNumber,
-    /// The ids of orders it took, where it remembers them.
+    /// The ids of orders that the engine took, as far as it remembers them.
     pub taken: Vec<ChangeId>,
 }
 
 /// Sends orders to engines.
 pub trait PlatformClient {
-    /// Sends one order; `Ok` says that the engine took it.
+    /// Sends one order. Returns `Ok` if the engine took it.
     fn send<'a>(
         &'a self,
         target: &'a EngineTarget,
         order: &'a PlatformOrder,
     ) -> LocalFuture<'a, Result<(), PlatformError>>;
 
-    /// Asks an engine which orders it took.
+    /// Returns the orders that an engine has taken.
     fn orders<'a>(
         &'a self,
         target: &'a EngineTarget,
--- a/crates/order/src/registry.rs
+++ b/crates/order/src/registry.rs
@@ -1,4 +1,4 @@
-//! The orders of a desk by id, so that a resend does nothing twice.
+//! The orders of a dispatcher by id, so that a resend is not carried out again.
 
 use {
     crate::{EngineOrder, OrderError, OrderOutcome},
@@ -10,7 +10,7 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// What became of an order.
+/// Result of an order.
 pub(crate) type OrderResult = Result<OrderOutcome, OrderError>;
 
 struct RegistryEntry {
@@ -18,15 +18,15 @@
     result: Shared<Receiver<OrderResult>>,
 }
 
-/// What to do with an order that was asked for.
+/// Result of registering an order.
 pub(crate) enum Registration {
-    /// It is new: carry it out and report to the sender.
+    /// The order is new. The caller carries it out and reports the result to the sender.
     New(Sender<OrderResult>, Shared<Receiver<OrderResult>>),
-    /// It is under way or done.
+    /// The order is in progress or done.
     Known(Shared<Receiver<OrderResult>>),
 }
 
-/// Orders by id, a bounded number of those that are done.
+/// Orders by id. The number of completed orders is bounded.
 pub(crate) struct OrderRegistry {
     entries: BTreeMap<ChangeId, RegistryEntry>,
     done: VecDeque<ChangeId>,
@@ -38,7 +38,7 @@
         Self { entries: BTreeMap::new(), done: VecDeque::new(), outcome_limit }
     }
 
-    /// Enters an order; refuses another order under a known id.
+    /// Registers an order. Fails if the id was used for a different order.
     pub(crate) fn register(&mut self, order: &EngineOrder) -> Result<Registration, OrderError> {
         if let Some(entry) = self.entries.get(&order.id) {
             let same = entry.order.action == order.action
@@ -55,8 +55,8 @@
         Ok(Registration::New(sender, result))
     }
 
-    /// Notes the end of an order. A failed one is forgotten, so that a resend tries again.
-    pub(crate) fn end(&mut self, id: &ChangeId, succeeded: bool) {
+    /// Marks an order as completed. A failed order is removed, so that a resend tries again.
+    pub(crate) fn complete(&mut self, id: &ChangeId, succeeded: bool) {
         if !succeeded {
             self.entries.remove(id);
             return;
--- a/crates/order/tests/dispatcher.rs
+++ b/crates/order/tests/dispatcher.rs
@@ -1,36 +1,36 @@
-//! Orders under a lease that is lost, taken over, or held by a VM that does not know better.
+//! Tests of orders under a lease that is lost, taken over, or held by a VM that does not know of
+//! its successor.
 
 mod support;
 
 use {
     gullglade_order::{DispatcherState, FenceNumber, OrderError, OrderOutcome, OrderSettings},
     std::time::Duration,
-    support::{LEASE, OrderVm, OrderWorld, SECOND, load},
+    support::{LEASE_DURATION, OrderVm, OrderWorld, SECOND, load},
 };
 
-fn holds(vm: &OrderVm) -> Option<FenceNumber> {
+fn held_fence(vm: &OrderVm) -> Option<FenceNumber> {
     match vm.dispatcher.state() {
         DispatcherState::Holding { fence, .. } => Some(fence),
         DispatcherState::Waiting { .. } => None,
     }
 }
 
-fn started(world: &OrderWorld, name: &str) -> OrderVm {
+fn start_vm(world: &OrderWorld, name: &str) -> OrderVm {
     let vm = world.vm(name);
     world.world.run_for(SECOND);
     vm
 }
 
 #[test]
-fn a_holder_cut_off_stops_before_its_successor_starts() {
-    // Symptom: an engine that ignores fencing numbers loads what two VMs order in turns. Events:
-    // the holder is cut off from the control log, silently and for an hour, though not from the
-    // engines; another VM takes the lease; both are asked to give orders all the time. Cause: the
-    // first cannot know of the second.
+fn partitioned_holder_stops_before_its_successor_starts() {
+    // Guards against orders of two VMs in alternation at an engine that ignores fencing. The holder
+    // is partitioned from the control log, though not from the engines, and another VM takes the
+    // lease. Both are asked to send orders all the time.
     let world = OrderWorld::new(1, OrderSettings::default());
-    let first = started(&world, "first");
-    let second = started(&world, "second");
-    assert_eq!((holds(&first), holds(&second)), (Some(FenceNumber(1)), None));
+    let first = start_vm(&world, "first");
+    let second = start_vm(&world, "second");
+    assert_eq!((held_fence(&first), held_fence(&second)), (Some(FenceNumber(1)), None));
     first.cut_off.set(true);
     for round in 0..400 {
         for (vm, engine) in [(&first, "ignores"), (&second, "ignores"), (&second, "checks")] {
@@ -38,64 +38,67 @@
         }
         world.world.run_for(SECOND / 10);
     }
-    assert_eq!(holds(&second), Some(FenceNumber(2)));
+    assert_eq!(held_fence(&second), Some(FenceNumber(2)));
     world.world.run_for(SECOND * 3600);
-    assert_eq!(holds(&first), None);
+    assert_eq!(held_fence(&first), None);
     assert_eq!(world.ordering_fault(), None);
     let fences: Vec<_> = world.records("ignores").iter().map(|record| record.fence.0).collect();
-    assert!(fences.contains(&1) && fences.contains(&2), "both gave orders in their time");
+    assert!(fences.contains(&1) && fences.contains(&2), "both sent orders during their leases");
 
     first.cut_off.set(false);
     world.world.run_for(SECOND * 30);
-    assert_eq!(holds(&first), None, "it does not take up its old lease");
+    assert_eq!(held_fence(&first), None, "it does not resume its old lease");
     let refused = world.submit(&first, load("late", "ignores", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::NotHolder { .. }), "{refused}");
 }
 
 #[test]
-fn engines_that_check_need_no_waiting() {
-    // Symptom: engines stand without a model while a new holder waits for nothing. Events: the
-    // control log takes the lease from a holder that still believes in it. Cause: waiting out the
-    // predecessor is needed only where an engine would obey it.
+fn engines_that_check_fencing_need_no_wait_for_the_predecessor() {
+    // Guards against an unnecessary wait before orders to engines that check fencing. Only an
+    // engine that ignores fencing would obey the predecessor.
     let world = OrderWorld::new(1, OrderSettings::default());
-    let first = started(&world, "first");
+    let first = start_vm(&world, "first");
     world.revoke();
-    let second = started(&world, "second");
+    let second = start_vm(&world, "second");
     let begin = world.world.now();
     assert_eq!(world.submit(&second, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
     assert!(world.world.now().since(begin) < SECOND);
     assert_eq!(world.submit(&second, load("b", "ignores", 0)), Ok(OrderOutcome::Taken));
-    assert!(world.world.now().since(begin) > SECOND * 5, "it waited for the first one's end");
+    assert!(
+        world.world.now().since(begin) > SECOND * 5,
+        "it waited for the end of the first one's lease"
+    );
     drop(first);
     assert_eq!(world.ordering_fault(), None);
 }
 
 #[test]
-fn a_refused_number_ends_the_lease_towards_all_engines() {
-    // Symptom: an old holder goes on with engines that do not check. Events: the lease is taken
-    // from it, the new holder orders at an engine that checks, the old one is refused there and
-    // turns to one that does not. Cause: the refusal is taken for that engine's matter.
+fn stale_fencing_number_ends_the_lease_for_all_engines() {
+    // Guards against an old holder that keeps sending orders to engines that ignore fencing after
+    // an engine that checks it has refused one. The refusal proves that there is a newer holder.
     let world = OrderWorld::new(1, OrderSettings::default());
-    let first = started(&world, "first");
+    let first = start_vm(&world, "first");
     first.cut_off.set(true);
     world.revoke();
-    let second = started(&world, "second");
+    let second = start_vm(&world, "second");
     assert_eq!(world.submit(&second, load("a", "checks", 0)), Ok(OrderOutcome::Taken));
     let begin = world.world.now();
     let refused = world.submit(&first, load("b", "checks", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::LeaseEnded { .. }), "{refused}");
-    assert!(world.world.now().since(begin) < SECOND, "its own count would last longer");
+    assert!(
+        world.world.now().since(begin) < SECOND,
+        "by its own clock the lease would last longer"
+    );
     let refused = world.submit(&first, load("c", "ignores", 0)).unwrap_err();
     assert!(matches!(refused, OrderError::NotHolder { .. }), "{refused}");
 }
 
 #[test]
-fn a_vm_that_was_suspended_gives_no_orders_when_it_wakes() {
-    // Symptom: an old holder gives orders hours after its lease ended. Events: its VM is suspended
-    // and resumed; the monotonic clock stood still meanwhile, the wall clock did not. Cause: by
-    // the monotonic clock the lease is young.
+fn resumed_vm_sends_no_orders_after_its_lease_ended() {
+    // Guards against orders hours after the lease ended. The VM is suspended and resumed; its
+    // monotonic clock stopped meanwhile, so by that clock the lease is recent.
     let world = OrderWorld::new(1, OrderSettings::default());
-    let first = started(&world, "first");
+    let first = start_vm(&world, "first");
     first.cut_off.set(true);
     first.process.set_wall_offset(3_600_000);
     let refused = world.submit(&first, load("a", "ignores", 0)).unwrap_err();
@@ -104,14 +107,14 @@
 }
 
 #[test]
-fn two_successions_within_one_lease_leave_one_voice() {
-    // Symptom: an order of the first of three holders is obeyed after the third's. Events: the
-    // lease is taken from the first and from the second at once, each cut off and still giving
-    // orders. Cause: the third waits for the second only.
+fn two_successions_within_one_lease_leave_one_active_holder() {
+    // Guards against an order of the first of three holders after one of the third. The lease is
+    // revoked from the first and the second in quick succession, and both still send orders. The
+    // third must wait for both.
     let world = OrderWorld::new(1, OrderSettings::default());
     let vms = ["first", "second", "third"].map(|name| {
         world.revoke();
-        let vm = started(&world, name);
+        let vm = start_vm(&world, name);
         vm.cut_off.set(true);
         vm
     });
@@ -122,17 +125,17 @@
         vms[2].cut_off.set(false);
         world.world.run_for(SECOND / 10);
     }
-    world.world.run_for(LEASE * 2);
+    world.world.run_for(LEASE_DURATION * 2);
     assert_eq!(world.ordering_fault(), None);
     assert!(world.records("ignores").iter().any(|record| record.fence == FenceNumber(3)));
 }
 
 #[test]
-fn an_order_is_given_once_under_its_id() {
-    // Symptom: weights are fetched twice. Events: an operator resends an order whose answer was
-    // lost, at once, later, and at a new holder. Cause: nobody remembers it.
+fn order_is_carried_out_once_per_id() {
+    // Guards against loading weights twice when an operator resends an order whose answer was lost,
+    // at once, later, and at a new holder.
     let world = OrderWorld::new(1, OrderSettings::default());
-    let first = started(&world, "first");
+    let first = start_vm(&world, "first");
     world.lose_answers("checks", 1);
     world.start(&first, load("a", "checks", 0));
     let again = world.submit(&first, load("a", "checks", 0));
@@ -143,7 +146,7 @@
 
     first.process.kill();
     world.revoke();
-    let second = started(&world, "second");
+    let second = start_vm(&world, "second");
     assert_eq!(world.submit(&second, load("a", "checks", 0)), Ok(OrderOutcome::AlreadyTaken));
     assert_eq!(world.records("checks").len(), sent);
     let reused = world.submit(&second, load("a", "checks", 5)).unwrap_err();
@@ -151,13 +154,12 @@
 }
 
 #[test]
-fn an_order_that_outlasts_the_lease_is_not_sent() {
-    // Symptom: an order arrives under a lease that ended. Events: the order waits for the weight
-    // store longer than the lease lasts, and the holder is cut off meanwhile. Cause: the lease was
-    // good when the order was asked for.
+fn order_that_waits_past_the_lease_is_not_sent() {
+    // Guards against sending an order under a lease that has ended. The order waits for the weight
+    // store's rate limit longer than the lease lasts, while the holder is partitioned.
     let settings = OrderSettings::default().weight_rate(1 << 20).weight_burst(1 << 30);
     let world = OrderWorld::new(1, settings);
-    let first = started(&world, "first");
+    let first = start_vm(&world, "first");
     first.cut_off.set(true);
     let refused = world.submit(&first, load("a", "checks", 60 << 20)).unwrap_err();
     assert!(matches!(refused, OrderError::LeaseEnded { .. }), "{refused}");
@@ -167,19 +169,19 @@
 }
 
 #[test]
-fn slow_links_do_not_carry_an_order_past_the_lease() {
-    // Symptom: an order of the old holder arrives after the new one's. Events: the old holder's
-    // lease is answered late and lasts less than it seems; it is cut off; it sends just before its
-    // end, over a link that takes almost the whole time allowed for a sending. Cause: the end was
-    // counted from the answer, or checked when the order left.
+fn slow_links_do_not_deliver_an_order_past_the_lease() {
+    // Guards against an order of the old holder that arrives after one of the new holder. The grant
+    // arrives late, the holder is partitioned, and it sends just before the end of its lease over a
+    // link that takes almost the whole time limit. The lease must be counted from the request, and
+    // its end must allow for the time to send.
     let settings = OrderSettings::default().delivery_limit(Duration::ZERO);
     let world = OrderWorld::new(1, settings);
     let first = world.vm("first");
-    first.slow.set(Duration::from_millis(1800));
+    first.extra_delay.set(Duration::from_millis(1800));
     world.world.run_for(SECOND * 2);
-    assert_eq!(holds(&first), Some(FenceNumber(1)));
+    assert_eq!(held_fence(&first), Some(FenceNumber(1)));
     first.cut_off.set(true);
-    let second = started(&world, "second");
+    let second = start_vm(&world, "second");
     for round in 0..300 {
         world.start(&first, load(&format!("first-{round}"), "ignores", 0));
         world.start(&second, load(&format!("second-{round}"), "ignores", 0));
--- a/crates/order/tests/platform.rs
+++ b/crates/order/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Orders to the stand-in engine over real HTTP.
+//! Tests of orders to the stub engine over HTTP.
 
 use {
     gullglade_backend::FencingMode,
@@ -43,17 +43,17 @@
 }
 
 #[test]
-fn an_engine_takes_an_order_once_and_refuses_an_old_number_if_it_checks() {
-    // Symptom: the desk and real engines disagree on what an answer means. Events: an order, the
-    // same again, one under an older number, one to an engine that is gone. Cause: both sides of
-    // the HTTP face are written from the same idea only if a test says so.
+fn engine_takes_an_order_once_and_refuses_a_stale_number_if_it_checks() {
+    // Guards against different interpretations of an answer by dispatcher and engine. Covers an
+    // order, its resend, an order under an older number, and an order to an engine that has
+    // stopped.
     struct Case {
         fencing: FencingMode,
-        old_is_taken: bool,
+        stale_order_is_taken: bool,
     }
     let cases = [
-        Case { fencing: FencingMode::Checks, old_is_taken: false },
-        Case { fencing: FencingMode::Ignores, old_is_taken: true },
+        Case { fencing: FencingMode::Checks, stale_order_is_taken: false },
+        Case { fencing: FencingMode::Ignores, stale_order_is_taken: true },
     ];
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap();
     runtime.block_on(async {
@@ -68,10 +68,16 @@
             platform.send(&target, &first).await.unwrap();
             let old = platform.send(&target, &order("order-2", 6, "old")).await;
             let refused = matches!(old, Err(PlatformError::StaleFence { .. }));
-            assert_eq!((old.is_ok(), refused), (case.old_is_taken, !case.old_is_taken));
+            assert_eq!(
+                (old.is_ok(), refused),
+                (case.stale_order_is_taken, !case.stale_order_is_taken)
+            );
             let orders = platform.orders(&target).await.unwrap();
-            let expected =
-                if case.old_is_taken { vec!["order-1", "order-2"] } else { vec!["order-1"] };
+            let expected = if case.stale_order_is_taken {
+                vec!["order-1", "order-2"]
+            } else {
+                vec!["order-1"]
+            };
             let taken: Vec<&str> = orders.taken.iter().map(ChangeId::as_str).collect();
             assert_eq!((orders.fence, taken), (FenceNumber(7), expected));
         }
--- a/crates/order/tests/support/mod.rs
+++ b/crates/order/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A lease source and engines for tests, in virtual time.
 
-// Each test program uses another part of this module.
+// Each test binary uses a different part of this module.
 #![allow(dead_code)]
 
 use {
@@ -26,13 +26,13 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// How long the source's leases last.
-pub(crate) const LEASE: Duration = Duration::from_secs(10);
+/// Duration of the source's leases.
+pub(crate) const LEASE_DURATION: Duration = Duration::from_secs(10);
 
-/// How long a call to an engine or to the source takes, one way.
+/// One-way delay of a call to an engine or to the source.
 const DELAY: Duration = Duration::from_millis(55);
 
-/// The control log's view of the lease.
+/// State of the lease in the control log.
 #[derive(Default)]
 pub(crate) struct LeaseState {
     fence: Cell<u64>,
@@ -54,11 +54,11 @@
     checks: bool,
     highest: FenceNumber,
     records: Vec<EngineRecord>,
-    /// Answers to lose.
+    /// Number of answers still to lose.
     lost_answers: usize,
 }
 
-/// Everything outside of the desks.
+/// The lease, the engines and the virtual time that all VMs share.
 pub(crate) struct OrderWorld {
     pub(crate) world: FakeWorld,
     pub(crate) settings: OrderSettings,
@@ -66,21 +66,21 @@
     engines: Rc<RefCell<BTreeMap<BackendName, FakeEngine>>>,
 }
 
-/// One VM that may hold the lease.
+/// A VM that may hold the lease.
 pub(crate) struct OrderVm {
     pub(crate) process: FakeProcess,
     pub(crate) dispatcher: OrderDispatcher,
-    /// Cut off from the control log.
+    /// True while the VM is partitioned from the control log.
     pub(crate) cut_off: Rc<Cell<bool>>,
-    /// How much longer its orders take to reach engines, and the source's answers to reach it.
-    pub(crate) slow: Rc<Cell<Duration>>,
+    /// Additional delay of the VM's orders to engines, and of the source's answers to the VM.
+    pub(crate) extra_delay: Rc<Cell<Duration>>,
 }
 
 struct FakeSource {
     process: FakeProcess,
     lease_state: Rc<LeaseState>,
     cut_off: Rc<Cell<bool>>,
-    slow: Rc<Cell<Duration>>,
+    extra_delay: Rc<Cell<Duration>>,
 }
 
 impl FakeSource {
@@ -88,12 +88,12 @@
         self.process.context().clock.sleep(DELAY).await;
         match self.cut_off.get() {
             false => Ok(()),
-            true => Err(LeaseError::Unavailable { reason: "cut off".to_owned() }),
+            true => Err(LeaseError::Unavailable { reason: "partitioned".to_owned() }),
         }
     }
 
     async fn answer(&self) {
-        self.process.context().clock.sleep(DELAY + self.slow.get()).await;
+        self.process.context().clock.sleep(DELAY + self.extra_delay.get()).await;
     }
 
     fn now(&self) -> MonotonicTime {
@@ -116,10 +116,10 @@
             let predecessor_left = lease_state.ends.get().since(now);
             lease_state.fence.set(lease_state.fence.get() + 1);
             *lease_state.holder.borrow_mut() = Some(vm.clone());
-            lease_state.ends.set(now + LEASE);
+            lease_state.ends.set(now + LEASE_DURATION);
             let fence = FenceNumber(lease_state.fence.get());
             self.answer().await;
-            Ok(LeaseGrant { fence, duration: LEASE, predecessor_left })
+            Ok(LeaseGrant { fence, duration: LEASE_DURATION, predecessor_left })
         })
     }
 
@@ -129,9 +129,9 @@
             if fence != FenceNumber(self.lease_state.fence.get()) {
                 return Err(LeaseError::Lost { fence });
             }
-            self.lease_state.ends.set(self.now() + LEASE);
+            self.lease_state.ends.set(self.now() + LEASE_DURATION);
             self.answer().await;
-            Ok(LEASE)
+            Ok(LEASE_DURATION)
         })
     }
 }
@@ -139,7 +139,7 @@
 struct FakePlatform {
     process: FakeProcess,
     engines: Rc<RefCell<BTreeMap<BackendName, FakeEngine>>>,
-    slow: Rc<Cell<Duration>>,
+    extra_delay: Rc<Cell<Duration>>,
 }
 
 impl PlatformClient for FakePlatform {
@@ -150,7 +150,7 @@
     ) -> LocalFuture<'a, Result<(), PlatformError>> {
         Box::pin(async move {
             let clock = Rc::clone(&self.process.context().clock);
-            clock.sleep(DELAY + self.slow.get()).await;
+            clock.sleep(DELAY + self.extra_delay.get()).await;
             let backend = target.backend.clone();
             {
                 let mut engines = self.engines.borrow_mut();
@@ -201,18 +201,23 @@
         }
     }
 
-    /// A VM that tries to hold the lease from now on.
+    /// Starts a VM that tries to acquire the lease from now on.
     pub(crate) fn vm(&self, name: &str) -> OrderVm {
         let process = self.world.process();
-        let (cut_off, slow) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(Duration::ZERO)));
+        let (cut_off, extra_delay) =
+            (Rc::new(Cell::new(false)), Rc::new(Cell::new(Duration::ZERO)));
         let source = FakeSource {
             process: process.clone(),
             lease_state: Rc::clone(&self.lease_state),
             cut_off: Rc::clone(&cut_off),
-            slow: Rc::clone(&slow),
+            extra_delay: Rc::clone(&extra_delay),
         };
         let engines = Rc::clone(&self.engines);
-        let platform = FakePlatform { process: process.clone(), engines, slow: Rc::clone(&slow) };
+        let platform = FakePlatform {
+            process: process.clone(),
+            engines,
+            extra_delay: Rc::clone(&extra_delay),
+        };
         let context = process.context().clone();
         let dispatcher = OrderDispatcher::new(
             context.clone(),
@@ -223,10 +228,10 @@
             Rc::new(NullSink),
         );
         context.spawner.spawn(Box::pin(dispatcher.clone().run()));
-        OrderVm { process, dispatcher, cut_off, slow }
+        OrderVm { process, dispatcher, cut_off, extra_delay }
     }
 
-    /// The control log takes the lease from its holder at once, as on an operator's word.
+    /// Revokes the lease from its holder at once, as an operator can.
     pub(crate) fn revoke(&self) {
         *self.lease_state.holder.borrow_mut() = None;
     }
@@ -235,12 +240,12 @@
         self.engines.borrow_mut().get_mut(&backend(engine)).unwrap().lost_answers = count;
     }
 
-    /// The orders that reached an engine, in the order of their arrival.
+    /// Returns the orders that reached an engine, in the order of arrival.
     pub(crate) fn records(&self, engine: &str) -> Vec<EngineRecord> {
         self.engines.borrow()[&backend(engine)].records.clone()
     }
 
-    /// Gives an order and waits for its outcome.
+    /// Submits an order and waits for its outcome.
     pub(crate) fn submit(
         &self,
         vm: &OrderVm,
@@ -249,7 +254,7 @@
         self.world.run_until(vm.dispatcher.submit(order))
     }
 
-    /// Gives an order and lets it go on by itself.
+    /// Submits an order without waiting for its outcome.
     pub(crate) fn start(&self, vm: &OrderVm, order: EngineOrder) {
         let dispatcher = vm.dispatcher.clone();
         vm.process.context().spawner.spawn(Box::pin(async move {
@@ -257,7 +262,8 @@
         }));
     }
 
-    /// An engine that obeyed an older holder after a newer one, if any did.
+    /// Returns a description of the first engine, if any, that obeyed an older holder after a newer
+    /// one.
     pub(crate) fn ordering_fault(&self) -> Option<String> {
         self.engines.borrow().iter().find_map(|(name, engine)| {
             let back = engine.records.windows(2).find(|pair| pair[1].fence < pair[0].fence)?;
@@ -270,7 +276,7 @@
     BackendName::try_from(name).unwrap()
 }
 
-/// An order under the id `text` to load a model of `bytes`.
+/// Returns an order with id `text` to load a model of `bytes`.
 pub(crate) fn load(text: &str, engine: &str, bytes: u64) -> EngineOrder {
     let fencing = if engine == "checks" { FencingMode::Checks } else { FencingMode::Ignores };
     EngineOrder {
