--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -288,7 +288,7 @@
 
     /// Takes in a report of another gateway.
     pub(crate) fn note(&self, notice: SpendNotice) {
-        let relayed = self.ledger.borrow_mut().note(notice, self.boot());
+        let relayed = self.ledger.borrow_mut().receive(notice, self.boot());
         if let Some(relayed) = relayed {
             self.send(&self.places.borrow().peers, &relayed);
         }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,62 +1,70 @@
-//! Token buckets: the replica of one workspace's, and the one of a region.
+//! Token buckets of a workspace: one for the whole deployment, one for a region.
 
 use {
     crate::QuotaTolerance, gullglade_traffic::WorkspaceQuota, gullglade_units::BootTime,
     std::time::Duration,
 };
 
-/// The part of the rate that is used: what is reported late is spent twice.
-const SHARED_RATE: f64 = 0.96;
+/// Fraction of the rate that is used. The rest compensates for spending that is reported late, and
+/// so happens twice.
+const SHARED_RATE_FRACTION: f64 = 0.96;
 
-/// The part of the rate at which one region may spend. More than the whole of it, as what the others
-/// have left may be spent in one region, too.
-const REGION_RATE: f64 = 1.4;
+/// Rate at which one region may spend, as a multiple of the limit's rate. It is above 1, because
+/// one region may also spend what the others have left over.
+const REGION_RATE_FACTOR: f64 = 1.4;
 
-/// About the time in which regions detect a partition.
+/// Approximate time in which regions detect a partition.
 const PARTITION_DETECTION_DELAY: Duration = Duration::from_millis(250);
 
-/// The part of a burst that is used by all regions together where the tolerance is small.
-const SHARED_BURST: f64 = 0.75;
+/// Fraction of a burst that all regions together use if the tolerance is small.
+const SHARED_BURST_FRACTION: f64 = 0.75;
 
-/// The part of a burst that one region uses at least.
-const MIN_REGION_BURST: f64 = 0.18;
+/// Minimum fraction of a burst that one region uses.
+const MIN_REGION_BURST_FRACTION: f64 = 0.18;
 
-/// The part of its own that a region has after a restart of all gateways, which may come again.
-const INITIAL_PART: f64 = 0.4;
+/// Fraction of its own bucket that a region has after a restart of all gateways. It is below 1,
+/// because the restart may be repeated.
+const INITIAL_FRACTION: f64 = 0.4;
 
-/// How large the buckets of one workspace are.
+/// Sizes of the buckets of one workspace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct BucketSizes {
-    /// That of all regions.
+    /// Size of the bucket of all regions.
     pub(crate) shared: BucketSize,
-    /// That of one region. Partitioned regions each use up theirs before they detect it.
+    /// Size of the bucket of one region. Each partitioned region uses up its bucket before it
+    /// detects the partition.
     pub(crate) region: BucketSize,
 }
 
-/// How large a bucket is.
+/// Size of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct BucketSize {
-    /// Units a second.
+    /// Units per second.
     rate: f64,
-    /// The most units that it holds.
+    /// Maximum level in units.
     capacity: f64,
-    /// The units that a new one holds: nobody knows what was spent before all gateways started.
+    /// Initial level in units. It is below the maximum, because what was spent before a start of
+    /// all gateways is unknown.
     initial: f64,
 }
 
 impl BucketSizes {
-    /// The sizes with which the limit is kept within `tolerance` also while all of the regions are
-    /// partitioned.
+    /// Returns the sizes that keep the limit within `tolerance` even while all regions are
+    /// partitioned from each other.
     pub(crate) fn new(quota: &WorkspaceQuota, tolerance: &QuotaTolerance, regions: usize) -> Self {
         let WorkspaceQuota { rate, burst, .. } = *quota;
-        let before_detection = REGION_RATE * rate * PARTITION_DETECTION_DELAY.as_secs_f64();
+        let before_detection = REGION_RATE_FACTOR * rate * PARTITION_DETECTION_DELAY.as_secs_f64();
         let per_region = tolerance.margin(quota) / regions.max(1) as f64 - before_detection;
-        let region = per_region.clamp(MIN_REGION_BURST * burst, burst);
-        let initial = per_region.clamp(0.0, region) * INITIAL_PART;
-        let shared = if region < burst { SHARED_BURST * burst } else { burst };
+        let region = per_region.clamp(MIN_REGION_BURST_FRACTION * burst, burst);
+        let initial = per_region.clamp(0.0, region) * INITIAL_FRACTION;
+        let shared = if region < burst { SHARED_BURST_FRACTION * burst } else { burst };
         Self {
-            shared: BucketSize { rate: SHARED_RATE * rate, capacity: shared.max(region), initial },
-            region: BucketSize { rate: REGION_RATE * rate, capacity: region, initial },
+            shared: BucketSize {
+                rate: SHARED_RATE_FRACTION * rate,
+                capacity: shared.max(region),
+                initial,
+            },
+            region: BucketSize { rate: REGION_RATE_FACTOR * rate, capacity: region, initial },
         }
     }
 }
@@ -66,17 +74,17 @@
 pub(crate) struct SharedBucket {
     size: BucketSize,
     level: f64,
-    /// When it was last filled.
-    filled: BootTime,
+    /// Time of the last fill.
+    filled_at: BootTime,
 }
 
 impl SharedBucket {
-    /// One of a gateway that has just started.
+    /// Creates the replica of a gateway that has just started.
     pub(crate) fn new(size: BucketSize, now: BootTime) -> Self {
-        Self { size, level: size.initial, filled: now }
+        Self { size, level: size.initial, filled_at: now }
     }
 
-    /// Units a second.
+    /// Units per second.
     pub(crate) fn rate(&self) -> f64 {
         self.size.rate
     }
@@ -94,21 +102,21 @@
         self.level = level.min(self.size.capacity);
     }
 
-    /// Fills it up to `now`. Returns what its rate brought meanwhile.
+    /// Fills the bucket up to `now`. Returns the units that its rate added.
     pub(crate) fn fill(&mut self, now: BootTime) -> f64 {
-        let added = self.size.rate * now.since(self.filled).as_secs_f64();
-        self.filled = now;
+        let added = self.size.rate * now.since(self.filled_at).as_secs_f64();
+        self.filled_at = now;
         self.set_level(self.level + added);
         added
     }
 
-    /// Takes out `units`, or puts them back where they are below 0. A report may take in the same
-    /// moment what is put back, so only the next filling cuts off what is too much.
+    /// Takes `units` from the bucket, or returns them if negative. The level may exceed the maximum
+    /// until the next fill, because a report may take at the same moment what is returned here.
     pub(crate) fn take(&mut self, units: f64) {
         self.level -= units;
     }
 
-    /// How long until there is something in it again.
+    /// Returns the time until the level is positive again.
     pub(crate) fn wait(&self) -> Duration {
         let seconds = (-self.level).max(0.0) / self.size.rate;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -14,53 +14,55 @@
     },
 };
 
-/// A region without a report for this long is silent: two reports and their delay.
+/// A region without a report for this long is silent. The time allows for two reports and their
+/// delay.
 const REGION_SILENCE: Duration = Duration::from_millis(180);
 
-/// A gateway of the own region without a report for this long is silent.
+/// A gateway of the local region without a report for this long is silent.
 const GATEWAY_SILENCE: Duration = Duration::from_secs(1);
 
-/// A gateway that has nothing to report sends a heartbeat this often.
+/// Interval of the heartbeats of a gateway that has nothing to report.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A region's share of a limit is not learned anew while more of it than this is silent.
-const MAX_SILENT_PART: f64 = 0.5;
+/// A region's share of a limit is not updated while this fraction of it or more is silent.
+const MAX_SILENT_FRACTION: f64 = 0.5;
 
-/// Each region's share is learned as if it had spent the whole limit for this long before: where
-/// little was spent, the first to spend would be given all of the limit.
+/// Each region's share is estimated as if it had spent the whole limit for this long before.
+/// Without this prior, the first region to spend after little spending would get the whole limit as
+/// its share.
 const SHARE_PRIOR: Duration = Duration::from_secs(1);
 
-/// Nor after this silence. Partitioned regions go on spending, and each would learn a larger share
-/// for itself before it detects the partition.
+/// A region's share of a limit is not updated after this silence either. Partitioned regions keep
+/// spending, and each would learn a larger share for itself before it detects the partition.
 const MAX_LEARNING_SILENCE: Duration = Duration::from_millis(130);
 
-/// Where gateways without contact go on, a region without gateways is assumed to spend for this
-/// long.
-const MAX_ASSUMPTION: Duration = Duration::from_secs(60);
+/// If gateways without contact keep serving, a region without known gateways is assumed to spend
+/// for this long.
+const MAX_ASSUMED_SPENDING_TIME: Duration = Duration::from_secs(60);
 
-/// The most counts of one message: a datagram holds so many of the longest names.
+/// Maximum number of counts in one message, so that a datagram holds them with the longest names.
 const MAX_COUNTS: usize = 10;
 
-/// What a request has taken out of its workspace's quota.
+/// The units that a request has taken from its workspace's quota.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "what has not run is to be given back"]
+#[must_use = "the charge of a request that has not run must be refunded"]
 pub struct QuotaCharge {
     workspace: WorkspaceName,
     units: u64,
 }
 
-/// A request is over its workspace's quota.
+/// A request exceeds its workspace's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRefusal {
-    /// When the bucket will have something again, if nobody else takes it.
+    /// Time until the bucket has units again if no other request takes any.
     pub wait: Duration,
-    /// What is in it; less than 0 where requests took more than there was.
+    /// Level of the bucket. It is negative if requests took more than was left.
     pub level: f64,
-    /// The limit.
+    /// The quota.
     pub quota: WorkspaceQuota,
 }
 
-/// A counter that is reported to others.
+/// A spend counter that is reported to other gateways.
 #[derive(Debug, Default)]
 struct ReportedCount {
     spent: u64,
@@ -73,7 +75,7 @@
         self.spent = spent.max(0.0).round() as u64;
     }
 
-    /// The counter, where it changed since the last report.
+    /// Returns the count if it has changed since the last report.
     fn report(&mut self, workspace: &WorkspaceName, level: f64) -> Option<SpendCount> {
         let latest = self.spent as i64 - self.reported as i64;
         self.reported = self.spent;
@@ -82,40 +84,40 @@
     }
 }
 
-/// What is known of one region's spending for a workspace.
+/// Known spending of one region for a workspace.
 #[derive(Debug, Default)]
 struct RegionAccount {
     spent: DecayingSpend,
-    /// Its share of the limit, learned while it reported.
+    /// The region's share of the limit, estimated while it reported.
     share: f64,
-    /// The part of it that is silent, 0 to 1.
+    /// Fraction of the region that is silent, from 0 to 1.
     silent: f64,
-    /// Units that its silent part is assumed to have spent.
+    /// Units that the silent part of the region is assumed to have spent.
     assumed: f64,
 }
 
-/// One workspace.
+/// Buckets and spending of one workspace.
 #[derive(Debug)]
 struct WorkspaceAccount {
     quota: WorkspaceQuota,
     bucket: SharedBucket,
-    /// Limits what the own region spends before the others know of it.
+    /// Limits what the local region spends before the other regions learn of it.
     region_bucket: SharedBucket,
-    /// Whether no other gateway has reported the level yet.
+    /// True until another gateway has reported the level.
     is_level_unknown: bool,
-    /// What this gateway spent.
+    /// Spending of this gateway.
     own: ReportedCount,
-    /// What the gateways of the own region spent, as far as this one knows.
+    /// Spending of the local region's gateways, as far as known to this one.
     region: ReportedCount,
     regions: BTreeMap<RegionName, RegionAccount>,
 }
 
-/// How much of a region reports.
+/// Contact with a region: which fraction of it is silent, and since how long.
 struct RegionContact {
     region: RegionName,
-    /// The part of it that is silent, 0 to 1.
+    /// Fraction of the region that is silent, from 0 to 1.
     silent: f64,
-    /// For how long that part has been silent.
+    /// Duration of the silence.
     silence: Duration,
 }
 
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Fills the bucket up to `now`, less what silent regions are assumed to spend.
+    /// Fills the buckets up to `now` and subtracts what silent regions are assumed to spend.
     fn fill(&mut self, contacts: &[RegionContact], now: BootTime) {
         let added = self.bucket.fill(now);
         self.region_bucket.fill(now);
@@ -142,21 +144,22 @@
         for contact in contacts {
             let RegionContact { region, silent, silence } = contact;
             let equal = 1.0 / contacts.len() as f64;
-            // What a new bucket holds is this region's own: silent ones cannot have taken it.
-            let new =
+            // The initial level belongs to this region: silent ones cannot have spent it.
+            let new_account =
                 || RegionAccount { share: equal, silent: *silent, ..RegionAccount::default() };
-            let region = self.regions.entry(region.clone()).or_insert_with(new);
-            if *silent < MAX_SILENT_PART && *silence < MAX_LEARNING_SILENCE {
+            let region = self.regions.entry(region.clone()).or_insert_with(new_account);
+            if *silent < MAX_SILENT_FRACTION && *silence < MAX_LEARNING_SILENCE {
                 let whole = total + prior * contacts.len() as f64;
                 region.share = (region.spent.at(now) + prior) / whole;
             }
-            let more = silent - region.silent;
-            let units = match more < 0.0 {
-                // Those that report again report what they spent.
-                true => region.assumed * more / region.silent,
+            let change = silent - region.silent;
+            let units = match change < 0.0 {
+                // Gateways that report again include what they spent, so the assumption is
+                // reverted.
+                true => region.assumed * change / region.silent,
                 false => {
                     let exposed = level.max(0.0) + rate * silence.as_secs_f64();
-                    region.share * (more * exposed + silent * added)
+                    region.share * (change * exposed + silent * added)
                 }
             };
             region.silent = *silent;
@@ -171,17 +174,17 @@
         self.region_bucket.resize(sizes.region);
     }
 
-    /// Notes what gateways of the own region are known to have spent.
-    fn spend_here(&mut self, own: &RegionName, units: f64, now: BootTime) {
+    /// Records units that gateways of the local region have spent.
+    fn spend_in_own_region(&mut self, own: &RegionName, units: f64, now: BootTime) {
         self.region_bucket.take(units);
         self.region.add(units);
         self.spend(own, units, now);
     }
 
-    /// Notes what a region is known to have spent.
+    /// Records units that a region has spent.
     fn spend(&mut self, region: &RegionName, units: f64, now: BootTime) {
         self.bucket.take(units);
-        self.regions.entry(region.clone()).or_default().spent.note(units, now);
+        self.regions.entry(region.clone()).or_default().spent.record(units, now);
     }
 }
 
@@ -189,21 +192,22 @@
 pub struct QuotaLedger {
     settings: QuotaSettings,
     accounts: HashMap<WorkspaceName, WorkspaceAccount>,
-    /// The gateways of the own region that take callers.
+    /// Gateways of the local region that accept requests.
     peers: Vec<VmName>,
-    /// Other regions that may have gateways, and since when none of them is known.
+    /// Other regions that may have gateways, with the time since which no gateway of the region is
+    /// known.
     regions: BTreeMap<RegionName, Option<BootTime>>,
-    /// Reports of gateways of the own region.
-    own_region: SourceTable,
+    /// Reports of gateways of the local region.
+    own_region_reports: SourceTable,
     /// Reports of other regions.
-    other_regions: BTreeMap<RegionName, RegionTable>,
+    other_region_reports: BTreeMap<RegionName, RegionTable>,
     sequence: u64,
-    /// When this gateway last reported to those of its region.
-    reported: BootTime,
+    /// Time of this gateway's last report to the gateways of its region.
+    last_report: BootTime,
 }
 
 impl QuotaLedger {
-    /// A ledger in which nothing is known.
+    /// Creates a ledger without quotas or reports.
     pub fn new(settings: QuotaSettings, now: BootTime) -> Self {
         let other_regions = settings.regions.iter().filter(|region| **region != settings.region);
         let regions = other_regions.map(|region| (region.clone(), Some(now))).collect();
@@ -212,25 +216,25 @@
             accounts: HashMap::new(),
             peers: Vec::new(),
             regions,
-            own_region: SourceTable::default(),
-            other_regions: BTreeMap::new(),
+            own_region_reports: SourceTable::default(),
+            other_region_reports: BTreeMap::new(),
             sequence: 0,
-            reported: BootTime::default(),
+            last_report: BootTime::default(),
         }
     }
 
-    /// Takes the quotas of the configuration in force.
+    /// Sets the quotas of the configuration in force.
     pub fn set_quotas<'a>(
         &mut self,
         workspaces: impl Iterator<Item = &'a TrafficWorkspace>,
         now: BootTime,
     ) {
-        let mut old = std::mem::take(&mut self.accounts);
+        let mut previous = std::mem::take(&mut self.accounts);
         for workspace in workspaces {
             let Some(quota) = workspace.quota else { continue };
             let QuotaSettings { tolerance, regions, .. } = &self.settings;
             let sizes = BucketSizes::new(&quota, tolerance, regions.len());
-            let account = match old.remove(&workspace.name) {
+            let account = match previous.remove(&workspace.name) {
                 Some(mut account) => {
                     account.set_quota(quota, sizes);
                     account
@@ -241,7 +245,8 @@
         }
     }
 
-    /// Takes the gateways of the own region that take callers, and the other regions that have some.
+    /// Sets the gateways of the local region that accept requests, and the other regions that have
+    /// such gateways.
     pub fn set_gateways(
         &mut self,
         peers: Vec<VmName>,
@@ -257,14 +262,15 @@
                 gone.get_or_insert(now);
             }
         }
-        let horizon = self.settings.revocation.unwrap_or(MAX_ASSUMPTION);
+        let horizon = self.settings.revocation.unwrap_or(MAX_ASSUMED_SPENDING_TIME);
         self.regions.retain(|_, gone| gone.is_none_or(|gone| now.since(gone) < horizon));
     }
 
-    /// Takes a request's units out of its workspace's bucket.
+    /// Takes a request's units from its workspace's bucket.
     ///
-    /// Whatever it weighs, it passes while there is anything left: one that weighs more than a whole
-    /// burst could never pass otherwise, and long prompts would be refused where short ones pass.
+    /// A request of any weight passes while the level is positive. Otherwise a request that weighs
+    /// more than a whole burst could never pass, and long prompts would be refused where short ones
+    /// pass.
     pub fn charge(
         &mut self,
         workspace: &WorkspaceName,
@@ -287,7 +293,7 @@
         Ok(charge)
     }
 
-    /// Gives back what a request took that has not run.
+    /// Refunds the units of a request that has not run.
     pub fn refund(&mut self, charge: QuotaCharge, now: BootTime) {
         let QuotaCharge { workspace, units } = charge;
         self.fill(&workspace, now);
@@ -297,10 +303,10 @@
     fn spend_own(&mut self, workspace: &WorkspaceName, units: f64, now: BootTime) {
         let Some(account) = self.accounts.get_mut(workspace) else { return };
         account.own.add(units);
-        account.spend_here(&self.settings.region, units, now);
+        account.spend_in_own_region(&self.settings.region, units, now);
     }
 
-    /// The level of a bucket; `None` where the workspace has no limit.
+    /// Returns the level of a bucket, or `None` if the workspace has no quota.
     pub fn level(&mut self, workspace: &WorkspaceName, now: BootTime) -> Option<f64> {
         self.fill(workspace, now);
         self.accounts.get(workspace).map(|account| account.bucket.level())
@@ -313,63 +319,64 @@
         }
     }
 
-    /// How much of each region reports, the own one included.
+    /// Returns the silent part of each region, including the local one.
     fn contacts(&self, now: BootTime) -> Vec<RegionContact> {
-        let silent = self.silent_part(now);
-        let silence = if silent < MAX_SILENT_PART { Duration::ZERO } else { GATEWAY_SILENCE };
+        let silent = self.silent_fraction(now);
+        let silence = if silent < MAX_SILENT_FRACTION { Duration::ZERO } else { GATEWAY_SILENCE };
         let own = RegionContact { region: self.settings.region.clone(), silent, silence };
-        let elsewhere = self.regions.keys().map(|region| {
-            let heard = self.other_regions.get(region).and_then(RegionTable::last_heard);
+        let remote = self.regions.keys().map(|region| {
+            let heard = self.other_region_reports.get(region).and_then(RegionTable::last_report);
             let silence =
                 heard.map_or(REGION_SILENCE, |heard| now.since(heard).min(REGION_SILENCE));
             let overdue = silence.saturating_sub(MAX_LEARNING_SILENCE).as_secs_f64();
             let silent = overdue / (REGION_SILENCE - MAX_LEARNING_SILENCE).as_secs_f64();
             RegionContact { region: region.clone(), silent, silence }
         });
-        std::iter::once(own).chain(elsewhere).collect()
+        std::iter::once(own).chain(remote).collect()
     }
 
-    /// The part of the own region's gateways that is silent.
-    fn silent_part(&self, now: BootTime) -> f64 {
+    /// Returns the fraction of the local region's gateways that is silent.
+    fn silent_fraction(&self, now: BootTime) -> f64 {
         let limit = now.earlier(GATEWAY_SILENCE).unwrap_or_default();
-        let heard: BTreeSet<&VmName> = self.own_region.heard_after(limit).collect();
+        let heard: BTreeSet<&VmName> = self.own_region_reports.heard_since(limit).collect();
         let is_silent = |vm: &&VmName| **vm != self.settings.vm && !heard.contains(*vm);
         let silent = self.peers.iter().filter(is_silent).count();
         silent as f64 / self.peers.len().max(1) as f64
     }
 
-    /// What this gateway spent since the last report, for the gateways of its region.
+    /// Returns what this gateway has spent since the last report, for the gateways of its region.
     pub fn own_report(&mut self, now: BootTime) -> Vec<VmSpend> {
         let counts = self.changed_counts(now, |account| &mut account.own);
         if !counts.is_empty() {
-            self.reported = now;
+            self.last_report = now;
         }
-        counts.chunks(MAX_COUNTS).map(|counts| self.message(counts)).collect()
+        counts.chunks(MAX_COUNTS).map(|counts| self.next_message(counts)).collect()
     }
 
-    /// A report without counts, where the last one to the gateways of the region is some time ago.
+    /// Returns a report without counts if the last report to the gateways of the region was sent a
+    /// heartbeat interval ago or earlier.
     pub fn heartbeat(&mut self, now: BootTime) -> Option<VmSpend> {
-        if now.since(self.reported) < HEARTBEAT_INTERVAL {
+        if now.since(self.last_report) < HEARTBEAT_INTERVAL {
             return None;
         }
-        self.reported = now;
-        Some(self.message(&[]))
+        self.last_report = now;
+        Some(self.next_message(&[]))
     }
 
-    /// What the gateways of this region spent since the last report, for other regions; a report
-    /// without counts where that is nothing.
+    /// Returns what the gateways of this region have spent since the last report, for other
+    /// regions. If that is nothing, returns one report without counts.
     pub fn region_report(&mut self, now: BootTime) -> Vec<RegionSpend> {
         let counts = self.changed_counts(now, |account| &mut account.region);
         let mut messages: Vec<_> =
-            counts.chunks(MAX_COUNTS).map(|counts| self.message(counts)).collect();
+            counts.chunks(MAX_COUNTS).map(|counts| self.next_message(counts)).collect();
         if messages.is_empty() {
-            messages.push(self.message(&[]));
+            messages.push(self.next_message(&[]));
         }
         let region = &self.settings.region;
         messages.into_iter().map(|by| RegionSpend { region: region.clone(), by }).collect()
     }
 
-    /// Whether no workspace has a limit.
+    /// Returns true if no workspace has a quota.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
@@ -393,14 +400,14 @@
         changed.into_iter().filter_map(report).collect()
     }
 
-    fn message(&mut self, counts: &[SpendCount]) -> VmSpend {
+    fn next_message(&mut self, counts: &[SpendCount]) -> VmSpend {
         self.sequence += 1;
         let QuotaSettings { vm, run, .. } = &self.settings;
         VmSpend { vm: vm.clone(), run: *run, sequence: self.sequence, counts: counts.to_vec() }
     }
 
-    /// Takes in a message. Returns what is to be passed on to the gateways of the own region.
-    pub fn note(&mut self, notice: SpendNotice, now: BootTime) -> Option<SpendNotice> {
+    /// Handles a message. Returns the message to relay to the gateways of the local region, if any.
+    pub fn receive(&mut self, notice: SpendNotice, now: BootTime) -> Option<SpendNotice> {
         match notice {
             SpendNotice::Own(spend) => {
                 self.receive_own(spend, now);
@@ -418,10 +425,10 @@
         if spend.vm == self.settings.vm {
             return;
         }
-        for delta in self.own_region.note(spend, now) {
+        for delta in self.own_region_reports.receive(spend, now) {
             self.fill(&delta.workspace, now);
             let Some(account) = self.accounts.get_mut(&delta.workspace) else { continue };
-            account.spend_here(&self.settings.region, delta.units, now);
+            account.spend_in_own_region(&self.settings.region, delta.units, now);
             if std::mem::take(&mut account.is_level_unknown) {
                 account.bucket.set_level(delta.level);
             }
@@ -434,7 +441,9 @@
             return;
         }
         let limit = now.earlier(REGION_SILENCE).unwrap_or_default();
-        for delta in self.other_regions.entry(region.clone()).or_default().note(by, limit, now) {
+        for delta in
+            self.other_region_reports.entry(region.clone()).or_default().receive(by, limit, now)
+        {
             self.fill(&delta.workspace, now);
             if let Some(account) = self.accounts.get_mut(&delta.workspace) {
                 account.spend(&region, delta.units, now);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,17 +1,17 @@
-//! Quotas of workspaces, counted over all gateways together.
+//! Quotas of workspaces, enforced across all gateways.
 //!
 //! A quota is a token bucket of the whole deployment. Each gateway keeps a replica of every bucket
-//! ([`QuotaLedger`]), from which it takes what it spends itself and what the others report. Reports
-//! are counters since the begin of a run, so a lost one is made up for by the next. Gateways of a
-//! region report to each other within tens of milliseconds, and two of each region report the sum
-//! to the other regions.
+//! ([`QuotaLedger`]) and takes from it what it spends itself and what the others report. Reports
+//! contain counters since the start of a run, so the next report makes up for a lost one. Gateways
+//! of a region report to each other within tens of milliseconds, and two gateways of each region
+//! report its total to the other regions.
 //!
-//! During a partition a silent region is assumed to spend its share of the limit, in proportion to
-//! what it spent before, until it reports again or can no longer check keys. So partitioned regions
-//! stay within the limit together, and a gateway that was suspended or has just started begins with
-//! its own share.
+//! During a partition, a silent region is assumed to spend its share of the limit, in proportion to
+//! its earlier spending, until it reports again or can no longer check keys. Partitioned regions
+//! therefore stay within the limit together, and a gateway that was suspended or has just started
+//! begins with its own share.
 //!
-//! No I/O, and no clock of its own.
+//! The crate does no I/O, and callers pass in the time.
 
 mod bucket;
 mod ledger;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,37 +1,37 @@
-//! Reports of what gateways spent.
+//! Reports of the spending of gateways.
 
 use {
     gullglade_units::{RegionName, VmName, WorkspaceName},
     serde::{Deserialize, Serialize},
 };
 
-/// What one source has spent for a workspace.
+/// Spending of one source for a workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpendCount {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// Units since the source's run began, less what was given back.
+    /// Units spent since the source's run began, less refunds.
     pub spent: u64,
-    /// Of these, the units since the last report: all that counts for a new receiver.
+    /// Units spent since the last report. A receiver without an earlier report counts only these.
     pub latest: i64,
-    /// The level of the source's bucket, for a receiver that has just started.
+    /// Level of the source's bucket, for a receiver that has just started.
     pub level: i64,
 }
 
-/// What one gateway has spent.
+/// Spending of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmSpend {
     /// The VM.
     pub vm: VmName,
-    /// Its gateway's run.
+    /// The run of its gateway.
     pub run: u64,
-    /// Rises with each message of the run; an older one says nothing.
+    /// Increases with each message of the run. Receivers ignore the counts of older messages.
     pub sequence: u64,
-    /// What changed.
+    /// Counts that have changed.
     pub counts: Vec<SpendCount>,
 }
 
-/// What all gateways of a region have spent, as one of them knows it.
+/// Spending of all gateways of a region, as known to one of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionSpend {
     /// The region.
@@ -40,16 +40,16 @@
     pub by: VmSpend,
 }
 
-/// One message.
+/// A message between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SpendNotice {
     /// From a gateway of the same region.
     Own(VmSpend),
-    /// From another region. The first receiver relays it in its own region.
+    /// From another region. The first receiver relays the message in its own region.
     Region {
-        /// What it says.
+        /// The report.
         spend: RegionSpend,
-        /// Whether it comes from a gateway of the reader's region.
+        /// True if a gateway of the receiver's region has relayed the message.
         is_relayed: bool,
     },
 }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a ledger.
+//! Settings of a [`QuotaLedger`](crate::QuotaLedger).
 
 use {
     gullglade_traffic::WorkspaceQuota,
@@ -6,39 +6,39 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// How far beyond a limit all gateways together may come in a window of time.
+/// Maximum excess over a limit, by all gateways together, in a time window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTolerance {
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// The part of what the limit allows in a window that may come on top.
+    /// Excess as a fraction of what the limit allows in a window.
     pub over: f64,
-    /// Units that may come on top of that.
+    /// Additional excess in units.
     pub slack: f64,
 }
 
 impl QuotaTolerance {
-    /// The units that may come on top in a window.
+    /// Returns the maximum excess in a window, in units.
     pub(crate) fn margin(&self, quota: &WorkspaceQuota) -> f64 {
         let allowed = quota.rate * self.window.as_secs_f64() + quota.burst;
         (self.over * allowed + self.slack).max(0.0)
     }
 }
 
-/// Settings of a ledger.
+/// Settings of a [`QuotaLedger`](crate::QuotaLedger).
 #[derive(Clone, Debug)]
 pub struct QuotaSettings {
-    /// The VM of its gateway.
+    /// The VM of the gateway.
     pub vm: VmName,
-    /// The region of its gateway.
+    /// The region of the gateway.
     pub region: RegionName,
-    /// The regions of the deployment. Until it is known which of them have gateways, all may.
+    /// The regions of the deployment. All may have gateways until it is known which do.
     pub regions: BTreeSet<RegionName>,
-    /// Tells the gateway's run from its other runs.
+    /// Distinguishes this run of the gateway from its other runs.
     pub run: u64,
-    /// A gateway without contact takes no more keys after this time, and what it does not report later
-    /// it has not spent; `None` where it goes on.
+    /// Time after which a gateway without contact accepts no more keys. Spending that it does not
+    /// report later did not happen. `None` if such a gateway keeps serving.
     pub revocation: Option<Duration>,
-    /// How far beyond a limit all gateways together may come.
+    /// Maximum excess over a limit by all gateways together.
     pub tolerance: QuotaTolerance,
 }
--- a/crates/quota/src/source.rs
+++ b/crates/quota/src/source.rs
@@ -1,4 +1,4 @@
-//! Reports of others, and what they add to what is known.
+//! Received reports, and the spending that each adds to the known total.
 
 use {
     crate::{SpendCount, VmSpend},
@@ -9,10 +9,10 @@
     },
 };
 
-/// Spending counts half in a source's share of the limit after this.
+/// Half-life of spending in the estimate of a source's share of the limit.
 const SHARE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Spending that decays with time: its proportions are the shares that sources have of a limit.
+/// Exponentially decaying spending. Its proportions are the shares of the sources in a limit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingSpend {
     units: f64,
@@ -20,18 +20,18 @@
 }
 
 impl DecayingSpend {
-    pub(crate) fn note(&mut self, units: f64, now: BootTime) {
+    pub(crate) fn record(&mut self, units: f64, now: BootTime) {
         self.units = (self.at(now) + units).max(0.0);
         self.at = now;
     }
 
     pub(crate) fn at(&self, now: BootTime) -> f64 {
-        let halves = now.since(self.at).as_secs_f64() / SHARE_HALF_LIFE.as_secs_f64();
-        self.units * 0.5_f64.powf(halves)
+        let half_lives = now.since(self.at).as_secs_f64() / SHARE_HALF_LIFE.as_secs_f64();
+        self.units * 0.5_f64.powf(half_lives)
     }
 }
 
-/// One run of a gateway, as its reports have it.
+/// The reported state of one run of a gateway.
 #[derive(Debug)]
 struct KnownRun {
     run: u64,
@@ -39,38 +39,41 @@
     spent: HashMap<WorkspaceName, u64>,
 }
 
-/// What a report adds to what is known.
+/// Spending that a report adds to the known total.
 pub(crate) struct SpendDelta {
     pub(crate) workspace: WorkspaceName,
-    /// Units spent since the last report; less than 0 where more was given back.
+    /// Units spent since the last report. Negative if more was refunded.
     pub(crate) units: f64,
     pub(crate) level: f64,
-    /// Whether this is the run's first report on the workspace.
+    /// True for the run's first report on the workspace.
     is_first: bool,
 }
 
-/// The gateways that report, by VM.
+/// The reporting gateways by VM.
 #[derive(Debug, Default)]
 pub(crate) struct SourceTable {
     known: BTreeMap<VmName, KnownRun>,
-    heard: BTreeMap<VmName, BootTime>,
+    last_reports: BTreeMap<VmName, BootTime>,
 }
 
 impl SourceTable {
-    /// When any of them was last heard.
-    pub(crate) fn last_heard(&self) -> Option<BootTime> {
-        self.heard.values().max().copied()
+    /// Time of the latest report of any gateway.
+    pub(crate) fn last_report(&self) -> Option<BootTime> {
+        self.last_reports.values().max().copied()
     }
 
-    /// The VMs heard after `time`.
-    pub(crate) fn heard_after(&self, time: BootTime) -> impl Iterator<Item = &VmName> {
-        self.heard.iter().filter(move |(_, heard)| **heard >= time).map(|(vm, _)| vm)
+    /// VMs with a report at `time` or later.
+    pub(crate) fn heard_since(&self, time: BootTime) -> impl Iterator<Item = &VmName> {
+        self.last_reports
+            .iter()
+            .filter(move |(_, last_reports)| **last_reports >= time)
+            .map(|(vm, _)| vm)
     }
 
-    /// Takes in a report.
-    pub(crate) fn note(&mut self, spend: VmSpend, now: BootTime) -> Vec<SpendDelta> {
+    /// Handles a report. Returns what it adds; nothing if it is older than one already received.
+    pub(crate) fn receive(&mut self, spend: VmSpend, now: BootTime) -> Vec<SpendDelta> {
         let VmSpend { vm, run, sequence, counts } = spend;
-        self.heard.insert(vm.clone(), now);
+        self.last_reports.insert(vm.clone(), now);
         let known = self.known.entry(vm).or_insert_with(|| KnownRun::new(run));
         if known.run != run {
             *known = KnownRun::new(run);
@@ -83,31 +86,37 @@
     }
 }
 
-/// The gateways that report on one region. All of them report the same, each as it knows it.
+/// The gateways that report on one region. All of them report the region's total, each as known to
+/// it.
 #[derive(Debug, Default)]
 pub(crate) struct RegionTable {
     reporters: SourceTable,
-    /// What the region has spent, by reporter and workspace.
+    /// Spending of the region by reporter and workspace.
     reported: HashMap<VmName, HashMap<WorkspaceName, f64>>,
-    /// What is counted of it, by workspace.
+    /// Spending already counted by workspace.
     counted: HashMap<WorkspaceName, f64>,
 }
 
 impl RegionTable {
-    /// When anyone was last heard.
-    pub(crate) fn last_heard(&self) -> Option<BootTime> {
-        self.reporters.last_heard()
+    /// Time of the latest report of any reporter.
+    pub(crate) fn last_report(&self) -> Option<BootTime> {
+        self.reporters.last_report()
     }
 
-    /// Takes in a report, and returns what is new. Of the reporters heard after `limit` only the
-    /// first counts, and only what goes beyond the reports counted before.
-    pub(crate) fn note(&mut self, by: VmSpend, limit: BootTime, now: BootTime) -> Vec<SpendDelta> {
+    /// Handles a report and returns the spending that it adds. Only the first of the reporters
+    /// heard since `limit` counts, and only what exceeds the spending counted before.
+    pub(crate) fn receive(
+        &mut self,
+        by: VmSpend,
+        limit: BootTime,
+        now: BootTime,
+    ) -> Vec<SpendDelta> {
         let vm = by.vm.clone();
-        let news = self.reporters.note(by, now);
-        let counts = self.reporters.heard_after(limit).next() == Some(&vm);
+        let deltas = self.reporters.receive(by, now);
+        let counts = self.reporters.heard_since(limit).next() == Some(&vm);
         let reported = self.reported.entry(vm).or_default();
         let mut new = Vec::new();
-        for SpendDelta { workspace, units, level, is_first } in news {
+        for SpendDelta { workspace, units, level, is_first } in deltas {
             let counted = self.counted.entry(workspace.clone()).or_default();
             let total = reported.entry(workspace.clone()).or_insert(*counted);
             if is_first {
--- a/crates/quota/src/weight.rs
+++ b/crates/quota/src/weight.rs
@@ -1,8 +1,9 @@
-//! What a request counts against a quota.
+//! Weight of a request in its workspace's quota.
 
 use gullglade_traffic::QuotaUnit;
 
-/// The units of a request that states `tokens`: those of its prompt and of its longest answer.
+/// Returns the units of a request. `tokens` are those of its prompt and of its longest possible
+/// answer, if the request states them.
 pub fn request_weight(unit: QuotaUnit, tokens: Option<(u32, u32)>) -> u64 {
     match (unit, tokens) {
         (QuotaUnit::Requests, _) => 1,
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A deployment of gateways that share quotas, in virtual time.
+//! Simulation of a deployment of gateways that share quotas, in virtual time.
 
-#![allow(dead_code)] // Each test program uses a part of it.
+#![allow(dead_code)] // Each test binary uses a part of it.
 
 use {
     gullglade_quota::{QuotaCharge, QuotaLedger, QuotaSettings, QuotaTolerance, SpendNotice},
@@ -14,28 +14,28 @@
     },
 };
 
-/// The step of virtual time.
+/// Duration of one step of virtual time.
 pub(crate) const STEP_MS: u64 = 20;
 
-/// Gateways of a region are told this often, in steps.
-const OWN_STEPS: u64 = 1;
+/// Interval of reports to gateways of the same region, in steps.
+const OWN_REPORT_STEPS: u64 = 1;
 
-/// How often the gateways of a region that do so tell other regions, in steps.
-const SPEAKER_STEPS: [u64; 2] = [3, 3];
+/// Intervals of reports to other regions, in steps, for each gateway of a region that sends them.
+const REGION_REPORT_STEPS: [u64; 2] = [3, 3];
 
-/// The fleet is looked at this often, in steps.
-const PLACE_STEPS: u64 = 25;
+/// Interval of membership updates, in steps.
+const MEMBERSHIP_STEPS: u64 = 25;
 
-/// One way between two regions, in steps.
-const AWAY_STEPS: u64 = 3;
+/// One-way delay between two regions, in steps.
+const REGION_DELAY_STEPS: u64 = 3;
 
-/// How far beyond a limit a deployment may come.
+/// Maximum excess of a deployment over a limit.
 pub(crate) const TOLERANCE: QuotaTolerance =
     QuotaTolerance { window: Duration::from_secs(8), over: 0.1, slack: 140_000.0 };
 
 pub(crate) const REVOCATION: Duration = Duration::from_secs(5);
 
-/// A VM that has just started keeps its clock.
+/// Initial time of the VMs' clocks. A gateway that restarts does not reset it.
 const CLOCK_START: Duration = Duration::from_secs(60);
 
 pub(crate) fn name(text: &str) -> WorkspaceName {
@@ -52,90 +52,90 @@
     }
 }
 
-/// One gateway.
-pub(crate) struct PlayedGateway {
+/// A simulated gateway.
+pub(crate) struct SimulatedGateway {
     pub(crate) region: usize,
     vm: VmName,
     ledger: QuotaLedger,
     run: u64,
     is_killed: bool,
-    /// Until when it does not run.
+    /// The gateway does not run before this step.
     down_until: u64,
-    /// The last step in which it had a way to control processes.
-    touched: u64,
+    /// Last step in which the gateway reached the control processes.
+    last_contact: u64,
 }
 
-/// What is on its way.
+/// A message in transit.
 struct Message {
     due: u64,
     to: usize,
     notice: SpendNotice,
 }
 
-/// What is wrong with the links.
+/// Faults of the links.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct LinkTrouble {
-    /// Of 1,000 messages.
+pub(crate) struct LinkFaults {
+    /// Number of lost messages per 1,000.
     pub(crate) lost: u64,
-    /// Whether the regions are cut off from each other.
-    pub(crate) are_regions_cut: bool,
+    /// True while the regions are partitioned from each other.
+    pub(crate) are_regions_partitioned: bool,
 }
 
-/// A deployment.
-pub(crate) struct QuotaPlay {
-    pub(crate) gateways: Vec<PlayedGateway>,
+/// A simulated deployment.
+pub(crate) struct QuotaSimulation {
+    pub(crate) gateways: Vec<SimulatedGateway>,
     pub(crate) random: SeededRandom,
-    pub(crate) trouble: LinkTrouble,
+    pub(crate) faults: LinkFaults,
     pub(crate) workspace: TrafficWorkspace,
     regions: usize,
     messages: Vec<Message>,
     step: u64,
-    /// What ran: milliseconds, units.
+    /// Requests that ran: time in milliseconds and units.
     pub(crate) ran: Vec<(u64, u64)>,
-    /// What a bucket without any delay would have let in.
+    /// Level of an ideal bucket that all gateways share without delay.
     ideal_level: f64,
-    /// Units that it lets in, and of these units refused all the same.
-    pub(crate) owed: u64,
-    pub(crate) refused_below: u64,
+    /// Units that the ideal bucket admits, and those of them that gateways refused.
+    pub(crate) ideal_units: u64,
+    pub(crate) refused_ideal_units: u64,
 }
 
 fn region(index: usize) -> RegionName {
     RegionName::try_from(format!("region-{index}")).expect("a name")
 }
 
-impl QuotaPlay {
+impl QuotaSimulation {
     pub(crate) fn new(seed: u64, regions: usize, per_region: usize, rate: f64) -> Self {
         let workspace = workspace(rate, rate);
-        let mut play = Self {
+        let mut simulation = Self {
             gateways: Vec::new(),
             random: SeededRandom::new(seed),
-            trouble: LinkTrouble::default(),
+            faults: LinkFaults::default(),
             regions,
             messages: Vec::new(),
             step: 0,
             ran: Vec::new(),
             ideal_level: 0.0,
-            owed: 0,
-            refused_below: 0,
+            ideal_units: 0,
+            refused_ideal_units: 0,
             workspace,
         };
         for index in 0..regions * per_region {
             let vm = VmName::try_from(format!("vm-{index}")).expect("a name");
             let region_index = index % regions;
-            let ledger = play.ledger(&vm, region_index, 1);
-            let (run, down_until, touched) = (1, 0, 0);
-            let gateway = PlayedGateway {
+            let ledger = simulation.ledger(&vm, region_index, 1);
+            let (run, down_until, last_contact) = (1, 0, 0);
+            let gateway = SimulatedGateway {
                 region: region_index,
                 vm,
                 ledger,
                 run,
                 is_killed: false,
                 down_until,
-                touched,
+                last_contact,
             };
-            play.gateways.push(gateway);
+            simulation.gateways.push(gateway);
         }
-        play
+        simulation
     }
 
     fn ledger(&self, vm: &VmName, region_index: usize, run: u64) -> QuotaLedger {
@@ -169,14 +169,14 @@
         }
     }
 
-    /// Ends a gateway's process; another run begins after `millis`.
+    /// Kills a gateway's process. Another run starts after `millis`.
     pub(crate) fn kill(&mut self, index: usize, millis: u64) {
         let gateway = &mut self.gateways[index];
         gateway.is_killed = true;
         gateway.down_until = self.step + 1 + millis / STEP_MS;
     }
 
-    /// Begins a gateway's next run.
+    /// Starts a gateway's next run.
     fn restart(&mut self, index: usize) {
         let (vm, region, run) = {
             let gateway = &self.gateways[index];
@@ -187,8 +187,8 @@
         (gateway.ledger, gateway.run, gateway.is_killed) = (ledger, run, false);
     }
 
-    /// Has a gateway stand still.
-    pub(crate) fn freeze(&mut self, index: usize, millis: u64) {
+    /// Suspends a gateway for `millis`.
+    pub(crate) fn suspend(&mut self, index: usize, millis: u64) {
         self.gateways[index].down_until = self.step + millis / STEP_MS;
     }
 
@@ -196,7 +196,7 @@
         self.gateways[index].down_until <= self.step
     }
 
-    /// One step: messages arrive, the fleet is looked at, others are told.
+    /// Runs one step: delivers messages, updates the membership and sends reports.
     pub(crate) fn advance(&mut self) {
         self.step += 1;
         let rate = self.workspace.quota.map_or(0.0, |quota| quota.rate);
@@ -209,13 +209,13 @@
             if self.gateways[index].is_killed {
                 self.restart(index);
             }
-            if !self.trouble.are_regions_cut || self.gateways[index].region == 0 {
-                self.gateways[index].touched = self.step;
+            if !self.faults.are_regions_partitioned || self.gateways[index].region == 0 {
+                self.gateways[index].last_contact = self.step;
             }
-            if (self.step + index as u64).is_multiple_of(PLACE_STEPS) {
-                self.look(index);
+            if (self.step + index as u64).is_multiple_of(MEMBERSHIP_STEPS) {
+                self.update_membership(index);
             }
-            self.tell(index);
+            self.send_reports(index);
         }
     }
 
@@ -230,14 +230,15 @@
                 continue;
             }
             let now = self.now();
-            if let Some(relayed) = self.gateways[to].ledger.note(notice, now) {
-                self.tell_region(to, &relayed);
+            if let Some(relayed) = self.gateways[to].ledger.receive(notice, now) {
+                self.send_to_region(to, &relayed);
             }
         }
     }
 
-    /// What the fleet's news say: all gateways, however long they have been cut off.
-    fn look(&mut self, index: usize) {
+    /// Sets the membership known to a gateway: all gateways, including those partitioned for a long
+    /// time.
+    fn update_membership(&mut self, index: usize) {
         let now = self.now();
         let own = self.gateways[index].region;
         let vms = self.gateways.iter().filter(|g| g.region == own).map(|g| g.vm.clone()).collect();
@@ -245,17 +246,17 @@
         self.gateways[index].ledger.set_gateways(vms, &others, now);
     }
 
-    fn tell(&mut self, index: usize) {
+    fn send_reports(&mut self, index: usize) {
         let now = self.now();
-        if (self.step + index as u64).is_multiple_of(OWN_STEPS) {
+        if (self.step + index as u64).is_multiple_of(OWN_REPORT_STEPS) {
             for spend in self.gateways[index].ledger.own_report(now) {
-                self.tell_region(index, &SpendNotice::Own(spend));
+                self.send_to_region(index, &SpendNotice::Own(spend));
             }
         }
-        if let Some(sign) = self.gateways[index].ledger.heartbeat(now) {
-            self.tell_region(index, &SpendNotice::Own(sign));
+        if let Some(heartbeat) = self.gateways[index].ledger.heartbeat(now) {
+            self.send_to_region(index, &SpendNotice::Own(heartbeat));
         }
-        let Some(steps) = SPEAKER_STEPS.get(self.rank(index)) else { return };
+        let Some(steps) = REGION_REPORT_STEPS.get(self.rank(index)) else { return };
         if !self.step.is_multiple_of(*steps) {
             return;
         }
@@ -268,20 +269,20 @@
                     .filter(of_other)
                     .max_by_key(|i| score(vm, self.gateways[*i].vm.as_str()));
                 let notice = SpendNotice::Region { spend: spend.clone(), is_relayed: false };
-                if !self.trouble.are_regions_cut {
-                    self.send(listener, AWAY_STEPS, &notice);
+                if !self.faults.are_regions_partitioned {
+                    self.send(listener, REGION_DELAY_STEPS, &notice);
                 }
             }
         }
     }
 
-    /// How many gateways of the region tell other regions before this one does.
+    /// Returns how many gateways of the region precede this one in reporting to other regions.
     fn rank(&self, index: usize) -> usize {
         let own = &self.gateways[index];
         self.gateways[..index].iter().filter(|g| g.region == own.region).count()
     }
 
-    fn tell_region(&mut self, index: usize, notice: &SpendNotice) {
+    fn send_to_region(&mut self, index: usize, notice: &SpendNotice) {
         let own = self.gateways[index].region;
         for to in 0..self.gateways.len() {
             if to != index && self.gateways[to].region == own {
@@ -292,22 +293,22 @@
 
     fn send(&mut self, to: Option<usize>, steps: u64, notice: &SpendNotice) {
         let Some(to) = to else { return };
-        if self.random.below(1_000) >= self.trouble.lost {
+        if self.random.below(1_000) >= self.faults.lost {
             self.messages.push(Message { due: self.step + steps, to, notice: notice.clone() });
         }
     }
 
-    /// A request comes to a gateway. `Some` where it was let in.
+    /// Sends a request to a gateway. Returns the charge if it is admitted.
     pub(crate) fn request(&mut self, index: usize, units: u64) -> Option<QuotaCharge> {
         let lease = REVOCATION.as_millis() as u64 / STEP_MS;
-        let has_contact = self.step - self.gateways[index].touched < lease;
+        let has_contact = self.step - self.gateways[index].last_contact < lease;
         if !self.is_up(index) || !has_contact {
             return None;
         }
-        let is_owed = self.ideal_level > 0.0;
-        if is_owed {
+        let ideal_admits = self.ideal_level > 0.0;
+        if ideal_admits {
             self.ideal_level -= units as f64;
-            self.owed += units;
+            self.ideal_units += units;
         }
         let now = self.now();
         match self.gateways[index].ledger.charge(&self.workspace.name, units, now) {
@@ -316,15 +317,15 @@
                 Some(charge)
             }
             Err(_) => {
-                if is_owed {
-                    self.refused_below += units;
+                if ideal_admits {
+                    self.refused_ideal_units += units;
                 }
                 None
             }
         }
     }
 
-    /// Gives back what a request took that has not run after all.
+    /// Refunds the charge of a request that has not run after all.
     pub(crate) fn refund(&mut self, index: usize, charge: QuotaCharge, units: u64) {
         let now = self.now();
         self.gateways[index].ledger.refund(charge, now);
@@ -332,8 +333,8 @@
         self.ran.remove(at);
     }
 
-    /// The most units that ran in any window, and when it began.
-    pub(crate) fn most_in(&self, window_ms: u64) -> (u64, u64) {
+    /// Returns the maximum number of units that ran in any window, and the start of that window.
+    pub(crate) fn max_in_window(&self, window_ms: u64) -> (u64, u64) {
         let mut sums: BTreeMap<u64, u64> = BTreeMap::new();
         for (at, units) in &self.ran {
             *sums.entry(*at).or_default() += units;
