--- a/crates/claim/src/error.rs
+++ b/crates/claim/src/error.rs
@@ -14,8 +14,8 @@
     /// The key is older than the retention window.
     #[snafu(display(
         "order key {key} is older than the retention window of {window:?}: this send was not run, \
-         but whether an earlier one under the same key ran is no longer on record; look in the \
-         backend's own records, then order under a new key"
+         but there is no longer a record of earlier sends under the same key; check the \
+         backend server's own records, then order under a new key"
     ))]
     Expired {
         /// The order key.
@@ -25,21 +25,21 @@
     },
     /// The creation time in the key is ahead of the replica's clock by more than the allowed skew.
     #[snafu(display(
-        "order key {key} was made {ahead:?} ahead of this VM's clock, {allowed:?} is allowed: set \
-         the clock where keys are made, or take keys from `GET /v1/entry`; then resend under the \
-         same key"
+        "order key {key} was created {ahead:?} ahead of this VM's clock, at most {allowed:?} is \
+         allowed: correct the clock where keys are created, or take keys from `GET /v1/entry`; \
+         then resend under the same key"
     ))]
     FromFuture {
         /// The order key.
         key: OrderKey,
         /// Difference between the key's creation time and the local clock.
         ahead: Duration,
-        /// The bound.
+        /// Maximum difference.
         allowed: Duration,
     },
     /// The service does not allow its data in the claim region.
     #[snafu(display(
-        "order key {key} has its claims decided in region {region}, where the service does not \
+        "order key {key} is decided in region {region}, where the service does not \
          allow its data: take a key for an allowed region from `GET /v1/entry`"
     ))]
     RegionNotAllowed {
@@ -80,8 +80,8 @@
     },
     /// Another send under the same key superseded this one before its dispatch.
     #[snafu(display(
-        "another send under order key {key} took over before this one was dispatched: its answer \
-         comes by a resend under the same key"
+        "another send under order key {key} took over before this one was dispatched: resend \
+         under the same key to get its answer"
     ))]
     Superseded {
         /// The order key.
@@ -97,7 +97,7 @@
         key: OrderKey,
         /// Age of the send, or time since its grant.
         age: Duration,
-        /// The bound.
+        /// Maximum age.
         limit: Duration,
     },
 }
--- a/crates/claim/src/join.rs
+++ b/crates/claim/src/join.rs
@@ -31,7 +31,7 @@
     /// Members of this epoch and the previous one that have answered, with the latest epoch for
     /// which each held all claims when it was copied.
     copied: BTreeMap<VmName, u64>,
-    /// Time at which enough members of the previous epoch were known to vote in it no more.
+    /// Time at which enough members of the previous epoch were known to no longer vote in it.
     sealed_at: Option<StepTime>,
 }
 
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -97,7 +97,9 @@
     /// Keys with a stored answer, oldest first.
     answer_queue: VecDeque<ClaimDigest>,
     answer_bytes: usize,
-    /// The latest creation time of an evicted key.
+    /// The latest creation time of an evicted key. Keys up to it count as expired whatever the wall
+    /// clock says: after a step back of the clock, evicted keys would look recent and would run
+    /// twice.
     forgotten: WallMillis,
 }
 
@@ -219,9 +221,7 @@
         self.enqueue_answer(scope.digest, after - before);
     }
 
-    /// The latest creation time of an evicted key. Keys up to it count as expired whatever the wall
-    /// clock says: after a step back of the clock, evicted keys would look recent and would run
-    /// twice.
+    /// Returns the latest creation time of an evicted key.
     pub(crate) fn forgotten(&self) -> WallMillis {
         self.forgotten
     }
--- a/crates/claim/src/tally.rs
+++ b/crates/claim/src/tally.rs
@@ -54,7 +54,7 @@
     Superseded,
     /// Too few replicas voted.
     NoQuorum {
-        /// Number of replicas that voted.
+        /// Number of replicas that accepted the attempt.
         answered: usize,
         /// Reason of a replica that abstained. `None` if the others did not answer.
         reason: Option<AbstainReason>,
@@ -111,8 +111,8 @@
         self.views().flat_map(|view| view.released.iter().copied()).collect()
     }
 
-    /// Returns true if another attempt may be chosen: enough replicas accepted it, or may have
-    /// accepted it. A replica that promised this attempt accepts no earlier one any more.
+    /// Returns true if another attempt may be chosen: enough replicas have accepted it or may have
+    /// accepted it. A replica that promised this attempt no longer accepts earlier ones.
     fn other_may_be_chosen(&self) -> bool {
         let released = self.released();
         let accepted: BTreeSet<AttemptId> = self
