--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -5,8 +5,8 @@
     std::time::Duration,
 };
 
-/// Fraction of the rate that is used. The rest compensates for spending that is reported late, and
-/// so happens twice.
+/// Fraction of the rate that is used. Units whose spending is reported late are granted a second
+/// time elsewhere, and the unused rest makes up for them.
 const SHARED_RATE_FRACTION: f64 = 0.96;
 
 /// Rate at which one region may spend, as a multiple of the limit's rate. It is above 1, because
--- a/crates/quota/src/source.rs
+++ b/crates/quota/src/source.rs
@@ -66,7 +66,7 @@
     pub(crate) fn heard_since(&self, time: BootTime) -> impl Iterator<Item = &VmName> {
         self.last_reports
             .iter()
-            .filter(move |(_, last_reports)| **last_reports >= time)
+            .filter(move |(_, reported_at)| **reported_at >= time)
             .map(|(vm, _)| vm)
     }
 
@@ -113,9 +113,9 @@
     ) -> Vec<SpendDelta> {
         let vm = by.vm.clone();
         let deltas = self.reporters.receive(by, now);
-        let counts = self.reporters.heard_since(limit).next() == Some(&vm);
+        let is_counted = self.reporters.heard_since(limit).next() == Some(&vm);
         let reported = self.reported.entry(vm).or_default();
-        let mut new = Vec::new();
+        let mut new_deltas = Vec::new();
         for SpendDelta { workspace, units, level, is_first } in deltas {
             let counted = self.counted.entry(workspace.clone()).or_default();
             let total = reported.entry(workspace.clone()).or_insert(*counted);
@@ -123,12 +123,12 @@
                 *total = *counted;
             }
             *total += units;
-            if counts {
+            if is_counted {
                 let units = *total - std::mem::replace(counted, *total);
-                new.push(SpendDelta { workspace, units, level, is_first });
+                new_deltas.push(SpendDelta { workspace, units, level, is_first });
             }
         }
-        new
+        new_deltas
     }
 }
 
