--- a/crates/backend/examples/membership_traffic.rs
+++ b/crates/backend/examples/membership_traffic.rs
@@ -155,7 +155,8 @@
         let delta: GossipDelta = decode(body).expect("a delta");
         let length = |bytes: Vec<u8>| bytes.len() as f64;
         self.change(from, |sender| {
-            sender.heartbeats += length(encode(&(&delta.pulse, &delta.pulses, delta.digest)));
+            sender.heartbeats +=
+                length(encode(&(&delta.heartbeat, &delta.row_heartbeats, delta.digest)));
             sender.loads += length(encode(&delta.loads));
             sender.regions += length(encode(&(&delta.row_totals, &delta.regions)));
         });
@@ -254,7 +255,7 @@
             handlers: handlers.clone(),
         });
         let transport = CountingTransport { inner, own: address, book: self.book.clone() };
-        let seams = RelayDependencies {
+        let dependencies = RelayDependencies {
             transport: Rc::new(transport),
             events: Rc::new(NullSink),
             context: context.clone(),
@@ -271,7 +272,7 @@
         };
         let own = LocalGateway { vm: identity.vm, incarnation: identity.incarnation, profile };
         let config = RelayConfig { seeds: self.seeds.clone(), ..RelayConfig::default() };
-        let relay = BackendRelay::new(own, table, config, seams);
+        let relay = BackendRelay::new(own, table, config, dependencies);
         handlers.register("backend", relay.handler());
         relay.start();
         (relay, context)
--- a/crates/backend/src/row.rs
+++ b/crates/backend/src/backend_entry.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         BackendConfig, BackendRecord, BackendView, CacheEvents, LoadReport, Origin, RunId,
-        ServingState, StatusChange, cache::CacheEstimate, dispatch::DispatchLedger,
-        past::PastMoment,
+        ServingState, StatusChange, cache::CacheEstimate, dispatch::DispatchTracker,
+        past_instant::PastInstant,
     },
     gullglade_units::{BackendName, MonotonicTime},
     std::{cell::RefCell, rc::Rc, time::Duration},
@@ -12,10 +12,10 @@
 
 /// A load that differs by less than this share of the slots is not told on, unless a queue forms
 /// or ends.
-const TELL_SHARE: f64 = 1.0 / 10.0;
+const MIN_LOAD_CHANGE_SHARE: f64 = 1.0 / 10.0;
 
 /// A queue of prompt tokens that differs by less than this many seconds of reading is not told on.
-const TELL_PREFILL_SECONDS: f64 = 0.1;
+const MIN_PREFILL_CHANGE_SECONDS: f64 = 0.1;
 
 /// Whether a backend server may get new work from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,63 +32,63 @@
     Unknown,
 }
 
-pub(crate) struct BackendRow {
+pub(crate) struct BackendEntry {
     pub(crate) record: BackendRecord,
     pub(crate) id: RunId,
-    pub(crate) heard: PastMoment,
+    pub(crate) heard: PastInstant,
     /// Who told the newest report.
     pub(crate) origin: Origin,
-    reported: PastMoment,
-    pub(crate) serving_since: PastMoment,
+    reported: PastInstant,
+    pub(crate) serving_since: PastInstant,
     followed: bool,
     /// Since when this gateway would have heard of it; silence before counts for nothing.
     watched_since: MonotonicTime,
-    failed: Option<MonotonicTime>,
+    failed_at: Option<MonotonicTime>,
     /// The end of the back-off that this run has requested of this gateway.
     backoff_until: Option<MonotonicTime>,
-    restarts: RestartCount,
-    told: ToldLoad,
-    pub(crate) ledger: Rc<RefCell<DispatchLedger>>,
+    restarts: RestartCounter,
+    advertised: AdvertisedLoad,
+    pub(crate) tracker: Rc<RefCell<DispatchTracker>>,
     pub(crate) cache: CacheEstimate,
 }
 
 /// The load that this gateway last offered to its peers.
 #[derive(Clone, Copy, Debug, Default)]
-struct ToldLoad {
+struct AdvertisedLoad {
     load: LoadReport,
     at: MonotonicTime,
     /// Grows with each load offered, over all rows; a peer is told those above its mark.
-    stamp: u64,
+    version: u64,
 }
 
 /// Restarts of late. A backend server that crashes again and again looks new and idle each time;
 /// without the count it would draw work to lose it.
 #[derive(Clone, Copy, Debug, Default)]
-struct RestartCount {
+struct RestartCounter {
     count: u32,
     last: MonotonicTime,
 }
 
-impl RestartCount {
+impl RestartCounter {
     fn add(&mut self, config: &BackendConfig, now: MonotonicTime) {
-        self.count = if self.is_fresh(config, now) { self.count + 1 } else { 1 };
+        self.count = if self.is_recent(config, now) { self.count + 1 } else { 1 };
         self.last = now;
     }
 
-    fn is_fresh(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
+    fn is_recent(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
         self.count > 0 && now.since(self.last) < config.flap_window
     }
 
     fn is_flapping(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
-        self.count >= config.flap_limit && self.is_fresh(config, now)
+        self.count >= config.flap_limit && self.is_recent(config, now)
     }
 }
 
-impl BackendRow {
+impl BackendEntry {
     pub(crate) fn new(
         record: BackendRecord,
         config: &BackendConfig,
-        heard: PastMoment,
+        heard: PastInstant,
         now: MonotonicTime,
     ) -> Self {
         Self {
@@ -100,11 +100,11 @@
             serving_since: heard,
             followed: true,
             watched_since: now,
-            failed: None,
+            failed_at: None,
             backoff_until: None,
-            restarts: RestartCount::default(),
-            told: ToldLoad::default(),
-            ledger: Rc::default(),
+            restarts: RestartCounter::default(),
+            advertised: AdvertisedLoad::default(),
+            tracker: Rc::default(),
             cache: CacheEstimate::new(config.prefix_limit, config.prefix_half_life),
         }
     }
@@ -118,7 +118,7 @@
         &mut self,
         record: &BackendRecord,
         config: &BackendConfig,
-        heard: PastMoment,
+        heard: PastInstant,
         now: MonotonicTime,
     ) -> StatusChange {
         let was_out = self.health(config, now) == BackendHealth::Expired;
@@ -127,7 +127,7 @@
             self.restart(config, now);
         }
         if change.advanced {
-            self.take_report(heard, now);
+            self.apply_report(heard, now);
         }
         if change.restarted || (was_out && change.advanced) {
             self.serving_since = heard;
@@ -139,54 +139,54 @@
     fn restart(&mut self, config: &BackendConfig, now: MonotonicTime) {
         self.id = RunId::new(self.record.name.as_str(), self.record.status.incarnation);
         self.cache.clear();
-        self.ledger = Rc::default();
+        self.tracker = Rc::default();
         self.restarts.add(config, now);
-        self.failed = None;
+        self.failed_at = None;
         self.backoff_until = None;
     }
 
-    fn take_report(&mut self, heard: PastMoment, now: MonotonicTime) {
+    fn apply_report(&mut self, heard: PastInstant, now: MonotonicTime) {
         if heard.age(now) < self.heard.age(now) {
             self.heard = heard;
         }
         self.reported = heard;
-        self.ledger.borrow_mut().settle(heard.time());
-        self.failed = self.failed.filter(|failed| *failed >= heard.time());
+        self.tracker.borrow_mut().apply_report(heard.to_local());
+        self.failed_at = self.failed_at.filter(|failed_at| *failed_at >= heard.to_local());
     }
 
-    /// Offers the newest load to peers under `stamp`, where they would decide differently by it or
+    /// Offers the newest load to peers under `version`, where they would decide differently by it or
     /// have not heard for `config.refresh_after`.
-    pub(crate) fn offer(&mut self, config: &BackendConfig, stamp: u64, now: MonotonicTime) {
-        let stale = now.since(self.told.at) >= config.load_refresh_interval;
+    pub(crate) fn advertise(&mut self, config: &BackendConfig, version: u64, now: MonotonicTime) {
+        let stale = now.since(self.advertised.at) >= config.load_refresh_interval;
         let relayed = self.origin == Origin::Row;
-        if self.told.stamp == 0 || stale || relayed || self.differs() {
-            self.told = ToldLoad { load: self.record.load, at: now, stamp };
+        if self.advertised.version == 0 || stale || relayed || self.differs_from_advertised() {
+            self.advertised = AdvertisedLoad { load: self.record.load, at: now, version };
         }
     }
 
-    fn differs(&self) -> bool {
+    fn differs_from_advertised(&self) -> bool {
         let Some(profile) = self.record.profile() else { return false };
-        let (told, load) = (&self.told.load, &self.record.load);
+        let (advertised, load) = (&self.advertised.load, &self.record.load);
         let requests = |l: &LoadReport| f64::from(l.running) + f64::from(l.waiting);
         let slots = f64::from(profile.capacity.slots);
         let rate = f64::from(profile.capacity.prefill_tokens_per_second);
-        let prefill = load.queued_prefill_tokens.abs_diff(told.queued_prefill_tokens) as f64;
-        (load.waiting > 0) != (told.waiting > 0)
-            || (requests(load) - requests(told)).abs() > slots * TELL_SHARE
-            || prefill > rate * TELL_PREFILL_SECONDS
+        let prefill = load.queued_prefill_tokens.abs_diff(advertised.queued_prefill_tokens) as f64;
+        (load.waiting > 0) != (advertised.waiting > 0)
+            || (requests(load) - requests(advertised)).abs() > slots * MIN_LOAD_CHANGE_SHARE
+            || prefill > rate * MIN_PREFILL_CHANGE_SECONDS
     }
 
-    pub(crate) fn told_stamp(&self) -> u64 {
-        self.told.stamp
+    pub(crate) fn advertised_version(&self) -> u64 {
+        self.advertised.version
     }
 
-    pub(crate) fn observe_cache(&mut self, events: &CacheEvents, now: MonotonicTime) {
-        self.cache.observe(events, now);
+    pub(crate) fn apply_cache_events(&mut self, events: &CacheEvents, now: MonotonicTime) {
+        self.cache.apply_events(events, now);
     }
 
     /// Remembers that a dispatch failed, until a report that was written later.
     pub(crate) fn note_failure(&mut self, now: MonotonicTime) {
-        self.failed = Some(now);
+        self.failed_at = Some(now);
     }
 
     /// Notes that this run wants nothing before `until`; whether that is later than known. A
@@ -219,7 +219,7 @@
     }
 
     /// Whether it has been silent for longer than its lease, as far as this gateway would know.
-    pub(crate) fn lease_over(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
+    pub(crate) fn is_lease_expired(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
         let silence = self.heard.age(now).min(now.since(self.watched_since));
         self.record.status.is_live() && silence >= config.lease + self.slack(config)
     }
@@ -232,7 +232,7 @@
     pub(crate) fn health(&self, config: &BackendConfig, now: MonotonicTime) -> BackendHealth {
         let silence = self.heard.age(now).saturating_sub(self.slack(config));
         let doubtful = silence >= config.suspect_after
-            || self.failed.is_some()
+            || self.failed_at.is_some()
             || self.restarts.is_flapping(config, now);
         match self.record.status.state {
             ServingState::Leaving => BackendHealth::Leaving,
@@ -245,7 +245,7 @@
     }
 
     /// Whether it got no work for so long that nothing old can still arrive.
-    pub(crate) fn forgettable(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
+    pub(crate) fn is_forgettable(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
         !self.record.status.is_live() && self.heard.age(now) >= config.retention
     }
 
@@ -274,7 +274,7 @@
             capacity: profile.capacity,
             load: self.record.load,
             load_age: self.reported.age(now),
-            own: self.ledger.borrow().own_load(),
+            own: self.tracker.borrow().own_load(),
             suspect,
             backoff_until: self.backoff_until(now),
             serving_for: self.serving_since.age(now),
--- a/crates/backend/src/cache.rs
+++ b/crates/backend/src/cache.rs
@@ -19,7 +19,7 @@
     },
 };
 
-type BeliefMap = HashMap<PrefixHash, Belief, BuildHasherDefault<PrefixHasher>>;
+type PrefixMap = HashMap<PrefixHash, PrefixRecord, BuildHasherDefault<IdentityHasher>>;
 
 /// The estimate for one engine.
 #[derive(Debug)]
@@ -27,15 +27,15 @@
     /// Entries of one generation, at most.
     generation_limit: usize,
     half_life: Duration,
-    young: BeliefMap,
-    old: BeliefMap,
+    young: PrefixMap,
+    old: PrefixMap,
     gaps: u32,
     next_event: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Belief {
-    since: MonotonicTime,
+struct PrefixRecord {
+    stored_at: MonotonicTime,
     gaps: u32,
 }
 
@@ -45,8 +45,8 @@
         Self {
             generation_limit: (limit / 2).max(1),
             half_life,
-            young: BeliefMap::default(),
-            old: BeliefMap::default(),
+            young: PrefixMap::default(),
+            old: PrefixMap::default(),
             gaps: 0,
             next_event: None,
         }
@@ -60,14 +60,14 @@
     }
 
     /// The engine read a prompt with these prefixes.
-    pub(crate) fn dispatched(&mut self, prefixes: &[PrefixHash], now: MonotonicTime) {
+    pub(crate) fn record_dispatch(&mut self, prefixes: &[PrefixHash], now: MonotonicTime) {
         for prefix in prefixes {
-            self.believe(*prefix, now);
+            self.store(*prefix, now);
         }
     }
 
     /// Takes in events; those seen before change nothing.
-    pub(crate) fn observe(&mut self, events: &CacheEvents, now: MonotonicTime) {
+    pub(crate) fn apply_events(&mut self, events: &CacheEvents, now: MonotonicTime) {
         let expected = self.next_event.unwrap_or(events.first);
         if events.first > expected {
             self.gaps += 1;
@@ -82,7 +82,7 @@
 
     fn apply(&mut self, event: CacheEvent, now: MonotonicTime) {
         match event {
-            CacheEvent::Stored(prefix) => self.believe(prefix, now),
+            CacheEvent::Stored(prefix) => self.store(prefix, now),
             CacheEvent::Evicted(prefix) => {
                 self.young.remove(&prefix);
                 self.old.remove(&prefix);
@@ -94,41 +94,41 @@
         }
     }
 
-    fn believe(&mut self, prefix: PrefixHash, now: MonotonicTime) {
-        let belief = Belief { since: now, gaps: self.gaps };
+    fn store(&mut self, prefix: PrefixHash, now: MonotonicTime) {
+        let record = PrefixRecord { stored_at: now, gaps: self.gaps };
         if let Entry::Occupied(mut entry) = self.young.entry(prefix) {
-            entry.insert(belief);
+            entry.insert(record);
             return;
         }
         if self.young.len() >= self.generation_limit {
             self.old = std::mem::take(&mut self.young);
         }
-        self.young.insert(prefix, belief);
+        self.young.insert(prefix, record);
     }
 
     /// How many of these prefixes, shortest first, the engine is expected to hold. A longer prefix
     /// counts only as far as the shorter ones are held.
-    pub(crate) fn expected(&self, prefixes: &[PrefixHash], now: MonotonicTime) -> f32 {
-        let mut most_doubt = 0.0_f32;
-        let mut held = 1.0_f32;
+    pub(crate) fn expected_blocks(&self, prefixes: &[PrefixHash], now: MonotonicTime) -> f32 {
+        let mut max_decay = 0.0_f32;
+        let mut probability = 1.0_f32;
         let mut expected = 0.0;
         for prefix in prefixes {
-            let Some(doubt) = self.doubt(*prefix, now) else { break };
-            if doubt > most_doubt {
-                most_doubt = doubt;
-                held = (-doubt).exp2();
+            let Some(decay) = self.decay(*prefix, now) else { break };
+            if decay > max_decay {
+                max_decay = decay;
+                probability = (-decay).exp2();
             }
-            expected += held;
+            expected += probability;
         }
         expected
     }
 
     /// The half-lives that the belief in `prefix` has lost, a gap counting as one; `None`: it is
     /// not believed to be held.
-    fn doubt(&self, prefix: PrefixHash, now: MonotonicTime) -> Option<f32> {
-        let belief = self.young.get(&prefix).or_else(|| self.old.get(&prefix))?;
-        let half_lives = now.since(belief.since).as_secs_f32() / self.half_life.as_secs_f32();
-        let gaps = self.gaps - belief.gaps;
+    fn decay(&self, prefix: PrefixHash, now: MonotonicTime) -> Option<f32> {
+        let record = self.young.get(&prefix).or_else(|| self.old.get(&prefix))?;
+        let half_lives = now.since(record.stored_at).as_secs_f32() / self.half_life.as_secs_f32();
+        let gaps = self.gaps - record.gaps;
         Some(half_lives + gaps as f32)
     }
 }
@@ -136,9 +136,9 @@
 /// Hashes a [`PrefixHash`] to itself: it is a good hash already, and the decision looks up every
 /// block of a prompt at every engine.
 #[derive(Clone, Copy, Debug, Default)]
-struct PrefixHasher(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for PrefixHasher {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
--- a/crates/backend/src/cache/tests.rs
+++ b/crates/backend/src/cache/tests.rs
@@ -83,8 +83,8 @@
     ];
     for case in cases {
         let mut estimate = CacheEstimate::new(64, HALF_LIFE);
-        case.messages.iter().for_each(|message| estimate.observe(message, at(0)));
-        let expected = estimate.expected(&chain(1..=3), at(0));
+        case.messages.iter().for_each(|message| estimate.apply_events(message, at(0)));
+        let expected = estimate.expected_blocks(&chain(1..=3), at(0));
         assert!((expected - case.expected).abs() < 1e-4, "{}: {expected}", case.name);
     }
 }
@@ -92,12 +92,12 @@
 #[test]
 fn a_belief_decays_and_a_dispatch_renews_it() {
     let mut estimate = CacheEstimate::new(64, HALF_LIFE);
-    estimate.dispatched(&chain(1..=2), at(0));
-    assert!((estimate.expected(&chain(1..=2), at(100)) - 1.0).abs() < 1e-4, "half of two");
-    estimate.dispatched(&chain(1..=2), at(100));
-    assert!((estimate.expected(&chain(1..=2), at(100)) - 2.0).abs() < 1e-4);
+    estimate.record_dispatch(&chain(1..=2), at(0));
+    assert!((estimate.expected_blocks(&chain(1..=2), at(100)) - 1.0).abs() < 1e-4, "half of two");
+    estimate.record_dispatch(&chain(1..=2), at(100));
+    assert!((estimate.expected_blocks(&chain(1..=2), at(100)) - 2.0).abs() < 1e-4);
     estimate.clear();
-    assert!(estimate.expected(&chain(1..=2), at(100)) == 0.0);
+    assert!(estimate.expected_blocks(&chain(1..=2), at(100)) == 0.0);
 }
 
 // Symptom: a gateway's memory grows with every prompt it ever sent.
@@ -107,10 +107,10 @@
 fn memory_is_bounded_and_keeps_what_is_used() {
     let mut estimate = CacheEstimate::new(64, HALF_LIFE);
     for prompt in 0..10_000 {
-        estimate.dispatched(&chain([1, 2]), at(prompt / 100));
-        estimate.dispatched(&chain([1_000 + prompt]), at(prompt / 100));
+        estimate.record_dispatch(&chain([1, 2]), at(prompt / 100));
+        estimate.record_dispatch(&chain([1_000 + prompt]), at(prompt / 100));
         assert!(estimate.young.len() + estimate.old.len() <= 64);
     }
-    assert!(estimate.expected(&chain([1, 2]), at(100)) > 1.9, "in use all the time");
-    assert!(estimate.expected(&chain([1_000]), at(100)) == 0.0, "long gone");
+    assert!(estimate.expected_blocks(&chain([1, 2]), at(100)) > 1.9, "in use all the time");
+    assert!(estimate.expected_blocks(&chain([1_000]), at(100)) == 0.0, "long gone");
 }
--- a/crates/backend/src/config.rs
+++ b/crates/backend/src/config.rs
@@ -1,6 +1,6 @@
 //! Durations and bounds of membership.
 
-use {crate::pace::RegionPace, std::time::Duration};
+use {crate::interval_scale::IntervalScale, std::time::Duration};
 
 /// How long announcements hold and how much is kept. Start from [`BackendConfig::default`]. In a
 /// region of more than 24 gateways the first five durations grow with it, up to twofold.
@@ -35,13 +35,13 @@
 
 impl BackendConfig {
     /// The configuration at the pace of a region.
-    pub(crate) fn paced(&self, pace: &RegionPace) -> Self {
+    pub(crate) fn scaled(&self, interval_scale: &IntervalScale) -> Self {
         Self {
-            renew_interval: pace.stretch(self.renew_interval),
-            suspect_after: pace.stretch(self.suspect_after),
-            lease: pace.stretch(self.lease),
-            relay_slack: pace.stretch(self.relay_slack),
-            load_refresh_interval: pace.stretch(self.load_refresh_interval),
+            renew_interval: interval_scale.scale(self.renew_interval),
+            suspect_after: interval_scale.scale(self.suspect_after),
+            lease: interval_scale.scale(self.lease),
+            relay_slack: interval_scale.scale(self.relay_slack),
+            load_refresh_interval: interval_scale.scale(self.load_refresh_interval),
             ..*self
         }
     }
--- a/crates/backend/src/dispatch.rs
+++ b/crates/backend/src/dispatch.rs
@@ -23,7 +23,7 @@
 /// The decision reads the load of every candidate for every request, so the load is kept as sums:
 /// walking the dispatches each time took 6 % of a gateway that sent 7,000 requests/s to one engine.
 #[derive(Debug, Default)]
-pub(crate) struct DispatchLedger {
+pub(crate) struct DispatchTracker {
     next_id: u64,
     open: BTreeMap<u64, OpenDispatch>,
     ended: VecDeque<EndedDispatch>,
@@ -72,12 +72,12 @@
 }
 
 impl OpenDispatch {
-    fn unread_at(&self, time: MonotonicTime) -> bool {
+    fn is_prefilling_at(&self, time: MonotonicTime) -> bool {
         self.prefill_done.is_none_or(|done| done > time)
     }
 }
 
-impl DispatchLedger {
+impl DispatchTracker {
     pub(crate) fn start(&mut self, now: MonotonicTime, prefill_tokens: u64) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
@@ -109,7 +109,7 @@
 
     /// Takes note of a report written at `reported`: what it counts stays the same until the next
     /// one, and what ended before it is forgotten.
-    pub(crate) fn settle(&mut self, reported: MonotonicTime) {
+    pub(crate) fn apply_report(&mut self, reported: MonotonicTime) {
         while self.ended.front().is_some_and(|d| d.ended <= reported) {
             self.ended.pop_front();
         }
@@ -119,7 +119,7 @@
         for dispatch in counted {
             active += 1;
             prefill_tokens +=
-                if dispatch.unread_at(reported) { dispatch.prefill_tokens } else { 0 };
+                if dispatch.is_prefilling_at(reported) { dispatch.prefill_tokens } else { 0 };
         }
         self.load.active_at_report = active;
         self.load.prefill_tokens_at_report = prefill_tokens;
@@ -134,7 +134,7 @@
 /// One request at a backend server; dropping it says that the request ended there.
 #[must_use = "dropping the guard says that the request ended"]
 pub struct DispatchGuard {
-    pub(crate) ledger: Rc<RefCell<DispatchLedger>>,
+    pub(crate) tracker: Rc<RefCell<DispatchTracker>>,
     pub(crate) clock: Rc<dyn Clock>,
     pub(crate) id: u64,
 }
@@ -142,12 +142,12 @@
 impl DispatchGuard {
     /// The backend server has read the prompt and begun to answer.
     pub fn first_token(&self) {
-        self.ledger.borrow_mut().first_token(self.id, self.clock.now());
+        self.tracker.borrow_mut().first_token(self.id, self.clock.now());
     }
 }
 
 impl Drop for DispatchGuard {
     fn drop(&mut self) {
-        self.ledger.borrow_mut().end(self.id, self.clock.now());
+        self.tracker.borrow_mut().end(self.id, self.clock.now());
     }
 }
--- a/crates/backend/src/entry_table.rs
+++ b/crates/backend/src/entry_table.rs
@@ -6,7 +6,7 @@
 //! weights spread them, and the gateway that carries least merely gets the most.
 
 use {
-    crate::{BackendRelay, GatewayContact, members::MemberTable, regions::RegionBook},
+    crate::{BackendRelay, GatewayContact, member_table::MemberTable, region_table::RegionTable},
     gullglade_units::{ProcessContext, RandomSource, RegionName, VmName},
     serde::Serialize,
     std::{net::SocketAddr, time::Duration},
@@ -20,7 +20,7 @@
 const OVERLOAD_SHARE: f64 = 0.95;
 
 /// The weight of a gateway that carries nothing.
-const FULL_WEIGHT: f64 = 1_000.0;
+const MAX_WEIGHT: f64 = 1_000.0;
 
 /// The most gateways in one answer.
 const ANSWER_LIMIT: usize = 8;
@@ -50,7 +50,7 @@
 
 /// One gateway that takes callers, as far as is known.
 #[derive(Clone, Debug)]
-pub(crate) struct EntryRow {
+pub(crate) struct EntryCandidate {
     contact: GatewayContact,
     region: RegionName,
     /// Requests that it takes at the same time; 1 where it is not known.
@@ -58,29 +58,30 @@
     /// The share of the limit in use.
     load: f64,
     /// Stands in the own region.
-    is_near: bool,
+    is_local: bool,
 }
 
 /// Answers from the known gateways.
-pub(crate) fn answer(rows: Vec<EntryRow>, random: &dyn RandomSource) -> EntryAnswer {
-    let (near, far): (Vec<_>, Vec<_>) = rows.into_iter().partition(|row| row.is_near);
-    let mut gateways = ranked(near, random);
-    gateways.extend(ranked(far, random));
+pub(crate) fn answer(candidates: Vec<EntryCandidate>, random: &dyn RandomSource) -> EntryAnswer {
+    let (local, remote): (Vec<_>, Vec<_>) =
+        candidates.into_iter().partition(|candidate| candidate.is_local);
+    let mut gateways = weighted_order(local, random);
+    gateways.extend(weighted_order(remote, random));
     gateways.truncate(ANSWER_LIMIT);
     let ttl = ANSWER_TTL.mul_f64(1.0 - 0.2 * random.unit());
     EntryAnswer { ttl_millis: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX), gateways }
 }
 
 /// A random order weighted by free share (Efraimidis and Spirakis, 2006).
-fn ranked(rows: Vec<EntryRow>, random: &dyn RandomSource) -> Vec<EntryGateway> {
-    let all_full = rows.iter().all(|row| row.load >= OVERLOAD_SHARE);
-    let largest = rows.iter().map(|row| row.limit).max().unwrap_or(1);
-    let usable = rows.iter().filter(|row| all_full || row.load < OVERLOAD_SHARE);
+fn weighted_order(candidates: Vec<EntryCandidate>, random: &dyn RandomSource) -> Vec<EntryGateway> {
+    let all_full = candidates.iter().all(|candidate| candidate.load >= OVERLOAD_SHARE);
+    let largest = candidates.iter().map(|candidate| candidate.limit).max().unwrap_or(1);
+    let usable = candidates.iter().filter(|candidate| all_full || candidate.load < OVERLOAD_SHARE);
     let mut keyed: Vec<(f64, EntryGateway)> = usable
-        .map(|row| {
-            let weight = weight(row, largest);
+        .map(|candidate| {
+            let weight = weight(candidate, largest);
             let key = -random.unit().max(f64::MIN_POSITIVE).ln() / f64::from(weight);
-            (key, entry(row, weight))
+            (key, entry(candidate, weight))
         })
         .collect();
     keyed.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -88,51 +89,51 @@
 }
 
 /// What is free, relative to the `largest` gateway.
-fn weight(row: &EntryRow, largest: u32) -> u32 {
-    let size = f64::from(row.limit) / f64::from(largest.max(1));
-    (size * (1.0 - row.load) * FULL_WEIGHT).max(1.0) as u32
+fn weight(candidate: &EntryCandidate, largest: u32) -> u32 {
+    let size = f64::from(candidate.limit) / f64::from(largest.max(1));
+    (size * (1.0 - candidate.load) * MAX_WEIGHT).max(1.0) as u32
 }
 
-fn entry(row: &EntryRow, weight: u32) -> EntryGateway {
+fn entry(candidate: &EntryCandidate, weight: u32) -> EntryGateway {
     EntryGateway {
-        vm: row.contact.vm.clone(),
-        region: row.region.clone(),
-        address: row.contact.caller_address,
+        vm: candidate.contact.vm.clone(),
+        region: candidate.region.clone(),
+        address: candidate.contact.caller_address,
         weight,
     }
 }
 
 /// The rows of the own region.
-pub(crate) fn near_rows(members: &MemberTable) -> Vec<EntryRow> {
+pub(crate) fn local_candidates(members: &MemberTable) -> Vec<EntryCandidate> {
     let serving = members.serving().into_iter();
     serving
-        .map(|(record, _)| EntryRow {
+        .map(|(record, _)| EntryCandidate {
             contact: record.contact(),
             limit: record.profile.limit,
             load: record.load_share(),
             region: record.profile.region,
-            is_near: true,
+            is_local: true,
         })
         .collect()
 }
 
 /// The rows of the regions heard of lately: for callers whose own region has no gateway left.
-pub(crate) fn far_rows(regions: &RegionBook) -> Vec<EntryRow> {
-    let mut rows = Vec::new();
+pub(crate) fn remote_candidates(regions: &RegionTable) -> Vec<EntryCandidate> {
+    let mut candidates = Vec::new();
     for region in regions.names() {
         if !regions.is_reachable(&region) {
             continue;
         }
         let contacts = regions.contacts(&region).into_iter();
-        rows.extend(contacts.map(|contact| EntryRow {
+        candidates.extend(contacts.map(|contact| EntryCandidate {
             contact,
             region: region.clone(),
             limit: 1,
             load: 0.0,
-            is_near: false,
+            is_local: false,
         }));
     }
-    rows
+    candidates
 }
 
 /// Answers `/v1/entry` from the knowledge of one relay.
@@ -149,8 +150,8 @@
 
     /// The gateways that a caller should use, of the regions that `allowed` lets it enter.
     pub fn answer(&self, allowed: impl Fn(&RegionName) -> bool) -> EntryAnswer {
-        let mut rows = self.relay.entry_rows();
-        rows.retain(|row| allowed(&row.region));
-        answer(rows, &*self.context.random)
+        let mut candidates = self.relay.entry_candidates();
+        candidates.retain(|candidate| allowed(&candidate.region));
+        answer(candidates, &*self.context.random)
     }
 }
--- a/crates/backend/src/pace.rs
+++ b/crates/backend/src/interval_scale.rs
@@ -7,29 +7,29 @@
 use std::{cell::Cell, time::Duration};
 
 /// Up to this many gateways nothing is stretched.
-const FULL_PACE_GATEWAYS: f64 = 24.0;
+const UNSCALED_GATEWAYS: f64 = 24.0;
 
 /// The most that durations are stretched.
-const STRETCH_LIMIT: f64 = 2.0;
+const MAX_SCALE: f64 = 2.0;
 
 /// The factor of one region, shared by all parts of a gateway.
 #[derive(Debug)]
-pub(crate) struct RegionPace(Cell<f64>);
+pub(crate) struct IntervalScale(Cell<f64>);
 
-impl Default for RegionPace {
+impl Default for IntervalScale {
     fn default() -> Self {
         Self(Cell::new(1.0))
     }
 }
 
-impl RegionPace {
+impl IntervalScale {
     /// Sets the factor for a region of so many gateways.
-    pub(crate) fn set_gateways(&self, count: usize) {
-        self.0.set((count as f64 / FULL_PACE_GATEWAYS).clamp(1.0, STRETCH_LIMIT));
+    pub(crate) fn set_gateway_count(&self, count: usize) {
+        self.0.set((count as f64 / UNSCALED_GATEWAYS).clamp(1.0, MAX_SCALE));
     }
 
     /// `duration` at this region's pace.
-    pub(crate) fn stretch(&self, duration: Duration) -> Duration {
+    pub(crate) fn scale(&self, duration: Duration) -> Duration {
         duration.mul_f64(self.0.get())
     }
 }
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -5,23 +5,23 @@
 //! gateways.
 
 mod announcement;
+mod backend_entry;
 mod cache;
 mod change_log;
 mod config;
 mod dispatch;
 mod entry_table;
 mod gateway;
-mod members;
+mod interval_scale;
+mod member_table;
 mod message;
-mod news_bell;
-mod pace;
-mod past;
+mod notifier;
+mod past_instant;
 mod plan;
 mod prompt;
 mod record;
-mod regions;
+mod region_table;
 mod relay;
-mod row;
 mod row_totals;
 mod status;
 mod subset;
@@ -33,6 +33,7 @@
     AnnounceError, AnnounceReply, Announcement, BackendCapacity, BackendKind, BackendProfile,
     CacheEvent, CacheEvents, FencingMode, LoadReport, PrefixHash, ServingState,
 };
+pub use backend_entry::BackendHealth;
 pub use change_log::Origin;
 pub use config::BackendConfig;
 pub use dispatch::{DispatchGuard, OwnLoad};
@@ -46,7 +47,6 @@
 pub use prompt::{BLOCK_TOKENS, PromptBlocks};
 pub use record::{BackendRecord, SequencedProfile};
 pub use relay::{BackendRelay, LocalGateway, RelayConfig, RelayDependencies};
-pub use row::BackendHealth;
 pub use status::{RunStatus, StatusChange};
 pub use subset::{SubsetConfig, SubsetMember, SubsetPlan};
 pub use summary::{
--- a/crates/backend/src/message.rs
+++ b/crates/backend/src/message.rs
@@ -43,7 +43,8 @@
     /// Which step this is.
     pub step: RelayStep,
     /// The sender's heartbeat.
-    pub pulse: GatewayHeartbeat,
+    #[serde(rename = "pulse")]
+    pub heartbeat: GatewayHeartbeat,
     /// A hash of the sender's membership; unequal hashes are healed by a sync.
     pub digest: [u8; 4],
     /// Backend servers whose membership changed.
@@ -53,7 +54,8 @@
     /// Loads that changed.
     pub loads: Vec<LoadDelta>,
     /// Heartbeats of the sender's row.
-    pub pulses: Vec<GatewayHeartbeat>,
+    #[serde(rename = "pulses")]
+    pub row_heartbeats: Vec<GatewayHeartbeat>,
     /// Totals of the sender's row, for gateways that speak for the region.
     pub row_totals: TotalsDelta,
     /// News of other regions.
@@ -83,7 +85,11 @@
 impl<T> AgedRecord<T> {
     /// A record last reported `age` ago that has served for `serving`.
     pub fn new(record: T, age: Duration, serving: Duration) -> Self {
-        Self { record, age_millis: short_millis(age), serving_millis: short_millis(serving) }
+        Self {
+            record,
+            age_millis: saturating_millis(age),
+            serving_millis: saturating_millis(serving),
+        }
     }
 
     /// Since its newest report.
@@ -97,7 +103,7 @@
     }
 }
 
-fn short_millis(duration: Duration) -> u32 {
+fn saturating_millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
@@ -133,7 +139,7 @@
             age: u8::try_from(age.as_millis() / AGE_UNIT.as_millis()).unwrap_or(u8::MAX),
             running: u16::try_from(load.running).unwrap_or(u16::MAX),
             waiting: u16::try_from(load.waiting).unwrap_or(u16::MAX),
-            prefill: short(load.queued_prefill_tokens.div_ceil(PREFILL_UNIT)),
+            prefill: saturating_u16(load.queued_prefill_tokens.div_ceil(PREFILL_UNIT)),
             cached: u8::try_from(percent.min(100)).unwrap_or(100),
         }
     }
@@ -172,7 +178,8 @@
     pub from: AgedRecord<GatewayRecord>,
     /// Hashes of the asker's membership by part; a part that differs is answered whole. Empty:
     /// the asker knows nothing.
-    pub parts: Vec<u32>,
+    #[serde(rename = "parts")]
+    pub bucket_hashes: Vec<u32>,
 }
 
 /// The answer to a [`SyncRequest`].
@@ -206,6 +213,6 @@
     }
 }
 
-fn short(value: u64) -> u16 {
+fn saturating_u16(value: u64) -> u16 {
     u16::try_from(value).unwrap_or(u16::MAX)
 }
--- a/crates/backend/src/plan.rs
+++ b/crates/backend/src/plan.rs
@@ -16,10 +16,10 @@
 };
 
 /// Up to this many gateways everyone tells everyone.
-const ONE_ROW_LIMIT: usize = 12;
+const SINGLE_ROW_LIMIT: usize = 12;
 
 /// How many members of its row watch each gateway.
-const WATCHERS: usize = 3;
+const WATCHERS_PER_GATEWAY: usize = 3;
 
 /// The key that places gateways in rows.
 const ROW_KEY: &str = "row";
@@ -32,29 +32,29 @@
     /// Members of other rows: told what it heard from its row and itself.
     pub relay_targets: BTreeSet<VmName>,
     /// The mates that it calls more often, to notice their death soon: each gateway has
-    /// `WATCHERS` of these watchers, of other failure domains where there are any: watchers that
+    /// `WATCHERS_PER_GATEWAY` of these watchers, of other failure domains where there are any: watchers that
     /// die together with the watched notice nothing.
     pub watched: BTreeSet<VmName>,
     rows: BTreeMap<VmName, u64>,
 }
 
 impl RelayPlan {
-    /// The plan of `own` among `members`, which are given with their failure domains and in which
-    /// `own` may or may not be listed.
-    pub fn new(own: &VmName, members: &BTreeMap<VmName, FailureDomain>) -> Self {
-        let rows = deal_rows(own, members);
+    /// The plan of `local` among `members`, which are given with their failure domains and in which
+    /// `local` may or may not be listed.
+    pub fn new(local: &VmName, members: &BTreeMap<VmName, FailureDomain>) -> Self {
+        let rows = assign_rows(local, members);
         let row_of = |vm: &VmName| rows.get(vm).copied().unwrap_or(0);
-        let row: Vec<&VmName> = rows.keys().filter(|vm| row_of(vm) == row_of(own)).collect();
-        let others = rows.keys().filter(|vm| row_of(vm) != row_of(own));
-        let relayed = deal(others, &row).into_iter().filter(|(_, relay)| **relay == own);
-        let relay_targets = relayed.map(|(target, _)| target.clone()).collect();
+        let row: Vec<&VmName> = rows.keys().filter(|vm| row_of(vm) == row_of(local)).collect();
+        let others = rows.keys().filter(|vm| row_of(vm) != row_of(local));
+        let assigned = deal(others, &row).into_iter().filter(|(_, relay)| **relay == local);
+        let relay_targets = assigned.map(|(target, _)| target.clone()).collect();
         let row_peers: BTreeSet<VmName> =
-            row.iter().filter(|mate| **mate != own).map(|mate| (*mate).clone()).collect();
-        let is_watched = |mate: &&VmName| {
-            let others = row.iter().copied().filter(|other| other != mate);
-            let mut watchers = ranked(mate.as_str(), others);
-            watchers.sort_by_key(|watcher| members.get(*watcher) == members.get(*mate));
-            watchers.into_iter().take(WATCHERS).any(|vm| vm == own)
+            row.iter().filter(|peer| **peer != local).map(|peer| (*peer).clone()).collect();
+        let is_watched = |peer: &&VmName| {
+            let others = row.iter().copied().filter(|other| other != peer);
+            let mut watchers = ranked(peer.as_str(), others);
+            watchers.sort_by_key(|watcher| members.get(*watcher) == members.get(*peer));
+            watchers.into_iter().take(WATCHERS_PER_GATEWAY).any(|vm| vm == local)
         };
         let watched = row_peers.iter().filter(is_watched).cloned().collect();
         Self { row_peers, relay_targets, watched, rows }
@@ -73,8 +73,8 @@
 
 /// Deals the members out to rows: in the order of their hashes, in equal parts. A member that
 /// comes or goes moves one other member at most from each row to the next.
-fn deal_rows(own: &VmName, members: &BTreeMap<VmName, FailureDomain>) -> BTreeMap<VmName, u64> {
-    let all: BTreeSet<&VmName> = members.keys().chain([own]).collect();
+fn assign_rows(local: &VmName, members: &BTreeMap<VmName, FailureDomain>) -> BTreeMap<VmName, u64> {
+    let all: BTreeSet<&VmName> = members.keys().chain([local]).collect();
     let (count, rows) = (all.len(), row_count(all.len()));
     let ordered = ranked(ROW_KEY, all).into_iter().enumerate();
     let row = |index: usize| u64::try_from(index * rows / count).unwrap_or(0);
@@ -83,5 +83,5 @@
 
 /// Rows for `members` gateways: a power of two near the square root, so that it seldom changes.
 fn row_count(members: usize) -> usize {
-    if members <= ONE_ROW_LIMIT { 1 } else { members.isqrt().next_power_of_two() }
+    if members <= SINGLE_ROW_LIMIT { 1 } else { members.isqrt().next_power_of_two() }
 }
--- a/crates/backend/src/prompt.rs
+++ b/crates/backend/src/prompt.rs
@@ -7,10 +7,10 @@
 pub const BLOCK_TOKENS: u64 = 64;
 
 /// Bytes of prompt text taken as one token; engines count exactly, the estimate need not.
-const BYTES_A_TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// Bytes of prompt text in one cache block.
-const BLOCK_BYTES: usize = BLOCK_TOKENS as usize * BYTES_A_TOKEN;
+const BLOCK_BYTES: usize = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
 
 /// A prompt cut into cache blocks, each named by the hash of its own text and of the block before
 /// it, so that equal hashes mean equal prefixes.
@@ -32,6 +32,6 @@
             PrefixHash(last)
         };
         let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).map(chain).collect();
-        Self { tokens: prompt.len().div_ceil(BYTES_A_TOKEN) as u64, blocks }
+        Self { tokens: prompt.len().div_ceil(BYTES_PER_TOKEN) as u64, blocks }
     }
 }
--- a/crates/backend/src/record.rs
+++ b/crates/backend/src/record.rs
@@ -55,7 +55,7 @@
         if change.advanced {
             self.load = other.load;
         }
-        if change.restarted || newer_profile(other.profile.as_ref(), self.profile.as_ref()) {
+        if change.restarted || is_newer_profile(other.profile.as_ref(), self.profile.as_ref()) {
             self.profile = other.profile.clone();
             change.membership = true;
         }
@@ -72,7 +72,7 @@
 /// share a name and an incarnation. Without the last comparison gateways would each keep the one
 /// that they heard first and exchange records without end; the encoded bytes decide the same
 /// everywhere.
-fn newer_profile(left: Option<&SequencedProfile>, right: Option<&SequencedProfile>) -> bool {
+fn is_newer_profile(left: Option<&SequencedProfile>, right: Option<&SequencedProfile>) -> bool {
     match (left, right) {
         (None, _) => false,
         (Some(_), None) => true,
--- a/crates/backend/src/relay.rs
+++ b/crates/backend/src/relay.rs
@@ -7,19 +7,19 @@
 //! the middle of telling it. Whatever is lost all the same shows in the digests and is fetched by
 //! a sync.
 
+mod anti_entropy;
 mod config;
 mod handler;
-mod healing;
 mod housekeeping;
 mod peer_task;
+mod region_reporter;
 mod shared;
-mod speaker;
 
 use {
     crate::{
         AnnounceRefusal, AnnounceReply, Announcement, BackendTable, BackendTarget, GatewayContact,
         GatewayLoad, GatewayProfile, RegionSummary, RelayPlan, ServingState,
-        entry_table::{EntryRow, far_rows, near_rows},
+        entry_table::{EntryCandidate, local_candidates, remote_candidates},
     },
     gullglade_event::EventSink,
     gullglade_peer::{PeerHandler, PeerTransport},
@@ -62,19 +62,19 @@
 impl BackendRelay {
     /// A relay that fills `table`. Nothing runs before [`start`](Self::start).
     pub fn new(
-        own: LocalGateway,
+        local: LocalGateway,
         table: Rc<BackendTable>,
         config: RelayConfig,
-        seams: RelayDependencies,
+        dependencies: RelayDependencies,
     ) -> Self {
-        Self { shared: Rc::new(RelayShared::new(own, table, config, seams)) }
+        Self { shared: Rc::new(RelayShared::new(local, table, config, dependencies)) }
     }
 
     /// Starts to join the region and to keep in touch with it.
     pub fn start(&self) {
         let shared = self.shared.clone();
         let task = housekeeping::run(shared.clone());
-        shared.seams.context.spawner.spawn(Box::pin(task));
+        shared.dependencies.context.spawner.spawn(Box::pin(task));
     }
 
     /// Serves the peer methods `backend.…`.
@@ -92,7 +92,7 @@
         let outcome = self.shared.table.announce(announcement)?;
         self.shared.note_announcement(announcement, outcome.change);
         if outcome.change.membership && announcement.state == ServingState::Leaving {
-            self.shared.told().await;
+            self.shared.wait_delivered().await;
         }
         Ok(outcome.reply)
     }
@@ -106,7 +106,7 @@
     /// [`RelayConfig::urgent_limit`].
     pub async fn drain(&self) {
         self.shared.drain();
-        self.shared.told().await;
+        self.shared.wait_delivered().await;
     }
 
     /// The gateways of the region that are not known to be dead.
@@ -122,7 +122,7 @@
     /// The gateways of another region to turn to, those that failed lately last, the others in an
     /// order of this gateway's own, so that a region's gateways spread over another's.
     pub fn contacts(&self, region: &RegionName) -> Vec<GatewayContact> {
-        self.shared.spread_contacts(region)
+        self.shared.ordered_contacts(region)
     }
 
     /// A call to the gateway of another region at `address` did not get through.
@@ -130,10 +130,10 @@
         self.shared.regions.note_failure(address);
     }
 
-    pub(crate) fn entry_rows(&self) -> Vec<EntryRow> {
-        let mut rows = near_rows(&self.shared.members);
-        rows.extend(far_rows(&self.shared.regions));
-        rows
+    pub(crate) fn entry_candidates(&self) -> Vec<EntryCandidate> {
+        let mut candidates = local_candidates(&self.shared.members);
+        candidates.extend(remote_candidates(&self.shared.regions));
+        candidates
     }
 
     /// Whom this gateway tells what.
--- a/crates/backend/src/relay/healing.rs
+++ b/crates/backend/src/relay/anti_entropy.rs
@@ -10,7 +10,7 @@
 };
 
 /// How many lost gateways one that is alone tries at once.
-const ALONE_TRIES: usize = 4;
+const ISOLATED_SYNC_LIMIT: usize = 4;
 
 /// Fetches the region's knowledge from the seeds, all at once: a gateway that starts knowing
 /// nobody must not take the first seed's silence for an empty region. Where none of its own region
@@ -18,8 +18,8 @@
 pub(super) async fn join(shared: &Rc<RelayShared>) {
     fetch_all(shared, shared.config.seeds.clone()).await;
     if is_alone(shared) {
-        let hints = shared.hints.borrow().iter().copied().collect();
-        fetch_all(shared, hints).await;
+        let peer_hints = shared.peer_hints.borrow().iter().copied().collect();
+        fetch_all(shared, peer_hints).await;
     }
     shared.joined.set(true);
     shared.subset();
@@ -37,15 +37,15 @@
 pub(super) async fn run(shared: Rc<RelayShared>) {
     let mut last = shared.now();
     loop {
-        shared.seams.context.clock.sleep(shared.config.check_interval).await;
-        let cut_off = is_alone(&shared) && !shared.members.lost().is_empty();
-        if !cut_off && shared.now().since(last) < shared.config.sync_interval {
+        shared.dependencies.context.clock.sleep(shared.config.check_interval).await;
+        let is_isolated = is_alone(&shared) && !shared.members.dead().is_empty();
+        if !is_isolated && shared.now().since(last) < shared.config.sync_interval {
             continue;
         }
-        let tries = if cut_off { ALONE_TRIES } else { 1 };
-        let syncs = targets(&shared, tries).into_iter().map(|address| {
-            let parts = shared.table.part_hashes().to_vec();
-            sync(&shared, address, parts, shared.config.background_sync_timeout)
+        let peer_limit = if is_isolated { ISOLATED_SYNC_LIMIT } else { 1 };
+        let syncs = sync_targets(&shared, peer_limit).into_iter().map(|address| {
+            let bucket_hashes = shared.table.bucket_hashes().to_vec();
+            sync(&shared, address, bucket_hashes, shared.config.background_sync_timeout)
         });
         join_all(syncs).await;
         last = shared.now();
@@ -57,31 +57,32 @@
 }
 
 /// A peer that differs, or else up to `count` of those that seem dead, at random.
-fn targets(shared: &RelayShared, count: usize) -> Vec<SocketAddr> {
-    let wanted = shared.sync_with.borrow_mut().take();
+fn sync_targets(shared: &RelayShared, count: usize) -> Vec<SocketAddr> {
+    let wanted = shared.sync_peer.borrow_mut().take();
     if let Some(address) = wanted.and_then(|vm| address_of(shared, &vm)) {
         return vec![address];
     }
-    let mut lost = lost_addresses(shared);
-    let random = &shared.seams.context.random;
+    let mut dead = unreached_addresses(shared);
+    let random = &shared.dependencies.context.random;
     let mut picked = Vec::new();
-    while picked.len() < count && !lost.is_empty() {
-        let index = usize::try_from(random.below(lost.len() as u64)).unwrap_or(0);
-        picked.push(lost.swap_remove(index));
+    while picked.len() < count && !dead.is_empty() {
+        let index = usize::try_from(random.below(dead.len() as u64)).unwrap_or(0);
+        picked.push(dead.swap_remove(index));
     }
     picked
 }
 
 /// The addresses at which a gateway should be and none is alive.
-fn lost_addresses(shared: &RelayShared) -> Vec<SocketAddr> {
+fn unreached_addresses(shared: &RelayShared) -> Vec<SocketAddr> {
     let alive = shared.members.alive();
     let known: Vec<SocketAddr> = alive.iter().filter_map(|vm| address_of(shared, vm)).collect();
-    let seeds = shared.config.seeds.iter().copied().filter(|seed| !shared.is_in_touch(seed));
-    let lost = shared.members.lost();
-    let lost = lost.iter().filter_map(|vm| address_of(shared, vm));
-    let mut addresses: Vec<SocketAddr> = lost
+    let seeds =
+        shared.config.seeds.iter().copied().filter(|seed| !shared.is_seed_region_reachable(seed));
+    let dead = shared.members.dead();
+    let dead = dead.iter().filter_map(|vm| address_of(shared, vm));
+    let mut addresses: Vec<SocketAddr> = dead
         .chain(seeds)
-        .chain(shared.hints.borrow().iter().copied())
+        .chain(shared.peer_hints.borrow().iter().copied())
         .filter(|address| !known.contains(address))
         .collect();
     addresses.sort();
@@ -95,7 +96,7 @@
 
 /// Fetches what was missed while this process or its VM stood still. Peers have taken it for dead
 /// and stopped telling it; without this it would go on sending work to backend servers that left.
-pub(super) async fn recover(shared: &Rc<RelayShared>) {
+pub(super) async fn catch_up_after_stall(shared: &Rc<RelayShared>) {
     let plan = shared.plan();
     let peer =
         plan.row_peers.iter().chain(&plan.relay_targets).find_map(|vm| address_of(shared, vm));
@@ -106,25 +107,31 @@
 
 /// Fetches what differs from the peer at `address`.
 pub(super) async fn catch_up(shared: &Rc<RelayShared>, address: SocketAddr) {
-    let parts = shared.table.part_hashes().to_vec();
-    sync(shared, address, parts, shared.config.sync_timeout).await;
+    let bucket_hashes = shared.table.bucket_hashes().to_vec();
+    sync(shared, address, bucket_hashes, shared.config.sync_timeout).await;
 }
 
-/// Fetches from `address` what differs from `parts`. A failure needs no report: the next try comes.
-async fn sync(shared: &Rc<RelayShared>, address: SocketAddr, parts: Vec<u32>, limit: Duration) {
-    let Some(from) = shared.members.aged(shared.members.own()) else { return };
-    let body = Bytes::from(encode(&SyncRequest { from, parts }));
-    let Ok(reply) = shared.seams.transport.call(address, "backend.sync", body, limit).await else {
+/// Fetches from `address` what differs from `bucket_hashes`. A failure needs no report: the next try comes.
+async fn sync(
+    shared: &Rc<RelayShared>,
+    address: SocketAddr,
+    bucket_hashes: Vec<u32>,
+    limit: Duration,
+) {
+    let Some(from) = shared.members.aged_record(shared.members.local_vm()) else { return };
+    let body = Bytes::from(encode(&SyncRequest { from, bucket_hashes }));
+    let Ok(reply) = shared.dependencies.transport.call(address, "backend.sync", body, limit).await
+    else {
         return;
     };
     let Ok(reply) = decode::<SyncReply>(&reply) else { return };
-    if let Some(region) = reply.region.filter(|region| *region != shared.own_region()) {
-        shared.foreign_seeds.borrow_mut().insert(address, region);
-        shared.introduce(&reply.regions);
+    if let Some(region) = reply.region.filter(|region| *region != shared.local_region()) {
+        shared.remote_seeds.borrow_mut().insert(address, region);
+        shared.add_contacts(&reply.regions);
         return;
     }
-    reply.regions.iter().for_each(|delta| shared.regions.take(delta, Origin::Sync));
-    reply.gateways.iter().for_each(|aged| shared.take_gateway(aged, Origin::Sync));
-    reply.backends.iter().for_each(|aged| shared.take_backend(aged, Origin::Sync));
+    reply.regions.iter().for_each(|delta| shared.regions.apply(delta, Origin::Sync));
+    reply.gateways.iter().for_each(|aged| shared.merge_gateway(aged, Origin::Sync));
+    reply.backends.iter().for_each(|aged| shared.merge_backend(aged, Origin::Sync));
     shared.ensure_tasks();
 }
--- a/crates/backend/src/relay/handler.rs
+++ b/crates/backend/src/relay/handler.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
+        region_reporter::{self, ReportReply},
         shared::RelayShared,
-        speaker::{self, TellReply},
     },
     crate::{
         DeltaReply, GatewayHeartbeat, GossipDelta, Origin, RegionDelta, RelayStep, StatusChange,
-        SyncReply, SyncRequest, members::PulseOutcome, table::gossip::LoadOutcome,
+        SyncReply, SyncRequest, member_table::HeartbeatOutcome, table::gossip::LoadOutcome,
     },
     bytes::Bytes,
     gullglade_peer::{PeerFault, PeerHandler, PeerIdentity},
@@ -37,18 +37,18 @@
         match method {
             "backend.delta" => {
                 let delta = decode(body).map_err(PeerFault::malformed)?;
-                let known = self.shared.take_delta(&from.vm, &delta);
+                let known = self.shared.apply_delta(&from.vm, &delta);
                 Ok(Bytes::from(encode(&DeltaReply { known })))
             }
             "backend.region" => {
                 let delta: RegionDelta = decode(body).map_err(PeerFault::malformed)?;
-                if delta.region == self.shared.own_region() {
+                if delta.region == self.shared.local_region() {
                     return Err(PeerFault::refused("this is a gateway of your own region"));
                 }
-                self.shared.regions.take(&delta, Origin::Direct);
-                let again = self.shared.regions.note_speaker(&delta.region, &from.vm);
-                speaker::ensure_tasks(&self.shared);
-                Ok(Bytes::from(encode(&TellReply { again })))
+                self.shared.regions.apply(&delta, Origin::Direct);
+                let resend_all = self.shared.regions.note_reporter(&delta.region, &from.vm);
+                region_reporter::ensure_tasks(&self.shared);
+                Ok(Bytes::from(encode(&ReportReply { resend_all })))
             }
             "backend.sync" => {
                 let request = decode(body).map_err(PeerFault::malformed)?;
@@ -62,20 +62,20 @@
 impl RelayShared {
     /// Takes in a message of the gateway `from`; false: this run of it was not known here, or was
     /// taken for dead and has been told nothing since.
-    fn take_delta(self: &Rc<Self>, from: &VmName, delta: &GossipDelta) -> bool {
+    fn apply_delta(self: &Rc<Self>, from: &VmName, delta: &GossipDelta) -> bool {
         let origin = match delta.step {
             RelayStep::Row => Origin::Row,
             RelayStep::Across => Origin::OtherRow,
         };
-        delta.gateways.iter().for_each(|aged| self.take_gateway(aged, origin));
-        delta.backends.iter().for_each(|aged| self.take_backend(aged, origin));
-        let was_alive = self.is_alive(from, &delta.pulse);
-        let mut missing = !self.take_pulse(from, &delta.pulse, origin);
-        for pulse in &delta.pulses {
-            missing |= !self.take_pulse(from, pulse, origin);
+        delta.gateways.iter().for_each(|aged| self.merge_gateway(aged, origin));
+        delta.backends.iter().for_each(|aged| self.merge_backend(aged, origin));
+        let was_alive = self.is_alive(from, &delta.heartbeat);
+        let mut missing = !self.merge_heartbeat(from, &delta.heartbeat, origin);
+        for heartbeat in &delta.row_heartbeats {
+            missing |= !self.merge_heartbeat(from, heartbeat, origin);
         }
         for load in &delta.loads {
-            match self.table.take_load(load, origin) {
+            match self.table.merge_load(load, origin) {
                 LoadOutcome::Known => {}
                 LoadOutcome::Unknown => missing = true,
                 LoadOutcome::Returned(name) => {
@@ -84,26 +84,26 @@
                 }
             }
         }
-        self.row_totals.take(&self.plan(), from, &delta.row_totals);
-        delta.regions.iter().for_each(|region| self.regions.take(region, origin));
-        self.compare(from, missing || delta.digest != self.digest());
+        self.row_totals.apply(&self.plan(), from, &delta.row_totals);
+        delta.regions.iter().for_each(|region| self.regions.apply(region, origin));
+        self.track_divergence(from, missing || delta.digest != self.digest());
         self.ensure_tasks();
         was_alive
     }
 
     /// Whether this run of the sender is known here and was not taken for dead.
-    fn is_alive(&self, from: &VmName, pulse: &GatewayHeartbeat) -> bool {
-        let is_this_run = self.members.name_of(pulse.id).as_ref() == Some(from);
+    fn is_alive(&self, from: &VmName, heartbeat: &GatewayHeartbeat) -> bool {
+        let is_this_run = self.members.name_of(heartbeat.id).as_ref() == Some(from);
         is_this_run && self.members.record(from).is_some_and(|r| !r.status.is_expired())
     }
 
     /// False: this gateway does not know who sent the heartbeat.
-    fn take_pulse(&self, from: &VmName, pulse: &GatewayHeartbeat, origin: Origin) -> bool {
-        match self.members.take_pulse(pulse, origin) {
-            PulseOutcome::Known => true,
-            PulseOutcome::Unknown => false,
-            PulseOutcome::Returned => {
-                if let Some(vm) = self.members.name_of(pulse.id) {
+    fn merge_heartbeat(&self, from: &VmName, heartbeat: &GatewayHeartbeat, origin: Origin) -> bool {
+        match self.members.merge_heartbeat(heartbeat, origin) {
+            HeartbeatOutcome::Known => true,
+            HeartbeatOutcome::Unknown => false,
+            HeartbeatOutcome::Returned => {
+                if let Some(vm) = self.members.name_of(heartbeat.id) {
                     self.note_gateway(&vm, if vm == *from { Origin::Direct } else { origin });
                 }
                 true
@@ -113,42 +113,45 @@
 
     /// Asks for a sync when `from` has differed for a while: what differs for less may be news on
     /// its way.
-    fn compare(&self, from: &VmName, differs: bool) {
-        let mut differing = self.differing.borrow_mut();
+    fn track_divergence(&self, from: &VmName, differs: bool) {
+        let mut diverged_since = self.diverged_since.borrow_mut();
         if !differs {
-            differing.remove(from);
+            diverged_since.remove(from);
             return;
         }
-        let since = *differing.entry(from.clone()).or_insert(self.now());
-        if self.now().since(since) >= self.table.pace().stretch(self.config.divergence_timeout) {
-            differing.remove(from);
-            *self.sync_with.borrow_mut() = Some(from.clone());
+        let since = *diverged_since.entry(from.clone()).or_insert(self.now());
+        if self.now().since(since)
+            >= self.table.interval_scale().scale(self.config.divergence_timeout)
+        {
+            diverged_since.remove(from);
+            *self.sync_peer.borrow_mut() = Some(from.clone());
         }
     }
 
     /// Answers a peer that found a difference or has just started.
     fn answer_sync(self: &Rc<Self>, request: &SyncRequest) -> SyncReply {
-        let asker = &request.from.record;
-        if asker.profile.region != self.own_region() {
-            self.regions.introduce(&asker.profile.region, vec![asker.contact()]);
-            speaker::ensure_tasks(self);
+        let requester = &request.from.record;
+        if requester.profile.region != self.local_region() {
+            self.regions.add_contacts(&requester.profile.region, vec![requester.contact()]);
+            region_reporter::ensure_tasks(self);
             return SyncReply {
-                region: Some(self.own_region()),
+                region: Some(self.local_region()),
                 regions: self.known_contacts(),
                 ..SyncReply::default()
             };
         }
-        self.take_gateway(&request.from, Origin::Direct);
-        let own = self.table.part_hashes();
-        let differing = (0..own.len()).filter(|part| request.parts.get(*part) != Some(&own[*part]));
-        let backends = differing.flat_map(|part| self.table.aged_in_part(part)).collect();
+        self.merge_gateway(&request.from, Origin::Direct);
+        let local = self.table.bucket_hashes();
+        let differing = (0..local.len())
+            .filter(|bucket| request.bucket_hashes.get(*bucket) != Some(&local[*bucket]));
+        let backends = differing.flat_map(|bucket| self.table.records_in_bucket(bucket)).collect();
         self.ensure_tasks();
         let all = [Origin::Direct, Origin::Row, Origin::OtherRow, Origin::Sync];
-        let regions = match request.parts.is_empty() {
+        let regions = match request.bucket_hashes.is_empty() {
             true => self.regions.deltas_after(0, &all),
             false => Vec::new(),
         };
-        let (gateways, region) = (self.members.compared(), Some(self.own_region()));
+        let (gateways, region) = (self.members.compared_records(), Some(self.local_region()));
         SyncReply { backends, gateways, region, regions }
     }
 }
--- a/crates/backend/src/relay/housekeeping.rs
+++ b/crates/backend/src/relay/housekeeping.rs
@@ -1,7 +1,7 @@
 //! The task that watches leases and plans.
 
 use {
-    super::{healing, shared::RelayShared, speaker},
+    super::{anti_entropy, region_reporter, shared::RelayShared},
     crate::{Origin, StatusChange},
     gullglade_event::{EventDraft, Level},
     std::{rc::Rc, time::Duration},
@@ -13,20 +13,20 @@
 
 /// Runs as long as the process.
 pub(super) async fn run(shared: Rc<RelayShared>) {
-    healing::join(&shared).await;
-    let heal = healing::run(shared.clone());
-    shared.seams.context.spawner.spawn(Box::pin(heal));
+    anti_entropy::join(&shared).await;
+    let heal = anti_entropy::run(shared.clone());
+    shared.dependencies.context.spawner.spawn(Box::pin(heal));
     loop {
         let begun = shared.now();
-        shared.seams.context.clock.sleep(shared.config.check_interval).await;
+        shared.dependencies.context.clock.sleep(shared.config.check_interval).await;
         if shared.now().since(begun) >= shared.config.check_interval + STALL_LIMIT {
-            shared.seams.events.emit(EventDraft::new("gateway.stalled").level(Level::Warn));
-            healing::recover(&shared).await;
+            shared.dependencies.events.emit(EventDraft::new("gateway.stalled").level(Level::Warn));
+            anti_entropy::catch_up_after_stall(&shared).await;
         }
         check_leases(&shared);
         shared.subset();
         shared.ensure_tasks();
-        speaker::ensure_tasks(&shared);
+        region_reporter::ensure_tasks(&shared);
     }
 }
 
--- a/crates/backend/src/relay/peer_task.rs
+++ b/crates/backend/src/relay/peer_task.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        healing,
-        shared::{PeerDuty, RelayShared},
+        anti_entropy,
+        shared::{PeerScope, RelayShared},
     },
     crate::{
         DeltaReply, GossipDelta, Origin, RelayStep, TotalsDelta,
@@ -26,22 +26,22 @@
 
 /// Up to where a peer has been told.
 #[derive(Clone, Copy)]
-struct PeerMarks {
+struct PeerCursor {
     log: u64,
     loads: u64,
-    pulses: u64,
+    heartbeats: u64,
     regions: u64,
 }
 
 /// What a speaker of the region has been told of this row.
 #[derive(Default)]
-struct RowMemory {
-    told: TotalsMap,
+struct SentRowTotals {
+    totals: TotalsMap,
     messages: u32,
     incarnation: Incarnation,
 }
 
-impl RowMemory {
+impl SentRowTotals {
     fn delta(&mut self, shared: &RelayShared, vm: &VmName) -> TotalsDelta {
         let record = shared.members.record(vm);
         let incarnation = record.map(|r| r.status.incarnation).unwrap_or_default();
@@ -50,83 +50,84 @@
             *self = Self { incarnation, ..Self::default() };
         }
         let totals = shared.table.totals(&[Origin::Direct, Origin::Row]);
-        TotalsDelta::between(&mut self.told, &totals)
+        TotalsDelta::between(&mut self.totals, &totals)
     }
 }
 
 /// Tells `vm` until it is dead.
 pub(super) async fn run(shared: Rc<RelayShared>, vm: VmName) {
-    let mut marks = PeerMarks { log: told_so_far(&shared, &vm), loads: 0, pulses: 0, regions: 0 };
+    let mut cursor =
+        PeerCursor { log: delivered_position(&shared, &vm), loads: 0, heartbeats: 0, regions: 0 };
     let mut failures = 0;
-    let mut memory = RowMemory::default();
-    while let Some(duty) = wait_turn(&shared, &vm, &marks, failures).await {
-        let next = current_marks(&shared);
-        let mut delta = make_delta(&shared, &vm, duty, &marks);
-        if duty == PeerDuty::Across && shared.is_speaker(&vm) {
-            delta.row_totals = memory.delta(&shared, &vm);
+    let mut sent_totals = SentRowTotals::default();
+    while let Some(scope) = wait_until_due(&shared, &vm, &cursor, failures).await {
+        let next = current_cursor(&shared);
+        let mut delta = make_delta(&shared, &vm, scope, &cursor);
+        if scope == PeerScope::Across && shared.is_reporter(&vm) {
+            delta.row_totals = sent_totals.delta(&shared, &vm);
         }
         match send(&shared, &vm, &delta).await {
             Ok(()) => {
                 failures = 0;
-                marks = next;
-                shared.told.borrow_mut().insert(vm.clone(), marks.log);
-                shared.progress.ring();
+                cursor = next;
+                shared.delivered.borrow_mut().insert(vm.clone(), cursor.log);
+                shared.progress.notify_all();
             }
             Err(_) => {
-                memory.told.clear();
+                sent_totals.totals.clear();
                 failures += 1;
-                let vouched = duty != PeerDuty::Row && !shared.members.is_silent(&vm);
-                if failures >= FAILURE_LIMIT && !vouched {
-                    shared.accuse(&vm);
+                let is_heard_by_row = scope != PeerScope::Row && !shared.members.is_silent(&vm);
+                if failures >= FAILURE_LIMIT && !is_heard_by_row {
+                    shared.declare_dead(&vm);
                 }
             }
         }
     }
-    shared.told.borrow_mut().remove(&vm);
-    shared.progress.ring();
+    shared.delivered.borrow_mut().remove(&vm);
+    shared.progress.notify_all();
 }
 
-fn told_so_far(shared: &RelayShared, vm: &VmName) -> u64 {
-    shared.told.borrow().get(vm).copied().unwrap_or_else(|| shared.log.end())
+fn delivered_position(shared: &RelayShared, vm: &VmName) -> u64 {
+    shared.delivered.borrow().get(vm).copied().unwrap_or_else(|| shared.log.end())
 }
 
-fn current_marks(shared: &RelayShared) -> PeerMarks {
-    PeerMarks {
+fn current_cursor(shared: &RelayShared) -> PeerCursor {
+    PeerCursor {
         log: shared.log.end(),
-        loads: shared.table.load_mark(),
-        pulses: shared.members.pulse_mark(),
-        regions: shared.regions.mark(),
+        loads: shared.table.load_cursor(),
+        heartbeats: shared.members.heartbeat_cursor(),
+        regions: shared.regions.cursor(),
     }
 }
 
 /// Waits until it is time to tell `vm` something; `None`: it is dead.
-async fn wait_turn(
+async fn wait_until_due(
     shared: &RelayShared,
     vm: &VmName,
-    marks: &PeerMarks,
+    cursor: &PeerCursor,
     failures: u32,
-) -> Option<PeerDuty> {
-    let clock = &shared.seams.context.clock;
+) -> Option<PeerScope> {
+    let clock = &shared.dependencies.context.clock;
     if failures > 0 {
         clock.sleep(RETRY_PAUSE).await;
         if failures < FAILURE_LIMIT {
-            return shared.duty_to(vm);
+            return shared.scope_of(vm);
         }
     }
-    let mut tick = clock.sleep(tick_of(shared, vm, shared.duty_to(vm)?));
+    let mut tick = clock.sleep(send_interval(shared, vm, shared.scope_of(vm)?));
     loop {
-        let news = shared.news.wait();
-        let duty = shared.duty_to(vm)?;
-        if has_urgent(shared, duty, marks) {
-            return Some(duty);
+        let update = shared.updates.notified();
+        let scope = shared.scope_of(vm)?;
+        if has_urgent_change(shared, scope, cursor) {
+            return Some(scope);
         }
-        match select(tick, news).await {
+        match select(tick, update).await {
             Either::Left(_) => {
-                let duty = shared.duty_to(vm)?;
-                if duty != PeerDuty::Urgent || shared.members.is_silent(vm) {
-                    return Some(duty);
+                let scope = shared.scope_of(vm)?;
+                if scope != PeerScope::Urgent || shared.members.is_silent(vm) {
+                    return Some(scope);
                 }
-                tick = clock.sleep(tick_of(shared, vm, duty));
+                tick = clock.sleep(send_interval(shared, vm, scope));
             }
             Either::Right((_, unfinished)) => tick = unfinished,
         }
@@ -135,71 +136,81 @@
 
 /// The tick of a duty, shortened at random by up to a tenth, so that the region's messages do not
 /// fall into step.
-fn tick_of(shared: &RelayShared, vm: &VmName, duty: PeerDuty) -> Duration {
-    let tick = match duty {
-        PeerDuty::Row if shared.plan().watched.contains(vm) => shared.config.watch_interval,
-        _ => shared.table.pace().stretch(shared.config.relay_interval),
+fn send_interval(shared: &RelayShared, vm: &VmName, scope: PeerScope) -> Duration {
+    let tick = match scope {
+        PeerScope::Row if shared.plan().watched.contains(vm) => shared.config.watch_interval,
+        _ => shared.table.interval_scale().scale(shared.config.relay_interval),
     };
-    tick.mul_f64(1.0 - 0.1 * shared.seams.context.random.unit())
+    tick.mul_f64(1.0 - 0.1 * shared.dependencies.context.random.unit())
 }
 
-fn has_urgent(shared: &RelayShared, duty: PeerDuty, marks: &PeerMarks) -> bool {
-    shared.log.since(marks.log).iter().any(|change| change.urgent && is_owed(duty, change))
+fn has_urgent_change(shared: &RelayShared, scope: PeerScope, cursor: &PeerCursor) -> bool {
+    shared.log.since(cursor.log).iter().any(|change| change.urgent && is_in_scope(scope, change))
 }
 
-/// Whether a peer of `duty` is to be told `change` by this gateway. What is urgent goes to every
+/// Whether a peer of `scope` is to be told `change` by this gateway. What is urgent goes to every
 /// peer of the plan, whoever told it: a gateway that dies in the middle of telling would otherwise
 /// leave out those whom only it was to tell, and they would send work to a backend server that
 /// has left.
-fn is_owed(duty: PeerDuty, change: &LoggedChange) -> bool {
-    match (change.origin, duty) {
-        (Origin::Direct, PeerDuty::Urgent) => change.urgent,
-        (_, PeerDuty::Urgent) => false,
+fn is_in_scope(scope: PeerScope, change: &LoggedChange) -> bool {
+    match (change.origin, scope) {
+        (Origin::Direct, PeerScope::Urgent) => change.urgent,
+        (_, PeerScope::Urgent) => false,
         _ if change.urgent => true,
-        (Origin::Direct, _) | (Origin::Row, PeerDuty::Across) => true,
+        (Origin::Direct, _) | (Origin::Row, PeerScope::Across) => true,
         (Origin::Row | Origin::OtherRow | Origin::Sync, _) => false,
     }
 }
 
-fn make_delta(shared: &RelayShared, vm: &VmName, duty: PeerDuty, marks: &PeerMarks) -> GossipDelta {
+fn make_delta(
+    shared: &RelayShared,
+    vm: &VmName,
+    scope: PeerScope,
+    cursor: &PeerCursor,
+) -> GossipDelta {
     let mut delta = GossipDelta {
-        step: if duty == PeerDuty::Row { RelayStep::Row } else { RelayStep::Across },
-        pulse: shared.members.beat(),
+        step: if scope == PeerScope::Row { RelayStep::Row } else { RelayStep::Across },
+        heartbeat: shared.members.next_heartbeat(),
         digest: shared.digest(),
         backends: Vec::new(),
         gateways: Vec::new(),
         loads: Vec::new(),
-        pulses: Vec::new(),
+        row_heartbeats: Vec::new(),
         row_totals: TotalsDelta::default(),
         regions: Vec::new(),
     };
-    add_changes(shared, duty, marks, &mut delta);
-    match duty {
-        PeerDuty::Row => {
-            delta.loads = shared.table.loads_after(marks.loads, &[Origin::Direct], None);
-            delta.regions = shared.regions.deltas_after(marks.regions, &[Origin::Direct]);
+    add_changes(shared, scope, cursor, &mut delta);
+    match scope {
+        PeerScope::Row => {
+            delta.loads = shared.table.loads_after(cursor.loads, &[Origin::Direct], None);
+            delta.regions = shared.regions.deltas_after(cursor.regions, &[Origin::Direct]);
         }
-        PeerDuty::Across => {
+        PeerScope::Across => {
             let followed = shared.subset().followed_by(vm);
             let origins = [Origin::Direct, Origin::Row];
-            delta.loads = shared.table.loads_after(marks.loads, &origins, Some(&followed));
-            delta.regions = shared.regions.deltas_after(marks.regions, &origins);
-            delta.pulses = shared.members.row_pulses_after(marks.pulses);
+            delta.loads = shared.table.loads_after(cursor.loads, &origins, Some(&followed));
+            delta.regions = shared.regions.deltas_after(cursor.regions, &origins);
+            delta.row_heartbeats = shared.members.row_heartbeats_after(cursor.heartbeats);
         }
-        PeerDuty::Urgent => {}
+        PeerScope::Urgent => {}
     }
     delta
 }
 
-fn add_changes(shared: &RelayShared, duty: PeerDuty, marks: &PeerMarks, delta: &mut GossipDelta) {
+fn add_changes(
+    shared: &RelayShared,
+    scope: PeerScope,
+    cursor: &PeerCursor,
+    delta: &mut GossipDelta,
+) {
     let mut seen = HashSet::new();
-    for change in shared.log.since(marks.log) {
-        if !is_owed(duty, &change) || !seen.insert(change.key.clone()) {
+    for change in shared.log.since(cursor.log) {
+        if !is_in_scope(scope, &change) || !seen.insert(change.key.clone()) {
             continue;
         }
         match &change.key {
-            ChangedKey::Backend(name) => delta.backends.extend(shared.table.aged(name)),
-            ChangedKey::Gateway(vm) => delta.gateways.extend(shared.members.aged(vm)),
+            ChangedKey::Backend(name) => delta.backends.extend(shared.table.aged_record(name)),
+            ChangedKey::Gateway(vm) => delta.gateways.extend(shared.members.aged_record(vm)),
         }
     }
 }
@@ -209,9 +220,9 @@
     let body = Bytes::from(encode(delta));
     let to = record.profile.peer_address;
     let limit = shared.config.call_timeout;
-    let answer = shared.seams.transport.call(to, "backend.delta", body, limit).await?;
+    let answer = shared.dependencies.transport.call(to, "backend.delta", body, limit).await?;
     if decode(&answer).is_ok_and(|reply: DeltaReply| !reply.known) {
-        healing::catch_up(shared, to).await;
+        anti_entropy::catch_up(shared, to).await;
     }
     Ok(())
 }
--- a/crates/backend/src/relay/speaker.rs
+++ b/crates/backend/src/relay/region_reporter.rs
@@ -20,21 +20,22 @@
 };
 
 /// The most speakers; the design size has 19 other regions.
-const SPEAKER_LIMIT: usize = 20;
+const REPORTER_LIMIT: usize = 20;
 
 /// The key that chooses speakers.
-const SPEAKER_KEY: &str = "speaker";
+const REPORTER_KEY: &str = "speaker";
 
 /// The answer to what a speaker tells.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(super) struct TellReply {
+pub(super) struct ReportReply {
     /// Another gateway spoke for the region meanwhile: the next message must tell everything.
-    pub(super) again: bool,
+    #[serde(rename = "again")]
+    pub(super) resend_all: bool,
 }
 
 /// What another region has been told.
 #[derive(Default)]
-struct RegionMemory {
+struct SentReport {
     totals: TotalsMap,
     contacts: Vec<GatewayContact>,
     messages: u32,
@@ -44,58 +45,60 @@
 /// Starts a task for every region that this gateway speaks to and that has none.
 pub(super) fn ensure_tasks(shared: &Rc<RelayShared>) {
     for region in shared.regions.names() {
-        if !shared.speaks_to(&region) || !shared.spoken_to.borrow_mut().insert(region.clone()) {
+        if !shared.reports_to(&region)
+            || !shared.reported_regions.borrow_mut().insert(region.clone())
+        {
             continue;
         }
         let task = run(shared.clone(), region);
-        shared.seams.context.spawner.spawn(Box::pin(task));
+        shared.dependencies.context.spawner.spawn(Box::pin(task));
     }
 }
 
 /// Tells `region` of the own one for as long as this gateway is the one to do so.
 async fn run(shared: Rc<RelayShared>, region: RegionName) {
-    let mut memory = RegionMemory::default();
-    while shared.speaks_to(&region) {
-        if let Some(address) = shared.listener(&region) {
-            tell(&shared, address, &mut memory).await;
+    let mut sent = SentReport::default();
+    while shared.reports_to(&region) {
+        if let Some(address) = shared.report_receiver(&region) {
+            send_report(&shared, address, &mut sent).await;
         }
         let tick = shared.config.region_interval;
-        let jitter = 1.0 - 0.1 * shared.seams.context.random.unit();
-        shared.seams.context.clock.sleep(tick.mul_f64(jitter)).await;
+        let jitter = 1.0 - 0.1 * shared.dependencies.context.random.unit();
+        shared.dependencies.context.clock.sleep(tick.mul_f64(jitter)).await;
     }
-    shared.spoken_to.borrow_mut().remove(&region);
+    shared.reported_regions.borrow_mut().remove(&region);
 }
 
-async fn tell(shared: &RelayShared, to: SocketAddr, memory: &mut RegionMemory) {
-    let body = Bytes::from(encode(&memory.delta(shared)));
+async fn send_report(shared: &RelayShared, to: SocketAddr, sent: &mut SentReport) {
+    let body = Bytes::from(encode(&sent.delta(shared)));
     let begun = shared.now();
     let limit = shared.config.region_timeout;
-    match shared.seams.transport.call(to, "backend.region", body, limit).await {
+    match shared.dependencies.transport.call(to, "backend.region", body, limit).await {
         Ok(reply) => {
             let delay = shared.now().since(begun) / 2;
-            if decode::<TellReply>(&reply).is_ok_and(|reply| reply.again) {
-                *memory = RegionMemory::default();
+            if decode::<ReportReply>(&reply).is_ok_and(|reply| reply.resend_all) {
+                *sent = SentReport::default();
             }
-            memory.delay = delay;
+            sent.delay = delay;
         }
         Err(_) => {
             shared.regions.note_failure(to);
-            *memory = RegionMemory::default();
+            *sent = SentReport::default();
         }
     }
 }
 
-impl RegionMemory {
+impl SentReport {
     fn delta(&mut self, shared: &RelayShared) -> RegionDelta {
         self.messages += 1;
         if self.messages >= shared.config.full_refresh_messages {
             *self = Self { delay: self.delay, ..Self::default() };
         }
-        let contacts = shared.own_contacts();
+        let contacts = shared.local_contacts();
         let changed = contacts != self.contacts;
         self.contacts = contacts;
         RegionDelta {
-            region: shared.own_region(),
+            region: shared.local_region(),
             age: 0,
             delay_millis: u16::try_from(self.delay.as_millis()).unwrap_or(u16::MAX),
             totals: TotalsDelta::between(&mut self.totals, &shared.region_totals()),
@@ -106,28 +109,30 @@
 
 impl RelayShared {
     /// The gateways that speak for the region.
-    fn speakers(&self) -> Vec<VmName> {
+    fn reporters(&self) -> Vec<VmName> {
         let members = self.members.preferred();
-        ranked(SPEAKER_KEY, &members).into_iter().take(SPEAKER_LIMIT).cloned().collect()
+        ranked(REPORTER_KEY, &members).into_iter().take(REPORTER_LIMIT).cloned().collect()
     }
 
-    pub(super) fn is_speaker(&self, vm: &VmName) -> bool {
-        self.speakers().contains(vm)
+    pub(super) fn is_reporter(&self, vm: &VmName) -> bool {
+        self.reporters().contains(vm)
     }
 
-    fn speaks_to(&self, region: &RegionName) -> bool {
+    fn reports_to(&self, region: &RegionName) -> bool {
         let others: Vec<String> = self.regions.names().into_iter().map(String::from).collect();
-        let speakers = self.speakers();
-        let mut dealt = deal(others, &speakers).into_iter();
-        dealt.any(|(other, speaker)| other == region.as_str() && speaker == self.members.own())
+        let reporters = self.reporters();
+        let mut assignments = deal(others, &reporters).into_iter();
+        assignments.any(|(other, reporter)| {
+            other == region.as_str() && reporter == self.members.local_vm()
+        })
     }
 
     /// The gateway of `region` that hears of the own region.
-    fn listener(&self, region: &RegionName) -> Option<SocketAddr> {
-        let own = self.own_region();
+    fn report_receiver(&self, region: &RegionName) -> Option<SocketAddr> {
+        let local = self.local_region();
         let mut others: Vec<String> = self.regions.names().into_iter().map(String::from).collect();
         others.retain(|other| other != region.as_str());
-        others.push(own.as_str().to_owned());
+        others.push(local.as_str().to_owned());
         others.sort();
         let mut contacts = self.regions.contacts(region);
         contacts.sort();
@@ -135,14 +140,14 @@
         if !contacts.iter().all(failed) {
             contacts.retain(|contact| !failed(contact));
         }
-        let mut dealt = deal(others, &contacts).into_iter();
-        let found = dealt.find(|(other, _)| other == own.as_str());
+        let mut assignments = deal(others, &contacts).into_iter();
+        let found = assignments.find(|(other, _)| other == local.as_str());
         found.map(|(_, contact)| contact.peer_address)
     }
 
     /// Whom other regions may turn to.
-    pub(super) fn own_contacts(&self) -> Vec<GatewayContact> {
-        let records = self.speakers().into_iter().filter_map(|vm| self.members.record(&vm));
+    pub(super) fn local_contacts(&self) -> Vec<GatewayContact> {
+        let records = self.reporters().into_iter().filter_map(|vm| self.members.record(&vm));
         records.map(|record| record.contact()).collect()
     }
 
@@ -150,16 +155,16 @@
     fn region_totals(&self) -> TotalsMap {
         let mut sum = self.table.totals(&[Origin::Direct, Origin::Row]);
         add_totals(&mut sum, &self.row_totals.sum(&self.plan()));
-        sum.values_mut().for_each(|totals| *totals = totals.stated());
+        sum.values_mut().for_each(|totals| *totals = totals.without_reserve());
         sum
     }
 
     /// The gateways of `region` to turn to, in an order of this gateway's own.
-    pub(super) fn spread_contacts(&self, region: &RegionName) -> Vec<GatewayContact> {
-        let own = self.members.own().as_str();
+    pub(super) fn ordered_contacts(&self, region: &RegionName) -> Vec<GatewayContact> {
+        let local = self.members.local_vm().as_str();
         let mut contacts = self.regions.contacts(region);
         let failed = |c: &GatewayContact| self.regions.has_failed(c.peer_address);
-        contacts.sort_by_key(|c| (failed(c), Reverse(score(own, c.vm.as_str()))));
+        contacts.sort_by_key(|c| (failed(c), Reverse(score(local, c.vm.as_str()))));
         contacts
     }
 
@@ -177,27 +182,27 @@
             let contacts = self.regions.contacts(&region);
             delta(region, contacts)
         });
-        others.chain([delta(self.own_region(), self.own_contacts())]).collect()
+        others.chain([delta(self.local_region(), self.local_contacts())]).collect()
     }
 
     /// Takes note of gateways that a gateway of another region named. Those of the own region are
     /// worth a try: when all that the settings name are down, this is the only way to find them.
-    pub(super) fn introduce(self: &Rc<Self>, regions: &[RegionDelta]) {
-        let own = self.own_region();
+    pub(super) fn add_contacts(self: &Rc<Self>, regions: &[RegionDelta]) {
+        let local = self.local_region();
         for delta in regions {
             let contacts = delta.contacts.clone().unwrap_or_default();
-            if delta.region == own {
-                *self.hints.borrow_mut() = contacts.iter().map(|c| c.peer_address).collect();
+            if delta.region == local {
+                *self.peer_hints.borrow_mut() = contacts.iter().map(|c| c.peer_address).collect();
             } else {
-                self.regions.introduce(&delta.region, contacts);
+                self.regions.add_contacts(&delta.region, contacts);
             }
         }
         ensure_tasks(self);
     }
 
     /// Whether the region of this seed is heard of anyway.
-    pub(super) fn is_in_touch(&self, seed: &SocketAddr) -> bool {
-        let foreign = self.foreign_seeds.borrow();
-        foreign.get(seed).is_some_and(|region| self.regions.is_reachable(region))
+    pub(super) fn is_seed_region_reachable(&self, seed: &SocketAddr) -> bool {
+        let remote_seeds = self.remote_seeds.borrow();
+        remote_seeds.get(seed).is_some_and(|region| self.regions.is_reachable(region))
     }
 }
--- a/crates/backend/src/relay/shared.rs
+++ b/crates/backend/src/relay/shared.rs
@@ -6,9 +6,9 @@
         AgedRecord, Announcement, BackendRecord, BackendTable, GatewayRecord, Origin, RelayPlan,
         ServingState, StatusChange, SubsetPlan,
         change_log::{ChangeLog, ChangedKey, LoggedChange},
-        members::MemberTable,
-        news_bell::NewsBell,
-        regions::RegionBook,
+        member_table::MemberTable,
+        notifier::Notifier,
+        region_table::RegionTable,
         row_totals::RowTotals,
     },
     gullglade_event::EventDraft,
@@ -25,7 +25,7 @@
 
 /// What this gateway owes a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PeerDuty {
+pub(super) enum PeerScope {
     /// A member of the own row.
     Row,
     /// A gateway of another row that this one relays to.
@@ -38,70 +38,75 @@
     pub(super) table: Rc<BackendTable>,
     pub(super) members: MemberTable,
     pub(super) config: RelayConfig,
-    pub(super) seams: RelayDependencies,
-    pub(super) regions: RegionBook,
+    pub(super) dependencies: RelayDependencies,
+    pub(super) regions: RegionTable,
     pub(super) row_totals: RowTotals,
     pub(super) log: ChangeLog,
     /// Rings when something is to be told or the plan changed.
-    pub(super) news: NewsBell,
+    pub(super) updates: Notifier,
     /// Rings when a peer has taken a message.
-    pub(super) progress: NewsBell,
+    pub(super) progress: Notifier,
     pub(super) joined: Cell<bool>,
     /// The log position up to which each peer with a task has been told.
-    pub(super) told: RefCell<BTreeMap<VmName, u64>>,
+    pub(super) delivered: RefCell<BTreeMap<VmName, u64>>,
     /// When this gateway may declare a peer dead again.
-    accused: RefCell<HashMap<VmName, MonotonicTime>>,
+    next_declaration: RefCell<HashMap<VmName, MonotonicTime>>,
     plan: RefCell<(u64, Rc<RelayPlan>)>,
     subset: RefCell<((u64, u64), Rc<SubsetPlan>)>,
     digest: Cell<((u64, u64), [u8; 4])>,
     /// Since when the digests of peers differ from the own one.
-    pub(super) differing: RefCell<HashMap<VmName, MonotonicTime>>,
+    pub(super) diverged_since: RefCell<HashMap<VmName, MonotonicTime>>,
     /// A peer to sync with.
-    pub(super) sync_with: RefCell<Option<VmName>>,
+    pub(super) sync_peer: RefCell<Option<VmName>>,
     /// The regions of the seeds that stand in others.
-    pub(super) foreign_seeds: RefCell<HashMap<SocketAddr, RegionName>>,
+    pub(super) remote_seeds: RefCell<HashMap<SocketAddr, RegionName>>,
     /// Addresses at which other regions know gateways of this one.
-    pub(super) hints: RefCell<BTreeSet<SocketAddr>>,
+    pub(super) peer_hints: RefCell<BTreeSet<SocketAddr>>,
     /// The regions that a task of this gateway speaks to.
-    pub(super) spoken_to: RefCell<BTreeSet<RegionName>>,
+    pub(super) reported_regions: RefCell<BTreeSet<RegionName>>,
 }
 
 impl RelayShared {
     pub(super) fn new(
-        own: LocalGateway,
+        local: LocalGateway,
         table: Rc<BackendTable>,
         config: RelayConfig,
-        seams: RelayDependencies,
+        dependencies: RelayDependencies,
     ) -> Self {
-        let clock = seams.context.clock.clone();
-        let members =
-            MemberTable::new(own.vm, own.incarnation, own.profile, clock.clone(), table.pace());
+        let clock = dependencies.context.clock.clone();
+        let members = MemberTable::new(
+            local.vm,
+            local.incarnation,
+            local.profile,
+            clock.clone(),
+            table.interval_scale(),
+        );
         Self {
             members,
-            regions: RegionBook::new(clock.clone(), table.pace()),
-            row_totals: RowTotals::new(clock, table.pace()),
+            regions: RegionTable::new(clock.clone(), table.interval_scale()),
+            row_totals: RowTotals::new(clock, table.interval_scale()),
             table,
             config,
-            seams,
+            dependencies,
             log: ChangeLog::default(),
-            news: NewsBell::default(),
-            progress: NewsBell::default(),
+            updates: Notifier::default(),
+            progress: Notifier::default(),
             joined: Cell::new(false),
-            told: RefCell::default(),
-            accused: RefCell::default(),
+            delivered: RefCell::default(),
+            next_declaration: RefCell::default(),
             plan: RefCell::default(),
             subset: RefCell::default(),
             digest: Cell::default(),
-            differing: RefCell::default(),
-            sync_with: RefCell::default(),
-            foreign_seeds: RefCell::default(),
-            hints: RefCell::default(),
-            spoken_to: RefCell::default(),
+            diverged_since: RefCell::default(),
+            sync_peer: RefCell::default(),
+            remote_seeds: RefCell::default(),
+            peer_hints: RefCell::default(),
+            reported_regions: RefCell::default(),
         }
     }
 
     pub(super) fn now(&self) -> MonotonicTime {
-        self.seams.context.clock.now()
+        self.dependencies.context.clock.now()
     }
 
     /// The plan for the gateways alive now.
@@ -109,8 +114,8 @@
         let generation = self.members.generation();
         if self.plan.borrow().0 != generation {
             let alive = self.members.alive_domains();
-            self.table.pace().set_gateways(alive.len());
-            let plan = RelayPlan::new(self.members.own(), &alive);
+            self.table.interval_scale().set_gateway_count(alive.len());
+            let plan = RelayPlan::new(self.members.local_vm(), &alive);
             *self.plan.borrow_mut() = (generation, Rc::new(plan));
         }
         self.plan.borrow().1.clone()
@@ -122,34 +127,34 @@
         if self.subset.borrow().0 != generations {
             let engines = self.table.subset_members();
             let plan = SubsetPlan::new(&self.members.alive(), &engines, self.config.subset);
-            self.table.follow(&plan.followed_by(self.members.own()));
+            self.table.follow(&plan.followed_by(self.members.local_vm()));
             *self.subset.borrow_mut() = (generations, Rc::new(plan));
         }
         self.subset.borrow().1.clone()
     }
 
     /// What this gateway owes `vm`; `None`: it is dead, or this gateway itself.
-    pub(super) fn duty_to(&self, vm: &VmName) -> Option<PeerDuty> {
+    pub(super) fn scope_of(&self, vm: &VmName) -> Option<PeerScope> {
         let plan = self.plan();
         if plan.row_peers.contains(vm) {
-            return Some(PeerDuty::Row);
+            return Some(PeerScope::Row);
         }
         if plan.relay_targets.contains(vm) {
-            return Some(PeerDuty::Across);
+            return Some(PeerScope::Across);
         }
         let alive = self.members.record(vm).is_some_and(|r| !r.status.is_expired());
-        (alive && vm != self.members.own()).then_some(PeerDuty::Urgent)
+        (alive && vm != self.members.local_vm()).then_some(PeerScope::Urgent)
     }
 
     /// Starts a task for every live peer that has none.
     pub(super) fn ensure_tasks(self: &Rc<Self>) {
         for vm in self.members.alive() {
-            if vm == *self.members.own() || self.told.borrow().contains_key(&vm) {
+            if vm == *self.members.local_vm() || self.delivered.borrow().contains_key(&vm) {
                 continue;
             }
-            self.told.borrow_mut().insert(vm.clone(), self.log.end());
+            self.delivered.borrow_mut().insert(vm.clone(), self.log.end());
             let task = peer_task::run(self.clone(), vm);
-            self.seams.context.spawner.spawn(Box::pin(task));
+            self.dependencies.context.spawner.spawn(Box::pin(task));
         }
     }
 
@@ -160,7 +165,7 @@
         if known == generations {
             return digest;
         }
-        let content = (self.members.hash(), self.table.part_hashes());
+        let content = (self.members.hash(), self.table.bucket_hashes());
         let hash = xxh3_64(&gullglade_units::encode(&content)) as u32;
         self.digest.set((generations, hash.to_le_bytes()));
         hash.to_le_bytes()
@@ -175,12 +180,12 @@
     }
 
     /// Takes in a backend server's record that a peer told.
-    pub(super) fn take_backend(&self, aged: &AgedRecord<BackendRecord>, origin: Origin) {
+    pub(super) fn merge_backend(&self, aged: &AgedRecord<BackendRecord>, origin: Origin) {
         match self.table.merge_record(aged, origin) {
             Ok(change) => self.note_backend(&aged.record.name, change, origin),
             Err(error) => {
                 let event = EventDraft::new("backend.refused").field("backend", &aged.record.name);
-                self.seams.events.emit(event.error("reason", &error));
+                self.dependencies.events.emit(event.error("reason", &error));
             }
         }
     }
@@ -200,36 +205,36 @@
     fn emit_backend(&self, kind: &'static str, name: &BackendName) {
         let incarnation = self.table.record(name).map(|r| r.status.incarnation);
         let event = EventDraft::new(kind).field("backend", name);
-        self.seams.events.emit(event.optional("incarnation", incarnation));
+        self.dependencies.events.emit(event.optional("incarnation", incarnation));
     }
 
     /// Takes in a gateway's record that a peer told.
-    pub(super) fn take_gateway(&self, aged: &AgedRecord<GatewayRecord>, origin: Origin) {
+    pub(super) fn merge_gateway(&self, aged: &AgedRecord<GatewayRecord>, origin: Origin) {
         let vm = &aged.record.vm;
-        if aged.record.profile.region != self.own_region() {
+        if aged.record.profile.region != self.local_region() {
             return;
         }
-        if vm == self.members.own() {
-            if self.members.take_echo(&aged.record) {
+        if vm == self.members.local_vm() {
+            if self.members.refute_stale_copy(&aged.record) {
                 self.note_gateway(vm, Origin::Direct);
             }
             return;
         }
-        if self.members.take(aged, origin).membership {
+        if self.members.merge_record(aged, origin).membership {
             self.note_gateway(vm, origin);
         }
     }
 
-    pub(super) fn own_region(&self) -> RegionName {
-        let own = self.members.record(self.members.own());
-        own.expect("the own row is made first and never removed").profile.region
+    pub(super) fn local_region(&self) -> RegionName {
+        let local = self.members.record(self.members.local_vm());
+        local.expect("the own row is made first and never removed").profile.region
     }
 
     /// Tells on what changed about the gateway `vm`.
     pub(super) fn note_gateway(&self, vm: &VmName, origin: Origin) {
         let Some(record) = self.members.record(vm) else { return };
         let event = EventDraft::new(gateway_event(&record)).field("gateway", vm);
-        self.seams.events.emit(event.field("incarnation", record.status.incarnation));
+        self.dependencies.events.emit(event.field("incarnation", record.status.incarnation));
         // Plans follow from who is alive: all must change theirs at the same time.
         let urgent = true;
         self.push(LoggedChange { key: ChangedKey::Gateway(vm.clone()), origin, urgent });
@@ -237,39 +242,43 @@
 
     fn push(&self, change: LoggedChange) {
         self.log.push(change);
-        self.news.ring();
+        self.updates.notify_all();
     }
 
     /// A member of the own row failed to answer twice: declares it dead, unless it was found alive
     /// after the last time.
-    pub(super) fn accuse(&self, vm: &VmName) {
+    pub(super) fn declare_dead(&self, vm: &VmName) {
         let now = self.now();
-        let allowed = self.accused.borrow().get(vm).is_none_or(|until| now >= *until);
+        let allowed = self.next_declaration.borrow().get(vm).is_none_or(|until| now >= *until);
         if !allowed || !self.members.expire(vm) {
             return;
         }
-        self.accused.borrow_mut().insert(vm.clone(), now + self.config.dead_declaration_cooldown);
+        self.next_declaration
+            .borrow_mut()
+            .insert(vm.clone(), now + self.config.dead_declaration_cooldown);
         self.note_gateway(vm, Origin::Direct);
     }
 
     /// The own gateway drains.
     pub(super) fn drain(&self) {
         self.members.drain();
-        self.note_gateway(&self.members.own().clone(), Origin::Direct);
+        self.note_gateway(&self.members.local_vm().clone(), Origin::Direct);
     }
 
     /// Completes when every peer has been told all there is now, or after the limit.
-    pub(super) async fn told(&self) {
+    pub(super) async fn wait_delivered(&self) {
         let end = self.log.end();
-        let all_told = async {
-            while self.told.borrow().values().any(|told| *told < end) {
+        let all_delivered = async {
+            while self.delivered.borrow().values().any(|delivered| *delivered < end) {
                 // The bell is never dropped before the relay, so this fails never.
-                let _ = self.progress.wait().await;
+                let _ = self.progress.notified().await;
             }
         };
         let limit: Duration = self.config.urgent_timeout;
-        if timeout(&*self.seams.context.clock, limit, all_told).await.is_none() {
-            self.seams.events.emit(EventDraft::new("backend.relay_slow").millis("limit", limit));
+        if timeout(&*self.dependencies.context.clock, limit, all_delivered).await.is_none() {
+            self.dependencies
+                .events
+                .emit(EventDraft::new("backend.relay_slow").millis("limit", limit));
         }
     }
 }
--- a/crates/backend/src/row_totals.rs
+++ b/crates/backend/src/row_totals.rs
@@ -4,8 +4,8 @@
 use {
     crate::{
         RelayPlan, TotalsDelta,
-        pace::RegionPace,
-        past::PastMoment,
+        interval_scale::IntervalScale,
+        past_instant::PastInstant,
         summary::{TotalsMap, add_totals},
     },
     gullglade_units::{Clock, VmName},
@@ -17,24 +17,24 @@
 
 pub(crate) struct RowTotals {
     clock: Rc<dyn Clock>,
-    pace: Rc<RegionPace>,
+    interval_scale: Rc<IntervalScale>,
     /// By the number of rows and the row.
-    rows: RefCell<BTreeMap<(u64, u64), (PastMoment, TotalsMap)>>,
+    rows: RefCell<BTreeMap<(u64, u64), (PastInstant, TotalsMap)>>,
 }
 
 impl RowTotals {
-    pub(crate) fn new(clock: Rc<dyn Clock>, pace: Rc<RegionPace>) -> Self {
-        Self { clock, pace, rows: RefCell::default() }
+    pub(crate) fn new(clock: Rc<dyn Clock>, interval_scale: Rc<IntervalScale>) -> Self {
+        Self { clock, interval_scale, rows: RefCell::default() }
     }
 
     /// Takes in what `from` told of its row.
-    pub(crate) fn take(&self, plan: &RelayPlan, from: &VmName, delta: &TotalsDelta) {
+    pub(crate) fn apply(&self, plan: &RelayPlan, from: &VmName, delta: &TotalsDelta) {
         if plan.row_peers.contains(from) {
             return;
         }
         let Some(row) = plan.row_of(from) else { return };
         let key = (plan.row_count(), row);
-        let heard = PastMoment::new(self.clock.now(), Duration::ZERO);
+        let heard = PastInstant::new(self.clock.now(), Duration::ZERO);
         let mut rows = self.rows.borrow_mut();
         let (time, totals) = rows.entry(key).or_insert_with(|| (heard, TotalsMap::new()));
         *time = heard;
@@ -43,7 +43,7 @@
 
     /// The sum over the other rows of `plan`.
     pub(crate) fn sum(&self, plan: &RelayPlan) -> TotalsMap {
-        let (now, valid_for) = (self.clock.now(), self.pace.stretch(VALID_FOR));
+        let (now, valid_for) = (self.clock.now(), self.interval_scale.scale(VALID_FOR));
         let mut rows = self.rows.borrow_mut();
         rows.retain(|(count, _), (heard, _)| {
             *count == plan.row_count() && heard.age(now) < valid_for
--- a/crates/backend/src/subset.rs
+++ b/crates/backend/src/subset.rs
@@ -48,7 +48,7 @@
 pub struct SubsetPlan {
     followers: BTreeMap<VmName, BTreeSet<BackendName>>,
     by_target: BTreeMap<String, Vec<SubsetMember>>,
-    everyone: Option<BTreeSet<BackendName>>,
+    all_backends: Option<BTreeSet<BackendName>>,
     choices: usize,
 }
 
@@ -61,12 +61,12 @@
     ) -> Self {
         if gateways.len() <= config.followers {
             let all = engines.iter().map(|e| e.name.clone()).collect();
-            return Self { everyone: Some(all), ..Self::default() };
+            return Self { all_backends: Some(all), ..Self::default() };
         }
         let mut plan = Self { choices: config.choices, ..Self::default() };
         for engine in engines {
             plan.add_followers(gateways, engine, config.followers);
-            plan.list_targets(engine);
+            plan.index_targets(engine);
         }
         plan
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    fn list_targets(&mut self, engine: &SubsetMember) {
+    fn index_targets(&mut self, engine: &SubsetMember) {
         for target in &engine.targets {
             self.by_target.entry(target.clone()).or_default().push(engine.clone());
         }
@@ -85,19 +85,19 @@
 
     /// The engines that `gateway` follows.
     pub fn followed_by(&self, gateway: &VmName) -> BTreeSet<BackendName> {
-        if let Some(everyone) = &self.everyone {
-            return everyone.clone();
+        if let Some(all_backends) = &self.all_backends {
+            return all_backends.clone();
         }
         let mut followed = self.followers.get(gateway).cloned().unwrap_or_default();
         for engines in self.by_target.values() {
-            followed.extend(spread_choice(gateway, engines, self.choices));
+            followed.extend(select_across_domains(gateway, engines, self.choices));
         }
         followed
     }
 }
 
 /// The `count` engines that rank highest for `gateway` when failure domains take turns.
-fn spread_choice<'a>(
+fn select_across_domains<'a>(
     gateway: &VmName,
     engines: &'a [SubsetMember],
     count: usize,
--- a/crates/backend/src/summary.rs
+++ b/crates/backend/src/summary.rs
@@ -12,13 +12,13 @@
 const TOKEN_UNIT: u64 = 64;
 
 /// Free slots that differ by less than this share of all slots are not told.
-const TELL_SLOTS: u32 = 10;
+const MIN_SLOT_CHANGE_DIVISOR: u32 = 10;
 
 /// A queue of prompt tokens that differs by less than this many seconds of reading is not told.
-const TELL_PREFILL_SECONDS: f64 = 0.25;
+const MIN_PREFILL_CHANGE_SECONDS: f64 = 0.25;
 
 /// A region states its free slots less this share of all slots, which it keeps for its own callers.
-const RESERVE_SHARE: u32 = 10;
+const RESERVE_DIVISOR: u32 = 10;
 
 /// Names a model or a plain service in four bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -63,8 +63,8 @@
     }
 
     /// Less what the region keeps for its own callers.
-    pub(crate) fn stated(mut self) -> Self {
-        self.free_slots = self.free_slots.saturating_sub(self.slots / RESERVE_SHARE);
+    pub(crate) fn without_reserve(mut self) -> Self {
+        self.free_slots = self.free_slots.saturating_sub(self.slots / RESERVE_DIVISOR);
         self
     }
 
@@ -73,12 +73,13 @@
         capacity(self) == capacity(other)
     }
 
-    /// Whether somebody who was told `told` would decide differently by this.
-    fn moved_from(&self, told: &TargetTotals) -> bool {
-        let emptied = (self.free_slots == 0) != (told.free_slots == 0);
-        let freed = self.free_slots.abs_diff(told.free_slots) > self.slots / TELL_SLOTS;
-        let queued = self.prefill_tokens.abs_diff(told.prefill_tokens) as f64;
-        emptied || freed || queued > self.prefill_rate as f64 * TELL_PREFILL_SECONDS
+    /// Whether somebody who was told `sent` would decide differently by this.
+    fn differs_materially(&self, sent: &TargetTotals) -> bool {
+        let emptied = (self.free_slots == 0) != (sent.free_slots == 0);
+        let freed =
+            self.free_slots.abs_diff(sent.free_slots) > self.slots / MIN_SLOT_CHANGE_DIVISOR;
+        let queued = self.prefill_tokens.abs_diff(sent.prefill_tokens) as f64;
+        emptied || freed || queued > self.prefill_rate as f64 * MIN_PREFILL_CHANGE_SECONDS
     }
 }
 
@@ -133,82 +134,89 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TotalsDelta {
     /// All targets are told; others are gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_full: bool,
     /// Targets whose capacity changed; zero engines: the target is gone.
-    pub rows: Vec<FullTotals>,
+    #[serde(rename = "rows")]
+    pub full_totals: Vec<FullTotals>,
     /// Targets of which only the load changed.
-    pub moves: Vec<LoadTotals>,
+    #[serde(rename = "moves")]
+    pub load_totals: Vec<LoadTotals>,
 }
 
 impl TotalsDelta {
-    /// What somebody who was told `told` has to hear of `current`; enters it in `told`.
-    pub(crate) fn between(told: &mut TotalsMap, current: &TotalsMap) -> Self {
-        let mut delta = Self { whole: told.is_empty(), ..Self::default() };
+    /// What somebody who was told `sent` has to hear of `current`; enters it in `sent`.
+    pub(crate) fn between(sent: &mut TotalsMap, current: &TotalsMap) -> Self {
+        let mut delta = Self { is_full: sent.is_empty(), ..Self::default() };
         for (target, totals) in current {
-            let known = told.get(target).filter(|before| before.same_capacity(totals));
-            if known.is_some_and(|before| !totals.moved_from(before)) {
+            let known = sent.get(target).filter(|before| before.same_capacity(totals));
+            if known.is_some_and(|before| !totals.differs_materially(before)) {
                 continue;
             }
             delta.push(*target, totals, known.is_none());
-            told.insert(*target, *totals);
+            sent.insert(*target, *totals);
         }
-        let gone: Vec<TargetId> =
-            told.keys().filter(|target| !current.contains_key(target)).copied().collect();
-        for target in gone {
-            told.remove(&target);
+        let removed: Vec<TargetId> =
+            sent.keys().filter(|target| !current.contains_key(target)).copied().collect();
+        for target in removed {
+            sent.remove(&target);
             delta.push(target, &TargetTotals::default(), true);
         }
         delta
     }
 
     /// Adds one target: whole, or its load alone.
-    pub(crate) fn push(&mut self, target: TargetId, totals: &TargetTotals, whole: bool) {
-        if whole {
-            self.rows.push(totals_row(target, totals));
+    pub(crate) fn push(&mut self, target: TargetId, totals: &TargetTotals, is_full: bool) {
+        if is_full {
+            self.full_totals.push(full_totals(target, totals));
         } else {
-            self.moves.push(totals_move(target, totals));
+            self.load_totals.push(load_totals(target, totals));
         }
     }
 
     /// Enters this in `known`; returns the targets told of and whether whole.
     pub(crate) fn apply(&self, known: &mut TotalsMap) -> Vec<(TargetId, bool)> {
-        let mut told = Vec::with_capacity(self.rows.len() + self.moves.len());
-        if self.whole {
-            told.extend(known.keys().map(|target| (*target, true)));
+        let mut sent = Vec::with_capacity(self.full_totals.len() + self.load_totals.len());
+        if self.is_full {
+            sent.extend(known.keys().map(|target| (*target, true)));
             known.clear();
         }
-        for row in &self.rows {
-            known.insert(row.target, row.totals());
-            told.push((row.target, true));
+        for full in &self.full_totals {
+            known.insert(full.target, full.totals());
+            sent.push((full.target, true));
         }
-        for change in &self.moves {
+        for change in &self.load_totals {
             if let Some(totals) = known.get_mut(&change.target) {
                 totals.free_slots = change.free_slots;
                 totals.prefill_tokens = u64::from(change.prefill) * TOKEN_UNIT;
-                told.push((change.target, false));
+                sent.push((change.target, false));
             }
         }
         known.retain(|_, totals| totals.engines > 0);
-        told
+        sent
     }
 }
 
-fn totals_row(target: TargetId, totals: &TargetTotals) -> FullTotals {
+fn full_totals(target: TargetId, totals: &TargetTotals) -> FullTotals {
     FullTotals {
         target,
         engines: totals.engines,
         slots: totals.slots,
         free_slots: totals.free_slots,
-        prefill: units(totals.prefill_tokens),
-        rate: units(totals.prefill_rate),
+        prefill: token_units(totals.prefill_tokens),
+        rate: token_units(totals.prefill_rate),
     }
 }
 
-fn totals_move(target: TargetId, totals: &TargetTotals) -> LoadTotals {
-    LoadTotals { target, free_slots: totals.free_slots, prefill: units(totals.prefill_tokens) }
+fn load_totals(target: TargetId, totals: &TargetTotals) -> LoadTotals {
+    LoadTotals {
+        target,
+        free_slots: totals.free_slots,
+        prefill: token_units(totals.prefill_tokens),
+    }
 }
 
-fn units(tokens: u64) -> u32 {
+fn token_units(tokens: u64) -> u32 {
     u32::try_from(tokens.div_ceil(TOKEN_UNIT)).unwrap_or(u32::MAX)
 }
 
--- a/crates/backend/src/table.rs
+++ b/crates/backend/src/table.rs
@@ -1,16 +1,17 @@
 //! All backend servers of the region that this gateway knows.
 
+mod entries;
 pub(crate) mod gossip;
-mod rows;
 
 use {
     crate::{
         AgedRecord, AnnounceReply, Announcement, BackendConfig, BackendHealth, BackendRecord,
         BackendTarget, BackendView, Origin, PrefixHash, RunId, StatusChange,
-        dispatch::DispatchGuard, pace::RegionPace, past::PastMoment, row::BackendRow,
+        backend_entry::BackendEntry, dispatch::DispatchGuard, interval_scale::IntervalScale,
+        past_instant::PastInstant,
     },
+    entries::TableEntries,
     gullglade_units::{BackendName, BackendRun, Clock, Incarnation, MonotonicTime, RegionName},
-    rows::TableRows,
     snafu::Snafu,
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
@@ -68,19 +69,19 @@
 pub struct BackendTable {
     region: RegionName,
     config: BackendConfig,
-    pace: Rc<RegionPace>,
+    interval_scale: Rc<IntervalScale>,
     clock: Rc<dyn Clock>,
-    rows: RefCell<TableRows>,
+    entries: RefCell<TableEntries>,
 }
 
 impl BackendTable {
     /// An empty table of `region`.
     pub fn new(region: RegionName, config: BackendConfig, clock: Rc<dyn Clock>) -> Self {
-        Self { region, config, pace: Rc::default(), clock, rows: RefCell::default() }
+        Self { region, config, interval_scale: Rc::default(), clock, entries: RefCell::default() }
     }
 
     fn config(&self) -> BackendConfig {
-        self.config.paced(&self.pace)
+        self.config.scaled(&self.interval_scale)
     }
 
     /// Takes in what a backend server said to this gateway itself.
@@ -92,16 +93,16 @@
         self.check_id(&record)?;
         let aged = AgedRecord::new(record, Duration::ZERO, Duration::ZERO);
         let change = self.merge_record(&aged, Origin::Direct)?;
-        let mut rows = self.rows.borrow_mut();
-        let Some(row) = rows.get_mut(&aged.record.name) else {
+        let mut entries = self.entries.borrow_mut();
+        let Some(entry) = entries.get_mut(&aged.record.name) else {
             let current = aged.record.status.incarnation;
             return Ok(AnnounceOutcome { reply: self.reply(change, current, true), change });
         };
         if let (Some(events), false) = (&announcement.cache_events, change.superseded) {
-            row.observe_cache(events, self.clock.now());
+            entry.apply_cache_events(events, self.clock.now());
         }
-        let current = row.record.status.incarnation;
-        let reply = self.reply(change, current, row.record.profile.is_none());
+        let current = entry.record.status.incarnation;
+        let reply = self.reply(change, current, entry.record.profile.is_none());
         Ok(AnnounceOutcome { reply, change })
     }
 
@@ -123,7 +124,7 @@
     /// Two runs of one id would get each other's loads.
     fn check_id(&self, record: &BackendRecord) -> Result<(), AnnounceRefusal> {
         let id = RunId::new(record.name.as_str(), record.status.incarnation);
-        match self.rows.borrow().name_of(id) {
+        match self.entries.borrow().name_of(id) {
             Some(other) if *other != record.name => {
                 Err(AnnounceRefusal::IdTaken { name: record.name.clone(), other: other.clone() })
             }
@@ -140,11 +141,11 @@
         let record = &aged.record;
         self.check_region(record)?;
         let now = self.clock.now();
-        let heard = PastMoment::new(now, aged.age());
-        let mut rows = self.rows.borrow_mut();
-        let full = rows.len() >= self.config().backend_limit;
-        let change = match rows.get_mut(&record.name) {
-            Some(row) => row.merge(record, &self.config(), heard, now),
+        let heard = PastInstant::new(now, aged.age());
+        let mut entries = self.entries.borrow_mut();
+        let full = entries.len() >= self.config().backend_limit;
+        let change = match entries.get_mut(&record.name) {
+            Some(entry) => entry.merge(record, &self.config(), heard, now),
             None if !record.status.is_live() && aged.age() >= self.config().retention => {
                 return Ok(StatusChange::default());
             }
@@ -153,11 +154,11 @@
                 return Err(AnnounceRefusal::TableFull { name, limit });
             }
             None => {
-                rows.insert(BackendRow::new(record.clone(), &self.config(), heard, now));
+                entries.insert(BackendEntry::new(record.clone(), &self.config(), heard, now));
                 StatusChange { membership: true, advanced: true, ..StatusChange::default() }
             }
         };
-        rows.note(&record.name, change, origin, aged, &self.config(), now);
+        entries.apply_change(&record.name, change, origin, aged, &self.config(), now);
         Ok(change)
     }
 
@@ -180,9 +181,9 @@
         read: impl FnOnce(&[BackendView<'_>]) -> R,
     ) -> R {
         let (now, config) = (self.clock.now(), self.config());
-        let rows = self.rows.borrow();
+        let entries = self.entries.borrow();
         let views: Vec<BackendView<'_>> =
-            rows.serving(target).filter_map(|row| row.view(&config, now)).collect();
+            entries.serving(target).filter_map(|entry| entry.view(&config, now)).collect();
         read(&views)
     }
 
@@ -195,55 +196,55 @@
         prefixes: &[PrefixHash],
     ) -> Option<DispatchGuard> {
         let now = self.clock.now();
-        let mut rows = self.rows.borrow_mut();
-        let row = rows.get_mut(name)?;
-        row.view(&self.config(), now).filter(|view| view.backoff_until.is_none())?;
-        row.cache.dispatched(prefixes, now);
-        let ledger = row.ledger.clone();
-        let id = ledger.borrow_mut().start(now, prefill_tokens);
-        Some(DispatchGuard { ledger, clock: self.clock.clone(), id })
+        let mut entries = self.entries.borrow_mut();
+        let entry = entries.get_mut(name)?;
+        entry.view(&self.config(), now).filter(|view| view.backoff_until.is_none())?;
+        entry.cache.record_dispatch(prefixes, now);
+        let tracker = entry.tracker.clone();
+        let id = tracker.borrow_mut().start(now, prefill_tokens);
+        Some(DispatchGuard { tracker, clock: self.clock.clone(), id })
     }
 
     /// A dispatch to `name` failed to connect: it is suspect until it reports again.
     pub fn note_failure(&self, name: &BackendName) {
-        if let Some(row) = self.rows.borrow_mut().get_mut(name) {
-            row.note_failure(self.clock.now());
+        if let Some(entry) = self.entries.borrow_mut().get_mut(name) {
+            entry.note_failure(self.clock.now());
         }
     }
 
     /// This run has requested that nothing comes from this gateway before `until`. Whether that is
     /// later than known; what is known of another run of the name stays as it is.
     pub fn note_backoff(&self, run: &BackendRun, until: MonotonicTime) -> bool {
-        let mut rows = self.rows.borrow_mut();
-        let row = rows.get_mut(&run.backend);
-        let row = row.filter(|row| row.record.status.incarnation == run.incarnation);
-        row.is_some_and(|row| row.note_backoff(until))
+        let mut entries = self.entries.borrow_mut();
+        let entry = entries.get_mut(&run.backend);
+        let entry = entry.filter(|entry| entry.record.status.incarnation == run.incarnation);
+        entry.is_some_and(|entry| entry.note_backoff(until))
     }
 
     /// The end of the back-off that `name` has requested of this gateway, while it lasts.
     pub fn backoff_until(&self, name: &BackendName) -> Option<MonotonicTime> {
-        self.rows.borrow().get(name)?.backoff_until(self.clock.now())
+        self.entries.borrow().get(name)?.backoff_until(self.clock.now())
     }
 
     /// What is known of `name`.
     pub fn health(&self, name: &BackendName) -> Option<BackendHealth> {
         let now = self.clock.now();
-        self.rows.borrow().get(name).map(|row| row.health(&self.config(), now))
+        self.entries.borrow().get(name).map(|entry| entry.health(&self.config(), now))
     }
 
     /// The record of `name`.
     pub fn record(&self, name: &BackendName) -> Option<BackendRecord> {
-        self.rows.borrow().get(name).map(|row| row.record.clone())
+        self.entries.borrow().get(name).map(|entry| entry.record.clone())
     }
 
     /// Every backend server remembered, those that left included.
     pub fn names(&self) -> Vec<BackendName> {
-        self.rows.borrow().iter().map(|row| row.name().clone()).collect()
+        self.entries.borrow().iter().map(|entry| entry.name().clone()).collect()
     }
 
     /// How many backend servers are remembered, those that left included.
     pub fn len(&self) -> usize {
-        self.rows.borrow().len()
+        self.entries.borrow().len()
     }
 
     /// Whether none is remembered.
--- a/crates/backend/src/table/rows.rs
+++ b/crates/backend/src/table/entries.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         AgedRecord, BackendConfig, BackendRecord, BackendTarget, Origin, RunId, StatusChange,
-        past::PastMoment, row::BackendRow,
+        backend_entry::BackendEntry, past_instant::PastInstant,
     },
     gullglade_units::{BackendName, ModelName, MonotonicTime, ServiceName},
     std::collections::{BTreeMap, BTreeSet, HashMap},
@@ -12,15 +12,15 @@
 /// Rows by name and by what they serve. The decision walks the rows of one model for every
 /// request, so the lists lead straight to them.
 #[derive(Default)]
-pub(super) struct TableRows {
-    slots: Vec<Option<BackendRow>>,
+pub(super) struct TableEntries {
+    slots: Vec<Option<BackendEntry>>,
     free: Vec<usize>,
     by_name: SlotsByName,
     by_id: HashMap<RunId, BackendName>,
     by_model: HashMap<ModelName, SlotsByName>,
     by_service: HashMap<ServiceName, SlotsByName>,
     /// Counts the loads offered to peers.
-    pub(super) stamp: u64,
+    pub(super) version: u64,
     /// Counts changes of membership.
     pub(super) generation: u64,
 }
@@ -28,20 +28,20 @@
 /// Positions of rows in the order of their names.
 type SlotsByName = BTreeMap<BackendName, usize>;
 
-impl TableRows {
+impl TableEntries {
     pub(super) fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    pub(super) fn get(&self, name: &BackendName) -> Option<&BackendRow> {
+    pub(super) fn get(&self, name: &BackendName) -> Option<&BackendEntry> {
         self.slots[*self.by_name.get(name)?].as_ref()
     }
 
-    pub(super) fn get_mut(&mut self, name: &BackendName) -> Option<&mut BackendRow> {
+    pub(super) fn get_mut(&mut self, name: &BackendName) -> Option<&mut BackendEntry> {
         self.slots[*self.by_name.get(name)?].as_mut()
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = &BackendRow> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &BackendEntry> {
         self.by_name.values().filter_map(|slot| self.slots[*slot].as_ref())
     }
 
@@ -49,17 +49,17 @@
         self.by_id.get(&id)
     }
 
-    pub(super) fn insert(&mut self, row: BackendRow) {
+    pub(super) fn insert(&mut self, entry: BackendEntry) {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
-        self.by_name.insert(row.name().clone(), slot);
-        self.slots[slot] = Some(row);
+        self.by_name.insert(entry.name().clone(), slot);
+        self.slots[slot] = Some(entry);
     }
 
     /// Follows up what a merge did to the row `name`.
-    pub(super) fn note(
+    pub(super) fn apply_change(
         &mut self,
         name: &BackendName,
         change: StatusChange,
@@ -74,39 +74,39 @@
         if !change.advanced {
             return;
         }
-        let serving = PastMoment::new(now, aged.serving());
-        if let Some(row) = self.get_mut(name)
-            && serving.age(now) > row.serving_since.age(now)
+        let serving = PastInstant::new(now, aged.serving());
+        if let Some(entry) = self.get_mut(name)
+            && serving.age(now) > entry.serving_since.age(now)
         {
-            row.serving_since = serving;
+            entry.serving_since = serving;
         }
-        self.offer(name, origin, config, now);
+        self.advertise(name, origin, config, now);
     }
 
     /// Notes who told the newest report of `name` and offers it to peers.
-    pub(super) fn offer(
+    pub(super) fn advertise(
         &mut self,
         name: &BackendName,
         origin: Origin,
         config: &BackendConfig,
         now: MonotonicTime,
     ) {
-        self.stamp += 1;
-        let stamp = self.stamp;
-        if let Some(row) = self.get_mut(name) {
-            row.origin = if origin == Origin::Sync { row.origin } else { origin };
-            row.offer(config, stamp, now);
+        self.version += 1;
+        let version = self.version;
+        if let Some(entry) = self.get_mut(name) {
+            entry.origin = if origin == Origin::Sync { entry.origin } else { origin };
+            entry.advertise(config, version, now);
         }
     }
 
     /// Lists `name` under its id and what it serves now.
     pub(super) fn index(&mut self, name: &BackendName) {
         self.generation += 1;
-        self.unlist(name);
+        self.remove_from_indexes(name);
         let Some(slot) = self.by_name.get(name).copied() else { return };
-        let Some(row) = &self.slots[slot] else { return };
-        self.by_id.entry(row.id).or_insert_with(|| name.clone());
-        let Some(profile) = row.record.profile() else { return };
+        let Some(entry) = &self.slots[slot] else { return };
+        self.by_id.entry(entry.id).or_insert_with(|| name.clone());
+        let Some(profile) = entry.record.profile() else { return };
         for model in &profile.models {
             self.by_model.entry(model.clone()).or_default().insert(name.clone(), slot);
         }
@@ -115,8 +115,8 @@
         }
     }
 
-    fn unlist(&mut self, name: &BackendName) {
-        self.by_id.retain(|_, listed| listed != name);
+    fn remove_from_indexes(&mut self, name: &BackendName) {
+        self.by_id.retain(|_, indexed| indexed != name);
         self.by_model.retain(|_, slots| {
             slots.remove(name);
             !slots.is_empty()
@@ -129,7 +129,7 @@
 
     pub(super) fn remove(&mut self, name: &BackendName) {
         self.generation += 1;
-        self.unlist(name);
+        self.remove_from_indexes(name);
         if let Some(slot) = self.by_name.remove(name) {
             self.slots[slot] = None;
             self.free.push(slot);
@@ -137,19 +137,19 @@
     }
 
     /// The rows followed here that serve `target`, in the order of their names.
-    pub(super) fn serving(&self, target: BackendTarget<'_>) -> impl Iterator<Item = &BackendRow> {
+    pub(super) fn serving(&self, target: BackendTarget<'_>) -> impl Iterator<Item = &BackendEntry> {
         let slots = match target {
             BackendTarget::Model(model) => self.by_model.get(model),
             BackendTarget::Service(service) => self.by_service.get(service),
         };
         let slots = slots.into_iter().flat_map(BTreeMap::values);
-        slots.filter_map(|slot| self.slots[*slot].as_ref()).filter(|row| row.is_followed())
+        slots.filter_map(|slot| self.slots[*slot].as_ref()).filter(|entry| entry.is_followed())
     }
 
     /// Follows `names` and nothing else from now on.
     pub(super) fn follow(&mut self, names: &BTreeSet<BackendName>, now: MonotonicTime) {
-        for row in self.slots.iter_mut().flatten() {
-            row.follow(names.contains(row.name()), now);
+        for entry in self.slots.iter_mut().flatten() {
+            entry.follow(names.contains(entry.name()), now);
         }
     }
 }
--- a/crates/backend/src/view.rs
+++ b/crates/backend/src/view.rs
@@ -69,7 +69,7 @@
 
     /// Tokens of a prompt, cut into these blocks, that its cache is expected to hold.
     pub fn expected_cached_tokens(&self, blocks: &[PrefixHash]) -> u32 {
-        let tokens = self.cache.expected(blocks, self.now) * BLOCK_TOKENS as f32;
+        let tokens = self.cache.expected_blocks(blocks, self.now) * BLOCK_TOKENS as f32;
         tokens as u32
     }
 }
--- a/crates/backend/tests/membership/region.rs
+++ b/crates/backend/tests/membership/region.rs
@@ -143,11 +143,11 @@
         let name = identity.region.clone();
         let table = Rc::new(BackendTable::new(name.clone(), BackendConfig::default(), clock));
         let events = Rc::new(MemorySink::default());
-        let seams =
+        let dependencies =
             RelayDependencies { transport: Rc::new(transport), events: events.clone(), context };
         let config = RelayConfig { seeds: seeds(), ..RelayConfig::default() };
         let own = own_gateway(&identity, address);
-        let relay = BackendRelay::new(own, table.clone(), config, seams);
+        let relay = BackendRelay::new(own, table.clone(), config, dependencies);
         handlers.register("backend", relay.handler());
         relay.start();
         Node { region: name, process, relay, table, events, address }
