--- a/crates/backend/src/announcement.rs
+++ b/crates/backend/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What a backend server says about itself, as JSON in the body of `POST /v1/announce`.
+//! Backend server announcements: the JSON body of `POST /v1/announce` and its reply.
 
 use {
     gullglade_units::{
@@ -9,219 +9,228 @@
     std::net::SocketAddr,
 };
 
-/// The most models one backend server may offer.
+/// Upper bound on the models, and on the services, of one backend server.
 const MAX_MODELS: usize = 64;
 
-/// The most cache events one announcement may carry.
+/// Upper bound on the cache events of one announcement.
 const MAX_CACHE_EVENTS: usize = 4_096;
 
-/// One announcement. The first of an incarnation, and the first after a reply that asks for it,
-/// carries the profile; the others are renewals without it.
+/// An announcement of a backend server.
+///
+/// The first announcement of an incarnation, and the first one after a reply with `profile_wanted`,
+/// must carry the profile. All others are lease renewals and may omit it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The backend server, unique in its region.
+    /// Name of the backend server, unique in its region.
     pub name: BackendName,
-    /// Which run of it; a restart must announce a higher one.
+    /// Run of the backend server. Each restart must use a higher incarnation.
     pub incarnation: Incarnation,
-    /// Counts the announcements of this incarnation upwards; of two, the higher is newer.
+    /// Sequence number within the incarnation. The announcement with the higher number is the newer
+    /// one.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Serving state at the time of the announcement.
     pub state: ServingState,
-    /// Its load when it wrote this.
+    /// Load at the time of the announcement.
     #[serde(default)]
     pub load: LoadReport,
-    /// What only a restart or an order changes.
+    /// Static properties, which change only with a restart or an order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub profile: Option<BackendProfile>,
-    /// What its prompt cache took in and gave up since the last announcement.
+    /// Prompt cache changes since the previous announcement.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cache_events: Option<CacheEvents>,
 }
 
-/// Whether a backend server takes new work. Within one incarnation `Leaving` is final.
+/// Serving state of a backend server. `Leaving` is final within an incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum ServingState {
-    /// Takes new work.
+    /// Accepts new requests.
     #[default]
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Completes the requests in progress and accepts no new ones.
     Leaving,
 }
 
-/// The part of an announcement that rarely changes.
+/// Properties of a backend server that rarely change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendProfile {
-    /// The region it stands in.
+    /// Region of the backend server.
     pub region: RegionName,
-    /// The failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: FailureDomain,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// A model engine or a plain service.
+    /// Model engine or plain service.
     pub kind: BackendKind,
-    /// The models that an engine has loaded; empty for a plain service.
+    /// Models loaded by an engine. Empty for a plain service.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// The services that it serves by name; may be empty for an engine, which serves every service
-    /// that uses one of its models.
+    /// Services offered by name. May be empty for an engine, which serves every service that uses
+    /// one of its models.
     #[serde(default)]
     pub services: Vec<ServiceName>,
-    /// What it can carry.
+    /// Processing capacity.
     pub capacity: BackendCapacity,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Handling of orders with an outdated fencing token.
     #[serde(default)]
     pub fencing: FencingMode,
 }
 
-/// The kinds of backend server.
+/// Kind of backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendKind {
-    /// A model engine: batches continuously, caches prompt prefixes.
+    /// Model engine with continuous batching and a prompt prefix cache.
     Engine,
-    /// A plain service: one request, one answer.
+    /// Plain service that returns one response per request.
     Service,
 }
 
-/// What a backend server does with an order that carries an old fencing number.
+/// Handling of orders with an outdated fencing token.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum FencingMode {
-    /// Refuses it.
+    /// Rejects the order.
     Checks,
-    /// Obeys it: whoever gives orders must wait out its predecessor's lease.
+    /// Executes the order. The sender of orders must wait until the lease of its predecessor has
+    /// expired.
     #[default]
     Ignores,
 }
 
-/// What a backend server can carry.
+/// Processing capacity of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendCapacity {
-    /// Requests it works on at the same time, at least 1.
+    /// Maximum number of concurrent requests, at least 1.
     pub slots: u32,
-    /// Tokens generated a second over all slots; zero for a plain service.
+    /// Generation throughput over all slots, in tokens per second. Zero for a plain service.
     #[serde(default)]
     pub tokens_per_second: u32,
-    /// Prompt tokens read a second; zero for a plain service.
+    /// Prefill throughput, in prompt tokens per second. Zero for a plain service.
     #[serde(default)]
     pub prefill_tokens_per_second: u32,
-    /// Prompt tokens its cache holds; zero for a plain service.
+    /// Prompt cache capacity, in tokens. Zero for a plain service.
     #[serde(default)]
     pub cache_tokens: u64,
 }
 
-/// The load of a backend server at the moment of one announcement.
+/// Load of a backend server at the time of an announcement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
-    /// Requests that hold a slot.
+    /// Requests that occupy a slot.
     #[serde(default)]
     pub running: u32,
-    /// Requests that wait for one.
+    /// Requests queued for a slot.
     #[serde(default)]
     pub waiting: u32,
-    /// Prompt tokens not read yet, over all requests here.
+    /// Prompt tokens not yet prefilled, over all requests of the backend server.
     #[serde(default)]
     pub queued_prefill_tokens: u64,
-    /// Prompt tokens in its cache now.
+    /// Prompt tokens in the cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
 
-/// The chain hash of a prompt's first blocks: equal hashes mean equal prefixes.
+/// Chained hash of the leading blocks of a prompt. Equal hashes mean equal prefixes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PrefixHash(pub u64);
 
-/// Changes of an engine's prompt cache, numbered through one incarnation, so that a gap shows.
+/// Changes of an engine's prompt cache. Events are numbered consecutively within an incarnation, so
+/// that the receiver can detect gaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CacheEvents {
-    /// The number of the first event here; more than the last number seen plus one means that
-    /// events were lost.
+    /// Number of the first event in `events`. Events were lost if it exceeds the last number
+    /// received plus one.
     pub first: u64,
-    /// The events in the order in which they happened.
+    /// Events in the order of their occurrence.
     pub events: Vec<CacheEvent>,
 }
 
-/// One change of an engine's prompt cache.
+/// Change of an engine's prompt cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheEvent {
-    /// The prefix is cached now.
+    /// The prefix was added to the cache.
     Stored(PrefixHash),
-    /// The prefix is cached no more.
+    /// The prefix was evicted.
     Evicted(PrefixHash),
-    /// Everything is gone.
+    /// The cache was emptied.
     Cleared,
 }
 
-/// The gateway's answer to an announcement.
+/// Reply of the gateway to an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnounceReply {
-    /// Without a further announcement the backend server gets no new work after this long.
+    /// Lease duration in milliseconds. The backend server gets no new requests after this time
+    /// unless it announces again.
     pub lease_millis: u64,
-    /// When to announce next, counted from now; a change of state must not wait for it.
+    /// Time until the next announcement is due, in milliseconds from the receipt of the reply. A
+    /// change of state must be announced immediately.
     pub renew_millis: u64,
-    /// The gateway does not hold the profile of this incarnation: the next announcement, to be
-    /// sent at once, must carry it.
+    /// The gateway has no profile for this incarnation. The backend server must announce again at
+    /// once and include the profile.
     pub profile_wanted: bool,
-    /// The name is known under this higher incarnation, and no lease was granted. A server that
-    /// was never granted one in this run (its clock stepped back between two runs) announces again
-    /// with an incarnation above it; any other has been replaced and must stop.
+    /// Higher incarnation under which the name is already registered. No lease was granted.
+    ///
+    /// A server that has not been granted a lease in this run must announce again with an
+    /// incarnation above this one: its clock stepped back between two runs. Any other server has
+    /// been replaced and must stop.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub superseded_by: Option<Incarnation>,
 }
 
-/// Why bytes are not an announcement.
+/// Reason for which an announcement is invalid.
 #[derive(Debug, Snafu)]
 pub enum AnnounceError {
-    /// Not JSON of this form.
-    #[snafu(display("the announcement is not valid: {reason}; see docs/operators/backends.md"))]
+    /// The body is not JSON of the expected schema.
+    #[snafu(display("invalid announcement: {reason}; see docs/operators/backends.md"))]
     Malformed {
-        /// The parser's words.
+        /// Message of the JSON parser.
         reason: String,
     },
-    /// No slots.
-    #[snafu(display("{name} announces 0 slots; give capacity.slots of at least 1"))]
+    /// The capacity has zero slots.
+    #[snafu(display("{name} announces 0 slots; set capacity.slots to at least 1"))]
     NoSlots {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
     },
-    /// Nothing to serve.
-    #[snafu(display("{name} offers no model and no service; name what it serves in `{field}`"))]
+    /// The profile lists no model or service.
+    #[snafu(display("{name} offers no model and no service; list what it serves in `{field}`"))]
     NothingServed {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// The field that must not be empty.
+        /// Name of the field that must not be empty.
         field: &'static str,
     },
-    /// Too much in one list.
-    #[snafu(display("{name} lists {length} {field}; give {limit} or fewer"))]
+    /// A list exceeds its maximum length.
+    #[snafu(display("{name} lists {length} {field}; the limit is {limit}"))]
     TooMany {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// The list.
+        /// Name of the list.
         field: &'static str,
-        /// Its length.
+        /// Length of the list.
         length: usize,
-        /// The longest allowed.
+        /// Maximum length of the list.
         limit: usize,
     },
-    /// An address that nobody can connect to.
-    #[snafu(display("{name} announces {address}; give the IP and port that gateways can reach"))]
+    /// The address is unspecified or has port 0.
+    #[snafu(display("{name} announces {address}; set the IP and port that gateways can reach"))]
     Unreachable {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// The address given.
+        /// Announced address.
         address: SocketAddr,
     },
 }
@@ -238,7 +247,8 @@
 }
 
 impl Announcement {
-    /// Checks what the types alone do not.
+    /// Validates the constraints that the types do not express: list lengths, capacity, address and
+    /// the presence of models or services.
     pub fn check(&self) -> Result<(), AnnounceError> {
         let events = self.cache_events.as_ref().map_or(0, |e| e.events.len());
         self.check_length("cache events", events, MAX_CACHE_EVENTS)?;
--- a/crates/backend/src/backend_entry.rs
+++ b/crates/backend/src/backend_entry.rs
@@ -1,4 +1,4 @@
-//! One row of the backend table: the shared record and what this gateway adds to it.
+//! Entry of the backend table: the replicated record and the local state of this gateway.
 
 use {
     crate::{
@@ -10,41 +10,44 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// A load that differs by less than this share of the slots is not told on, unless a queue forms
-/// or ends.
+/// Load changes up to this share of the slots are not advertised, unless the queue becomes empty or
+/// non-empty.
 const MIN_LOAD_CHANGE_SHARE: f64 = 1.0 / 10.0;
 
-/// A queue of prompt tokens that differs by less than this many seconds of reading is not told on.
+/// Changes of the prefill queue up to this time, in seconds of prefill throughput, are not
+/// advertised.
 const MIN_PREFILL_CHANGE_SECONDS: f64 = 0.1;
 
-/// Whether a backend server may get new work from here.
+/// Health of a backend server as seen by this gateway. Determines whether it gets new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BackendHealth {
-    /// It may.
+    /// Gets new requests.
     Serving,
-    /// Only where nothing better is left: it is silent, restarts often, or a dispatch just failed.
+    /// Gets new requests only if no better backend server is left: it has not reported for some
+    /// time, restarts often, or a dispatch to it has failed.
     Suspect,
-    /// No: it has been silent for longer than its lease.
+    /// Gets no new requests: its lease has expired.
     Expired,
-    /// No: it said that it is leaving.
+    /// Gets no new requests: it has announced that it is leaving.
     Leaving,
-    /// No: its profile is not known here yet.
+    /// Gets no new requests: its profile is not known to this gateway yet.
     Unknown,
 }
 
 pub(crate) struct BackendEntry {
     pub(crate) record: BackendRecord,
     pub(crate) id: RunId,
-    pub(crate) heard: PastInstant,
-    /// Who told the newest report.
+    pub(crate) heard_at: PastInstant,
+    /// Source of the newest report.
     pub(crate) origin: Origin,
     reported: PastInstant,
     pub(crate) serving_since: PastInstant,
     followed: bool,
-    /// Since when this gateway would have heard of it; silence before counts for nothing.
+    /// Time since which this gateway receives the reports of the backend server. Silence before it
+    /// does not count.
     watched_since: MonotonicTime,
     failed_at: Option<MonotonicTime>,
-    /// The end of the back-off that this run has requested of this gateway.
+    /// End of the back-off that this run has requested of this gateway.
     backoff_until: Option<MonotonicTime>,
     restarts: RestartCounter,
     advertised: AdvertisedLoad,
@@ -52,17 +55,18 @@
     pub(crate) cache: CacheEstimate,
 }
 
-/// The load that this gateway last offered to its peers.
+/// The load last advertised to peers.
 #[derive(Clone, Copy, Debug, Default)]
 struct AdvertisedLoad {
     load: LoadReport,
     at: MonotonicTime,
-    /// Grows with each load offered, over all rows; a peer is told those above its mark.
+    /// Version of the advertisement, increasing over all entries. A peer is sent the loads with
+    /// versions above its cursor.
     version: u64,
 }
 
-/// Restarts of late. A backend server that crashes again and again looks new and idle each time;
-/// without the count it would draw work to lose it.
+/// Count of consecutive restarts. A backend server in a crash loop looks new and idle after each
+/// restart and would otherwise attract requests only to lose them.
 #[derive(Clone, Copy, Debug, Default)]
 struct RestartCounter {
     count: u32,
@@ -88,16 +92,16 @@
     pub(crate) fn new(
         record: BackendRecord,
         config: &BackendConfig,
-        heard: PastInstant,
+        heard_at: PastInstant,
         now: MonotonicTime,
     ) -> Self {
         Self {
             id: RunId::new(record.name.as_str(), record.status.incarnation),
             record,
-            heard,
+            heard_at,
             origin: Origin::OtherRow,
-            reported: heard,
-            serving_since: heard,
+            reported: heard_at,
+            serving_since: heard_at,
             followed: true,
             watched_since: now,
             failed_at: None,
@@ -113,12 +117,12 @@
         &self.record.name
     }
 
-    /// Merges a record that was current at `heard`.
+    /// Merges a record that was current at `heard_at`.
     pub(crate) fn merge(
         &mut self,
         record: &BackendRecord,
         config: &BackendConfig,
-        heard: PastInstant,
+        heard_at: PastInstant,
         now: MonotonicTime,
     ) -> StatusChange {
         let was_out = self.health(config, now) == BackendHealth::Expired;
@@ -127,10 +131,10 @@
             self.restart(config, now);
         }
         if change.advanced {
-            self.apply_report(heard, now);
+            self.apply_report(heard_at, now);
         }
         if change.restarted || (was_out && change.advanced) {
-            self.serving_since = heard;
+            self.serving_since = heard_at;
             self.watched_since = now;
         }
         change
@@ -145,17 +149,18 @@
         self.backoff_until = None;
     }
 
-    fn apply_report(&mut self, heard: PastInstant, now: MonotonicTime) {
-        if heard.age(now) < self.heard.age(now) {
-            self.heard = heard;
+    fn apply_report(&mut self, heard_at: PastInstant, now: MonotonicTime) {
+        if heard_at.age(now) < self.heard_at.age(now) {
+            self.heard_at = heard_at;
         }
-        self.reported = heard;
-        self.tracker.borrow_mut().apply_report(heard.to_local());
-        self.failed_at = self.failed_at.filter(|failed_at| *failed_at >= heard.to_local());
+        self.reported = heard_at;
+        self.tracker.borrow_mut().apply_report(heard_at.local_time());
+        self.failed_at = self.failed_at.filter(|failed_at| *failed_at >= heard_at.local_time());
     }
 
-    /// Offers the newest load to peers under `version`, where they would decide differently by it or
-    /// have not heard for `config.refresh_after`.
+    /// Advertises the newest load to peers under `version` if it differs enough to affect their
+    /// decisions, was received from a gateway of the same row, or the last advertisement is older
+    /// than `config.load_refresh_interval`.
     pub(crate) fn advertise(&mut self, config: &BackendConfig, version: u64, now: MonotonicTime) {
         let stale = now.since(self.advertised.at) >= config.load_refresh_interval;
         let relayed = self.origin == Origin::Row;
@@ -184,13 +189,13 @@
         self.cache.apply_events(events, now);
     }
 
-    /// Remembers that a dispatch failed, until a report that was written later.
+    /// Marks the backend server as suspect until it sends a report written after `now`.
     pub(crate) fn note_failure(&mut self, now: MonotonicTime) {
         self.failed_at = Some(now);
     }
 
-    /// Notes that this run wants nothing before `until`; whether that is later than known. A
-    /// shorter back-off does not shorten what was requested before.
+    /// Records that this run wants no requests before `until`. Returns whether this extends the
+    /// known back-off. A shorter back-off does not shorten the one requested before.
     pub(crate) fn note_backoff(&mut self, until: MonotonicTime) -> bool {
         let is_later = self.backoff_until.is_none_or(|known| known < until);
         if is_later {
@@ -199,18 +204,19 @@
         is_later
     }
 
-    /// The end of the back-off, while it lasts.
+    /// Returns the end of the back-off if it has not passed yet.
     pub(crate) fn backoff_until(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         self.backoff_until.filter(|until| now < *until)
     }
 
-    /// Whether this gateway follows it in detail; a new one until the subsets are chosen anew.
+    /// Returns whether this gateway follows the backend server in detail. A new one is followed
+    /// until the subsets are recomputed.
     pub(crate) fn is_followed(&self) -> bool {
         self.followed
     }
 
-    /// Follows it from now on, or no more. Its reports should come from now on; silence before
-    /// counts for nothing.
+    /// Sets whether this gateway follows the backend server. Its reports are expected from now on,
+    /// so earlier silence does not count.
     pub(crate) fn follow(&mut self, followed: bool, now: MonotonicTime) {
         if followed && !self.followed {
             self.watched_since = now;
@@ -218,19 +224,20 @@
         self.followed = followed;
     }
 
-    /// Whether it has been silent for longer than its lease, as far as this gateway would know.
+    /// Returns whether the lease has expired, counting only the time during which this gateway
+    /// would have received reports.
     pub(crate) fn is_lease_expired(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
-        let silence = self.heard.age(now).min(now.since(self.watched_since));
+        let silence = self.heard_at.age(now).min(now.since(self.watched_since));
         self.record.status.is_live() && silence >= config.lease + self.slack(config)
     }
 
-    /// What relaying may add to the age of a report.
+    /// Returns the delay that relaying may add to the age of a report.
     fn slack(&self, config: &BackendConfig) -> Duration {
         if self.origin == Origin::Direct { Duration::ZERO } else { config.relay_slack }
     }
 
     pub(crate) fn health(&self, config: &BackendConfig, now: MonotonicTime) -> BackendHealth {
-        let silence = self.heard.age(now).saturating_sub(self.slack(config));
+        let silence = self.heard_at.age(now).saturating_sub(self.slack(config));
         let doubtful = silence >= config.suspect_after
             || self.failed_at.is_some()
             || self.restarts.is_flapping(config, now);
@@ -244,12 +251,13 @@
         }
     }
 
-    /// Whether it got no work for so long that nothing old can still arrive.
+    /// Returns whether the backend server has been out of service for so long that no outdated
+    /// message about it can still arrive.
     pub(crate) fn is_forgettable(&self, config: &BackendConfig, now: MonotonicTime) -> bool {
-        !self.record.status.is_live() && self.heard.age(now) >= config.retention
+        !self.record.status.is_live() && self.heard_at.age(now) >= config.retention
     }
 
-    /// The row for the routing decision, where the backend server may get work.
+    /// Returns the view for the routing decision, if the backend server may get new requests.
     pub(crate) fn view<'a>(
         &'a self,
         config: &BackendConfig,
--- a/crates/backend/src/cache.rs
+++ b/crates/backend/src/cache.rs
@@ -1,10 +1,12 @@
-//! What an engine's prompt cache probably holds.
+//! Estimate of the contents of an engine's prompt cache.
 //!
-//! Two sources feed the estimate: own dispatches (the engine read this prompt, so it holds it) and
-//! the engine's cache events, which come late and with gaps. Neither is certain, so a belief
-//! decays, and a gap in the events halves all earlier beliefs: an eviction may have been among
-//! those lost. Memory is bounded by two generations of equal size; when the younger is full, the
-//! older is dropped, which approximates least-recently-used order at no cost per look-up.
+//! The estimate has two sources: requests dispatched by this gateway, whose prompts the engine has
+//! cached, and the engine's cache events, which arrive late and with gaps. Both are uncertain, so
+//! the probability of an entry decays exponentially with its age. A gap in the events halves the
+//! probability of all earlier entries, because an eviction may be among the lost events.
+//!
+//! Memory is bounded by two generations of equal size. When the young generation is full, it
+//! replaces the old one. This approximates LRU eviction without any cost on lookup.
 
 #[cfg(test)]
 mod tests;
@@ -21,10 +23,10 @@
 
 type PrefixMap = HashMap<PrefixHash, PrefixRecord, BuildHasherDefault<IdentityHasher>>;
 
-/// The estimate for one engine.
+/// Estimated prompt cache contents of one engine.
 #[derive(Debug)]
 pub(crate) struct CacheEstimate {
-    /// Entries of one generation, at most.
+    /// Maximum number of entries per generation.
     generation_limit: usize,
     half_life: Duration,
     young: PrefixMap,
@@ -40,7 +42,7 @@
 }
 
 impl CacheEstimate {
-    /// An empty estimate of at most `limit` prefixes.
+    /// Creates an empty estimate for at most `limit` prefixes.
     pub(crate) fn new(limit: usize, half_life: Duration) -> Self {
         Self {
             generation_limit: (limit / 2).max(1),
@@ -52,21 +54,21 @@
         }
     }
 
-    /// Forgets everything: the engine restarted.
+    /// Removes all entries, after a restart of the engine.
     pub(crate) fn clear(&mut self) {
         self.young.clear();
         self.old.clear();
         self.next_event = None;
     }
 
-    /// The engine read a prompt with these prefixes.
+    /// Records that a prompt with these prefixes was dispatched to the engine.
     pub(crate) fn record_dispatch(&mut self, prefixes: &[PrefixHash], now: MonotonicTime) {
         for prefix in prefixes {
             self.store(*prefix, now);
         }
     }
 
-    /// Takes in events; those seen before change nothing.
+    /// Applies cache events. Events that were already applied are skipped.
     pub(crate) fn apply_events(&mut self, events: &CacheEvents, now: MonotonicTime) {
         let expected = self.next_event.unwrap_or(events.first);
         if events.first > expected {
@@ -106,8 +108,9 @@
         self.young.insert(prefix, record);
     }
 
-    /// How many of these prefixes, shortest first, the engine is expected to hold. A longer prefix
-    /// counts only as far as the shorter ones are held.
+    /// Returns the expected number of leading `prefixes` in the cache, where `prefixes` is ordered
+    /// from the shortest to the longest. The probability of a prefix is at most that of all shorter
+    /// ones.
     pub(crate) fn expected_blocks(&self, prefixes: &[PrefixHash], now: MonotonicTime) -> f32 {
         let mut max_decay = 0.0_f32;
         let mut probability = 1.0_f32;
@@ -123,8 +126,8 @@
         expected
     }
 
-    /// The half-lives that the belief in `prefix` has lost, a gap counting as one; `None`: it is
-    /// not believed to be held.
+    /// Returns the decay of the entry for `prefix` in half-lives, where each gap in the events
+    /// counts as one, or `None` if there is no entry.
     fn decay(&self, prefix: PrefixHash, now: MonotonicTime) -> Option<f32> {
         let record = self.young.get(&prefix).or_else(|| self.old.get(&prefix))?;
         let half_lives = now.since(record.stored_at).as_secs_f32() / self.half_life.as_secs_f32();
@@ -133,8 +136,8 @@
     }
 }
 
-/// Hashes a [`PrefixHash`] to itself: it is a good hash already, and the decision looks up every
-/// block of a prompt at every engine.
+/// Identity hasher for [`PrefixHash`], which already is a uniform hash. The routing decision looks
+/// up every block of a prompt for every engine, so that a second hash would be costly.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdentityHasher(u64);
 
--- a/crates/backend/src/cache/tests.rs
+++ b/crates/backend/src/cache/tests.rs
@@ -1,4 +1,4 @@
-//! The estimate of an engine's prompt cache.
+//! Tests of the prompt cache estimate.
 
 use {
     super::CacheEstimate,
@@ -25,38 +25,37 @@
 struct EventCase {
     name: &'static str,
     messages: Vec<CacheEvents>,
-    /// Blocks of the chain 1, 2, 3 expected in the cache.
+    /// Expected number of cached blocks of the chain 1, 2, 3.
     expected: f32,
 }
 
-// Symptom: requests are sent to an engine for a cache that it no longer has.
-// Events: its cache events come late, twice or with gaps.
-// Cause: an eviction among the lost ones is never seen.
+// Guards against dispatching requests to an engine for a prefix that it has evicted. Cache events
+// arrive late, twice or with gaps, and an eviction may be among the lost ones.
 #[test]
-fn events_late_doubled_and_lost() {
+fn estimate_handles_duplicate_and_lost_events() {
     let evicted =
         |first, hash| CacheEvents { first, events: vec![CacheEvent::Evicted(PrefixHash(hash))] };
     let cleared = |first| CacheEvents { first, events: vec![CacheEvent::Cleared] };
     let cases = [
-        EventCase { name: "whole", messages: vec![stored(1, 1..=3)], expected: 3.0 },
+        EventCase { name: "complete", messages: vec![stored(1, 1..=3)], expected: 3.0 },
         EventCase {
             name: "evicted",
             messages: vec![stored(1, 1..=3), evicted(4, 3)],
             expected: 2.0,
         },
         EventCase {
-            name: "a hole in the chain",
+            name: "middle of the chain evicted",
             messages: vec![stored(1, 1..=3), evicted(4, 2)],
             expected: 1.0,
         },
         EventCase {
-            name: "the root evicted",
+            name: "start of the chain evicted",
             messages: vec![stored(1, 1..=3), evicted(4, 1)],
             expected: 0.0,
         },
         EventCase { name: "cleared", messages: vec![stored(1, 1..=3), cleared(4)], expected: 0.0 },
         EventCase {
-            name: "doubled",
+            name: "duplicate",
             messages: vec![stored(1, 1..=3), evicted(4, 3), stored(1, 1..=3)],
             expected: 2.0,
         },
@@ -66,7 +65,7 @@
             expected: 3.0,
         },
         EventCase {
-            name: "a gap halves",
+            name: "one gap",
             messages: vec![stored(1, 1..=3), evicted(9, 77)],
             expected: 1.5,
         },
@@ -76,7 +75,7 @@
             expected: 0.75,
         },
         EventCase {
-            name: "told again after a gap",
+            name: "stored again after a gap",
             messages: vec![stored(1, 1..=3), stored(9, 1..=3)],
             expected: 3.0,
         },
@@ -90,27 +89,29 @@
 }
 
 #[test]
-fn a_belief_decays_and_a_dispatch_renews_it() {
+fn probability_decays_and_a_dispatch_renews_it() {
     let mut estimate = CacheEstimate::new(64, HALF_LIFE);
     estimate.record_dispatch(&chain(1..=2), at(0));
-    assert!((estimate.expected_blocks(&chain(1..=2), at(100)) - 1.0).abs() < 1e-4, "half of two");
+    assert!(
+        (estimate.expected_blocks(&chain(1..=2), at(100)) - 1.0).abs() < 1e-4,
+        "half of two blocks"
+    );
     estimate.record_dispatch(&chain(1..=2), at(100));
     assert!((estimate.expected_blocks(&chain(1..=2), at(100)) - 2.0).abs() < 1e-4);
     estimate.clear();
     assert!(estimate.expected_blocks(&chain(1..=2), at(100)) == 0.0);
 }
 
-// Symptom: a gateway's memory grows with every prompt it ever sent.
-// Events: prompts that share nothing, one after the other.
-// Cause: nothing tells of their eviction, so nothing is forgotten.
+// Guards against memory growth with every prompt dispatched. No event reports the eviction of
+// prompts that share no prefix.
 #[test]
-fn memory_is_bounded_and_keeps_what_is_used() {
+fn memory_is_bounded_and_recently_used_prefixes_are_kept() {
     let mut estimate = CacheEstimate::new(64, HALF_LIFE);
     for prompt in 0..10_000 {
         estimate.record_dispatch(&chain([1, 2]), at(prompt / 100));
         estimate.record_dispatch(&chain([1_000 + prompt]), at(prompt / 100));
         assert!(estimate.young.len() + estimate.old.len() <= 64);
     }
-    assert!(estimate.expected_blocks(&chain([1, 2]), at(100)) > 1.9, "in use all the time");
-    assert!(estimate.expected_blocks(&chain([1_000]), at(100)) == 0.0, "long gone");
+    assert!(estimate.expected_blocks(&chain([1, 2]), at(100)) > 1.9, "used continuously");
+    assert!(estimate.expected_blocks(&chain([1_000]), at(100)) == 0.0, "evicted");
 }
--- a/crates/backend/src/change_log.rs
+++ b/crates/backend/src/change_log.rs
@@ -1,27 +1,30 @@
-//! What this gateway has to tell its peers, in the order in which it learned it.
+//! In-memory log of membership changes that are to be propagated to peers.
 
 use {
     gullglade_units::{BackendName, VmName},
     std::{cell::RefCell, collections::VecDeque},
 };
 
-/// Changes remembered. A peer that is further behind finds the rest by comparing digests.
+/// Maximum number of retained changes. A peer that is further behind recovers the rest by
+/// anti-entropy.
 const LOG_LIMIT: usize = 4_096;
 
-/// Who told this gateway something; decides whom it tells.
+/// Source from which this gateway received an update. Determines the peers to which the update is
+/// forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
-    /// The backend server or the caller itself: everybody has yet to hear.
+    /// Received from the backend server or region itself, or produced by this gateway. Forwarded to
+    /// all peers of the relay plan.
     Direct,
-    /// A member of the own row: the other rows have yet to hear.
+    /// Received from a gateway of the same row. Forwarded to other rows.
     Row,
-    /// A relay of another row: nobody waits to hear it from here.
+    /// Received from a gateway of another row. Not forwarded.
     OtherRow,
-    /// A sync. Says nothing of who tells it from now on.
+    /// Received by anti-entropy sync. Does not replace the origin recorded for later updates.
     Sync,
 }
 
-/// Whose record changed.
+/// Subject of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ChangedKey {
     Backend(BackendName),
@@ -32,11 +35,12 @@
 pub(crate) struct LoggedChange {
     pub(crate) key: ChangedKey,
     pub(crate) origin: Origin,
-    /// To be told at once and by many ways: somebody stops taking work, or a gateway comes or goes.
+    /// Propagated immediately and redundantly: a backend server no longer takes requests, or a
+    /// gateway has joined, left or changed its state.
     pub(crate) urgent: bool,
 }
 
-/// The changes, numbered without gaps.
+/// Bounded log of changes with consecutive numbers.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     changes: RefCell<VecDeque<LoggedChange>>,
@@ -53,13 +57,13 @@
         changes.push_back(change);
     }
 
-    /// The number of the next change.
+    /// Returns the number of the next change.
     pub(crate) fn end(&self) -> u64 {
         let length = u64::try_from(self.changes.borrow().len()).unwrap_or(u64::MAX);
         self.dropped.get().saturating_add(length)
     }
 
-    /// The changes from number `start` on that are still remembered.
+    /// Returns the retained changes from number `start` on.
     pub(crate) fn since(&self, start: u64) -> Vec<LoggedChange> {
         let skip = start.saturating_sub(self.dropped.get());
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
--- a/crates/backend/src/config.rs
+++ b/crates/backend/src/config.rs
@@ -1,40 +1,47 @@
-//! Durations and bounds of membership.
+//! Timeouts and limits of backend server membership.
 
 use {crate::interval_scale::IntervalScale, std::time::Duration};
 
-/// How long announcements hold and how much is kept. Start from [`BackendConfig::default`]. In a
-/// region of more than 24 gateways the first five durations grow with it, up to twofold.
+/// Configuration of backend server membership, based on [`BackendConfig::default`].
+///
+/// In regions of more than 24 gateways, `renew_interval`, `suspect_after`, `lease`, `relay_slack`
+/// and `load_refresh_interval` are scaled up by a factor of at most 2.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendConfig {
-    /// When a backend server should announce again; 2 s.
+    /// Interval between the announcements of a backend server. Default 2 s.
     pub renew_interval: Duration,
-    /// Silence after which it is suspect: used only where nothing better is left; 5 s.
+    /// Time without a report after which a backend server is suspect and used only if no better one
+    /// is left. Default 5 s.
     pub suspect_after: Duration,
-    /// Silence after which it is out: no new work; 10 s. This is the lease.
+    /// Lease duration: time without a report after which a backend server gets no new requests.
+    /// Default 10 s.
     pub lease: Duration,
-    /// What relaying between gateways may add to the age of a report before the two limits above
-    /// count; 4 s.
+    /// Additional age allowed for reports relayed by other gateways before `suspect_after` and
+    /// `lease` apply. Default 4 s.
     pub relay_slack: Duration,
-    /// Loads that differ little are told on only this long after the last ones; 4 s.
+    /// Maximum age of the load advertised to peers. Smaller load changes are advertised only at
+    /// this interval. Default 4 s.
     pub load_refresh_interval: Duration,
-    /// How long the record of one that left or fell silent is kept, so that nothing late or
-    /// repeated brings an old incarnation back; 10 min.
+    /// Retention of the records of backend servers that left or expired. Prevents late or repeated
+    /// messages from restoring an old incarnation. Default 10 min.
     pub retention: Duration,
-    /// A restart counts as flapping together with those not longer before; 60 s.
+    /// Maximum time between two restarts that count as consecutive for flap detection. Default 60
+    /// s.
     pub flap_window: Duration,
-    /// So many restarts in a row make a backend server suspect for the window; 3.
+    /// Number of consecutive restarts after which a backend server is suspect until `flap_window`
+    /// has passed. Default 3.
     pub flap_limit: u32,
-    /// The most backend servers of the region that are remembered; 4096. Guards memory against a
-    /// program that announces ever new names.
+    /// Maximum number of backend servers tracked per region. Bounds memory if a program keeps
+    /// announcing new names. Default 4096.
     pub backend_limit: usize,
-    /// The most prefixes remembered for one engine; 4096.
+    /// Maximum number of prefixes tracked per engine. Default 4096.
     pub prefix_limit: usize,
-    /// How long until an unconfirmed belief that a prefix is cached counts half; 2 min.
+    /// Half-life of the probability that an unconfirmed prefix is still cached. Default 2 min.
     pub prefix_half_life: Duration,
 }
 
 impl BackendConfig {
-    /// The configuration at the pace of a region.
+    /// Returns the configuration scaled for the size of the region.
     pub(crate) fn scaled(&self, interval_scale: &IntervalScale) -> Self {
         Self {
             renew_interval: interval_scale.scale(self.renew_interval),
--- a/crates/backend/src/dispatch.rs
+++ b/crates/backend/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! This gateway's own work at one backend server.
+//! Tracking of requests that this gateway has dispatched to a backend server.
 //!
-//! A load report is as old as its way here. Work that this gateway sent after the report was
-//! written is missing from it, and work that ended since is still counted in it; both are known
-//! here exactly. Without the correction every gateway would keep sending to the engine that
-//! reported idle until its next report.
+//! A load report is delayed by its transmission. It does not include requests that this gateway
+//! dispatched after the report was written, and still includes those that have ended since. This
+//! gateway knows both exactly and corrects the report. Without the correction, every gateway would
+//! keep sending requests to an engine that reported idle until its next report.
 
 use {
     crate::LoadReport,
@@ -15,13 +15,15 @@
     },
 };
 
-/// The most ended dispatches remembered; older ones are covered by any report that still counts.
+/// Maximum number of ended dispatches retained. Older ones are already reflected in any report that
+/// is still valid.
 const ENDED_LIMIT: usize = 1_024;
 
-/// The own dispatches to one backend server.
+/// Requests dispatched by this gateway to one backend server.
 ///
-/// The decision reads the load of every candidate for every request, so the load is kept as sums:
-/// walking the dispatches each time took 6 % of a gateway that sent 7,000 requests/s to one engine.
+/// The routing decision reads the load of every candidate for every request, so the load is
+/// maintained as running sums: iterating over the dispatches took 6 % of the CPU time of a gateway
+/// that sent 7,000 requests/s to one engine.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchTracker {
     next_id: u64,
@@ -43,28 +45,28 @@
     ended: MonotonicTime,
 }
 
-/// This gateway's own work at one backend server, now and when the last report was written.
+/// Requests of this gateway at one backend server, now and at the time of the last load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnLoad {
-    /// Own requests in progress there now.
+    /// Requests of this gateway in progress.
     pub active: u32,
-    /// Own requests that the report counts.
+    /// Requests of this gateway that are included in the last report.
     pub active_at_report: u32,
-    /// Prompt tokens of own requests there that have not begun to answer.
+    /// Prompt tokens of this gateway's requests that have not produced a first token.
     pub prefill_tokens: u64,
-    /// The same when the report was written.
+    /// Value of `prefill_tokens` at the time of the last report.
     pub prefill_tokens_at_report: u64,
 }
 
 impl OwnLoad {
-    /// Requests running or waiting there now, as far as can be known here.
+    /// Estimates the number of requests running or waiting at the backend server now.
     pub fn requests(&self, load: &LoadReport) -> u32 {
         let reported = load.running.saturating_add(load.waiting);
         reported.saturating_sub(self.active_at_report).saturating_add(self.active)
     }
 
-    /// Prompt tokens still to be read there, as far as can be known here. What others' prompts
-    /// have moved on since the report is not known.
+    /// Estimates the number of prompt tokens queued for prefill at the backend server now. The
+    /// prefill progress of other gateways' requests since the report is unknown and not included.
     pub fn queued_prefill_tokens(&self, load: &LoadReport) -> u64 {
         let others = load.queued_prefill_tokens.saturating_sub(self.prefill_tokens_at_report);
         others.saturating_add(self.prefill_tokens)
@@ -107,8 +109,9 @@
         self.ended.push_back(EndedDispatch { dispatch, ended: now });
     }
 
-    /// Takes note of a report written at `reported`: what it counts stays the same until the next
-    /// one, and what ended before it is forgotten.
+    /// Applies a load report written at `reported`: computes the share of this gateway's requests
+    /// in the report, which is valid until the next one, and drops the dispatches that ended before
+    /// it.
     pub(crate) fn apply_report(&mut self, reported: MonotonicTime) {
         while self.ended.front().is_some_and(|d| d.ended <= reported) {
             self.ended.pop_front();
@@ -125,14 +128,14 @@
         self.load.prefill_tokens_at_report = prefill_tokens;
     }
 
-    /// Own work now, and as the last report counts it.
+    /// Returns the load of this gateway's requests, now and at the time of the last report.
     pub(crate) fn own_load(&self) -> OwnLoad {
         self.load
     }
 }
 
-/// One request at a backend server; dropping it says that the request ended there.
-#[must_use = "dropping the guard says that the request ended"]
+/// A request in progress at a backend server. Dropping the guard records the end of the request.
+#[must_use = "dropping the guard records the end of the request"]
 pub struct DispatchGuard {
     pub(crate) tracker: Rc<RefCell<DispatchTracker>>,
     pub(crate) clock: Rc<dyn Clock>,
@@ -140,7 +143,7 @@
 }
 
 impl DispatchGuard {
-    /// The backend server has read the prompt and begun to answer.
+    /// Records that the backend server has prefilled the prompt and produced the first token.
     pub fn first_token(&self) {
         self.tracker.borrow_mut().first_token(self.id, self.clock.now());
     }
--- a/crates/backend/src/entry_table.rs
+++ b/crates/backend/src/entry_table.rs
@@ -1,9 +1,10 @@
-//! The answer of `/v1/entry`: which gateways a caller should use.
+//! Answer of `/v1/entry`: the gateways that a caller should use.
 //!
-//! The answer comes from this gateway's own knowledge, so it needs nobody else to be reachable.
-//! Gateways of the own region come first, in a random order weighted by their free share. A list
-//! sorted by load would send every caller that asks within one heartbeat to the same gateway;
-//! weights spread them, and the gateway that carries least merely gets the most.
+//! The answer is computed from local knowledge, so that it does not depend on any other process.
+//! Gateways of this region come first, in random order weighted by their free capacity. A list
+//! sorted by load would direct all callers that ask within one heartbeat interval to the same
+//! gateway. Weighted random order spreads them, and the least loaded gateway only gets the largest
+//! share.
 
 use {
     crate::{BackendRelay, GatewayContact, member_table::MemberTable, region_table::RegionTable},
@@ -12,56 +13,57 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How long an answer holds; shortened at random by up to a fifth, so that callers that began
-/// together do not stay together.
+/// Validity of an answer. It is shortened at random by up to 20 %, so that callers that started
+/// together do not stay synchronized.
 const ANSWER_TTL: Duration = Duration::from_secs(5);
 
-/// A gateway above this share of its limit is left out while others are below it.
+/// Gateways at or above this share of their limit are omitted while others are below it.
 const OVERLOAD_SHARE: f64 = 0.95;
 
-/// The weight of a gateway that carries nothing.
+/// Weight of an idle gateway of the largest size.
 const MAX_WEIGHT: f64 = 1_000.0;
 
-/// The most gateways in one answer.
+/// Maximum number of gateways in an answer.
 const ANSWER_LIMIT: usize = 8;
 
-/// One answer, the gateways in the order in which to try them.
+/// Answer of `/v1/entry`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EntryAnswer {
-    /// How long to use it, milliseconds.
+    /// Validity in milliseconds.
     pub ttl_millis: u64,
-    /// The gateways; the first is the one to use, the others are for when it fails.
+    /// Gateways in the order in which to try them: the first is to be used, the others are
+    /// fallbacks.
     pub gateways: Vec<EntryGateway>,
 }
 
-/// One gateway of an answer.
+/// Gateway in an answer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EntryGateway {
-    /// Its VM.
+    /// VM of the gateway.
     pub vm: VmName,
-    /// Its region.
+    /// Region of the gateway.
     pub region: RegionName,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Its share of callers, relative to the others of its region: 1 to 1000. A caller that
-    /// spreads its own requests uses these.
+    /// Weight relative to the other gateways of its region, from 1 to 1000, for callers that spread
+    /// their own requests.
     pub weight: u32,
 }
 
-/// One gateway that takes callers, as far as is known.
+/// Gateway that accepts callers, as far as known.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryCandidate {
     contact: GatewayContact,
     region: RegionName,
-    /// Requests that it takes at the same time; 1 where it is not known.
+    /// Maximum number of concurrent requests. 1 if unknown.
     limit: u32,
-    /// The share of the limit in use.
+    /// Share of the limit in use.
     load: f64,
-    /// Stands in the own region.
+    /// Whether the gateway is in this region.
     is_local: bool,
 }
 
-/// Answers from the known gateways.
+/// Builds an answer from the known gateways.
 pub(crate) fn answer(candidates: Vec<EntryCandidate>, random: &dyn RandomSource) -> EntryAnswer {
     let (local, remote): (Vec<_>, Vec<_>) =
         candidates.into_iter().partition(|candidate| candidate.is_local);
@@ -72,7 +74,8 @@
     EntryAnswer { ttl_millis: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX), gateways }
 }
 
-/// A random order weighted by free share (Efraimidis and Spirakis, 2006).
+/// Orders the candidates by weighted random sampling without replacement, with the free capacity as
+/// the weight (Efraimidis and Spirakis, 2006).
 fn weighted_order(candidates: Vec<EntryCandidate>, random: &dyn RandomSource) -> Vec<EntryGateway> {
     let all_full = candidates.iter().all(|candidate| candidate.load >= OVERLOAD_SHARE);
     let largest = candidates.iter().map(|candidate| candidate.limit).max().unwrap_or(1);
@@ -81,20 +84,20 @@
         .map(|candidate| {
             let weight = weight(candidate, largest);
             let key = -random.unit().max(f64::MIN_POSITIVE).ln() / f64::from(weight);
-            (key, entry(candidate, weight))
+            (key, entry_gateway(candidate, weight))
         })
         .collect();
     keyed.sort_by(|a, b| a.0.total_cmp(&b.0));
     keyed.into_iter().map(|(_, entry)| entry).collect()
 }
 
-/// What is free, relative to the `largest` gateway.
+/// Returns the free capacity relative to the size of the `largest` gateway.
 fn weight(candidate: &EntryCandidate, largest: u32) -> u32 {
     let size = f64::from(candidate.limit) / f64::from(largest.max(1));
     (size * (1.0 - candidate.load) * MAX_WEIGHT).max(1.0) as u32
 }
 
-fn entry(candidate: &EntryCandidate, weight: u32) -> EntryGateway {
+fn entry_gateway(candidate: &EntryCandidate, weight: u32) -> EntryGateway {
     EntryGateway {
         vm: candidate.contact.vm.clone(),
         region: candidate.region.clone(),
@@ -103,7 +106,7 @@
     }
 }
 
-/// The rows of the own region.
+/// Returns the gateways of this region.
 pub(crate) fn local_candidates(members: &MemberTable) -> Vec<EntryCandidate> {
     let serving = members.serving().into_iter();
     serving
@@ -117,7 +120,7 @@
         .collect()
 }
 
-/// The rows of the regions heard of lately: for callers whose own region has no gateway left.
+/// Returns the gateways of reachable regions, for callers whose own region has no gateway left.
 pub(crate) fn remote_candidates(regions: &RegionTable) -> Vec<EntryCandidate> {
     let mut candidates = Vec::new();
     for region in regions.names() {
@@ -136,19 +139,20 @@
     candidates
 }
 
-/// Answers `/v1/entry` from the knowledge of one relay.
+/// Serves `/v1/entry` from the state of a relay.
 pub struct EntryTable {
     relay: BackendRelay,
     context: ProcessContext,
 }
 
 impl EntryTable {
-    /// Answers from what `relay` knows.
+    /// Creates a table backed by `relay`.
     pub fn new(relay: BackendRelay, context: ProcessContext) -> Self {
         Self { relay, context }
     }
 
-    /// The gateways that a caller should use, of the regions that `allowed` lets it enter.
+    /// Returns the gateways that a caller should use, limited to the regions for which `allowed`
+    /// returns true.
     pub fn answer(&self, allowed: impl Fn(&RegionName) -> bool) -> EntryAnswer {
         let mut candidates = self.relay.entry_candidates();
         candidates.retain(|candidate| allowed(&candidate.region));
--- a/crates/backend/src/gateway.rs
+++ b/crates/backend/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What gateways agree on about one gateway.
+//! Replicated state of a gateway.
 
 use {
     crate::{GatewayContact, RunStatus, StatusChange},
@@ -7,36 +7,36 @@
     std::net::SocketAddr,
 };
 
-/// The shared state of one gateway; merges as [`RunStatus`] does. Its sequence counts heartbeats,
-/// and `Leaving` says that it drains.
+/// Replicated state of one gateway, merged by the rules of [`RunStatus`]. The sequence counts
+/// intervals of 100 ms, and `Leaving` means that the gateway is draining.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayRecord {
-    /// The VM it runs on.
+    /// VM that runs the gateway.
     pub vm: VmName,
-    /// Its newest run.
+    /// Status of the latest known run.
     pub status: RunStatus,
-    /// Where it stands, fixed for the run.
+    /// Location and addresses, fixed for the run.
     pub profile: GatewayProfile,
-    /// What it carries.
+    /// Current load.
     pub load: GatewayLoad,
 }
 
-/// Where a gateway stands and is reached.
+/// Location and addresses of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GatewayProfile {
-    /// Its region.
+    /// Region of the gateway.
     pub region: RegionName,
-    /// Its failure domain.
+    /// Failure domain within the region.
     pub domain: FailureDomain,
-    /// Where other processes of the system reach it.
+    /// Address for connections from other processes of the cluster.
     pub peer_address: SocketAddr,
-    /// Where callers and backend servers reach it.
+    /// Address for callers and backend servers.
     pub caller_address: SocketAddr,
-    /// Requests that it takes at the same time, at least 1.
+    /// Maximum number of concurrent requests, at least 1.
     pub limit: u32,
 }
 
-/// What a gateway carries.
+/// Load of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GatewayLoad {
     /// Requests in progress.
@@ -44,12 +44,12 @@
 }
 
 impl GatewayRecord {
-    /// The share of its limit in use, 0 to 1.
+    /// Returns the share of the limit in use, from 0 to 1.
     pub fn load_share(&self) -> f64 {
         (f64::from(self.load.open) / f64::from(self.profile.limit.max(1))).min(1.0)
     }
 
-    /// How to turn to it.
+    /// Returns the addresses under which other regions reach the gateway.
     pub fn contact(&self) -> GatewayContact {
         GatewayContact {
             vm: self.vm.clone(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes in what `other`, a record of the same VM, knows beyond this one.
+    /// Merges `other`, a record of the same VM, into this record.
     pub fn merge(&mut self, other: &GatewayRecord) -> StatusChange {
         let change = self.status.merge(&other.status);
         if change.restarted {
--- a/crates/backend/src/interval_scale.rs
+++ b/crates/backend/src/interval_scale.rs
@@ -1,18 +1,19 @@
-//! How much slower a large region takes everything that need not be at once.
+//! Scaling of intervals with the size of a region.
 //!
-//! What a gateway sends grows with the gateways and backend servers of its region, its budget does
-//! not. Renewals, batches and the limits on silence are stretched with the region; what is urgent
-//! (`leaving`, gateways that come or go, the watch over them) is not.
+//! The traffic of a gateway grows with the number of gateways and backend servers in its region,
+//! but its budget does not. Renewal intervals, batch intervals and silence timeouts are therefore
+//! scaled up in large regions. Urgent traffic is not scaled: `leaving` announcements, gateways that
+//! join or leave, and the liveness checks between gateways.
 
 use std::{cell::Cell, time::Duration};
 
-/// Up to this many gateways nothing is stretched.
+/// Number of gateways up to which intervals are not scaled.
 const UNSCALED_GATEWAYS: f64 = 24.0;
 
-/// The most that durations are stretched.
+/// Upper bound on the scale factor.
 const MAX_SCALE: f64 = 2.0;
 
-/// The factor of one region, shared by all parts of a gateway.
+/// Scale factor of a region, shared by all components of a gateway.
 #[derive(Debug)]
 pub(crate) struct IntervalScale(Cell<f64>);
 
@@ -23,12 +24,12 @@
 }
 
 impl IntervalScale {
-    /// Sets the factor for a region of so many gateways.
+    /// Sets the factor for a region of `count` gateways.
     pub(crate) fn set_gateway_count(&self, count: usize) {
         self.0.set((count as f64 / UNSCALED_GATEWAYS).clamp(1.0, MAX_SCALE));
     }
 
-    /// `duration` at this region's pace.
+    /// Returns `duration` multiplied by the current factor.
     pub(crate) fn scale(&self, duration: Duration) -> Duration {
         duration.mul_f64(self.0.get())
     }
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,8 +1,8 @@
 //! Membership of backend servers and gateways.
 //!
-//! Nobody lists the backend servers: each announces itself to any gateway of its region, which
-//! grants it a lease on its own monotonic clock and relays what changed to the region's other
-//! gateways.
+//! There is no static list of backend servers. Each backend server announces itself to any gateway
+//! of its region, which grants a lease based on its own monotonic clock and relays the changes to
+//! the other gateways of the region.
 
 mod announcement;
 mod backend_entry;
--- a/crates/backend/src/member_table.rs
+++ b/crates/backend/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The gateways of the own region that this gateway knows, itself among them.
+//! Table of the known gateways of this region, including this gateway.
 
 use {
     crate::{
@@ -18,29 +18,30 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How long the record of a dead gateway is kept, so that nothing late brings it back.
+/// Retention of the records of dead gateways. Prevents late messages from restoring them.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// Silence after which a gateway whose row should vouch for it is taken for dead here: its whole
-/// row may be gone.
+/// Time without a heartbeat after which a gateway of another row is considered dead even though its
+/// row has not declared it dead: the whole row may be down.
 const SILENT_AFTER: Duration = Duration::from_secs(8);
 
-/// The sequence of a gateway's record counts these.
+/// Unit of the sequence number of a gateway's record.
 const SEQUENCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sequences beyond the last one heard that a declaration of death covers. Heartbeats relayed by
-/// gateways that have not noticed yet arrive up to two ticks after it; without the margin they
-/// would bring the dead gateway back into entry answers.
+/// Sequence numbers beyond the last known one that a declaration of death covers. Heartbeats
+/// relayed by gateways that have not yet received the declaration arrive up to two relay intervals
+/// after it. Without the margin they would restore the dead gateway to entry answers.
 const EXPIRE_SEQUENCE_MARGIN: u64 = 30;
 
-/// Known gateways. Every method returns without waiting.
+/// Known gateways of the region. No method blocks.
 pub(crate) struct MemberTable {
     local_vm: VmName,
     clock: Rc<dyn Clock>,
     interval_scale: Rc<IntervalScale>,
-    /// The start of this run.
+    /// Start time of this run.
     start: MonotonicTime,
-    /// What the own sequence is ahead of the ticks since the start.
+    /// Difference between the sequence number of this gateway and the number of intervals since the
+    /// start.
     sequence_offset: Cell<u64>,
     entries: RefCell<BTreeMap<VmName, MemberEntry>>,
     by_id: RefCell<HashMap<RunId, VmName>>,
@@ -52,20 +53,20 @@
     record: GatewayRecord,
     id: RunId,
     origin: Origin,
-    heard: PastInstant,
+    heard_at: PastInstant,
     serving_since: PastInstant,
-    /// Grows with each heartbeat taken, over all rows.
+    /// Version of the last heartbeat, increasing over all entries.
     version: u64,
 }
 
-/// What became of a heartbeat.
+/// Result of merging a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatOutcome {
-    /// It is newer than what was known, or not.
+    /// The gateway is known and was not considered dead. The heartbeat may or may not be newer.
     Known,
-    /// It is newer, and the gateway had been taken for dead.
+    /// The heartbeat is newer, and the gateway had been considered dead.
     Returned,
-    /// No row has this id.
+    /// No entry has this run identifier.
     Unknown,
 }
 
@@ -96,42 +97,46 @@
         table
     }
 
-    /// The own name.
+    /// Returns the VM of this gateway.
     pub(crate) fn local_vm(&self) -> &VmName {
         &self.local_vm
     }
 
-    /// Changes the own record; the next heartbeat tells its load.
+    /// Updates the record of this gateway and returns its heartbeat.
     fn update_local(&self, update: impl FnOnce(&mut GatewayRecord)) -> GatewayHeartbeat {
         let mut entries = self.entries.borrow_mut();
-        let entry =
-            entries.get_mut(&self.local_vm).expect("the own row is made first and never removed");
+        let entry = entries
+            .get_mut(&self.local_vm)
+            .expect("the entry of this gateway is created first and never removed");
         update(&mut entry.record);
         entry.record.status.sequence = self.local_sequence();
-        entry.heard = PastInstant::new(self.clock.now(), Duration::ZERO);
+        entry.heard_at = PastInstant::new(self.clock.now(), Duration::ZERO);
         heartbeat(entry)
     }
 
-    /// Sets what the own gateway carries.
+    /// Sets the load of this gateway.
     pub(crate) fn set_load(&self, load: GatewayLoad) {
         self.update_local(|record| record.load = load);
     }
 
-    /// The own gateway takes no new callers from now on.
+    /// Marks this gateway as draining: it accepts no new callers.
     pub(crate) fn drain(&self) {
         self.update_local(|record| record.status.state = ServingState::Leaving);
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Counts one more heartbeat of the own gateway and returns it.
+    /// Advances the heartbeat of this gateway and returns it.
     pub(crate) fn next_heartbeat(&self) -> GatewayHeartbeat {
         self.update_local(|_| {})
     }
 
-    /// Hears of the own gateway from others. True: they take it for dead or for another run, and
-    /// its record, now the newest, must be told. A clock that stepped back between two runs gives
-    /// the new run the lower incarnation; without outbidding it would be ignored until the old
-    /// record is forgotten.
+    /// Checks a copy of this gateway's own record received from a peer. Returns true if the copy
+    /// declares this gateway dead or belongs to another run. The local record then supersedes the
+    /// copy and must be propagated.
+    ///
+    /// If the clock stepped back between two runs, the new run has the lower incarnation. It raises
+    /// its incarnation above that of the copy. Otherwise its records would be ignored until the old
+    /// record is dropped.
     pub(crate) fn refute_stale_copy(&self, copy: &GatewayRecord) -> bool {
         let local = self.entries.borrow()[&self.local_vm].record.status;
         if copy.status.incarnation > local.incarnation {
@@ -156,8 +161,9 @@
     fn raise_incarnation(&self, other: Incarnation) {
         self.update_local(|record| record.status.incarnation = Incarnation(other.0 + 1));
         let mut entries = self.entries.borrow_mut();
-        let entry =
-            entries.get_mut(&self.local_vm).expect("the own row is made first and never removed");
+        let entry = entries
+            .get_mut(&self.local_vm)
+            .expect("the entry of this gateway is created first and never removed");
         let mut by_id = self.by_id.borrow_mut();
         by_id.remove(&entry.id);
         entry.id = RunId::new(self.local_vm.as_str(), entry.record.status.incarnation);
@@ -165,14 +171,14 @@
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// Takes in the record of another gateway.
+    /// Merges the record of a gateway.
     pub(crate) fn merge_record(
         &self,
         aged: &AgedRecord<GatewayRecord>,
         origin: Origin,
     ) -> StatusChange {
         let now = self.clock.now();
-        let heard = PastInstant::new(now, aged.age());
+        let heard_at = PastInstant::new(now, aged.age());
         let record = &aged.record;
         let mut entries = self.entries.borrow_mut();
         let (entry, change) = match entries.get_mut(&record.vm) {
@@ -184,7 +190,7 @@
                 return StatusChange::default();
             }
             None => {
-                let entry = MemberEntry::new(record.clone(), heard);
+                let entry = MemberEntry::new(record.clone(), heard_at);
                 let change =
                     StatusChange { membership: true, advanced: true, ..StatusChange::default() };
                 (entries.entry(record.vm.clone()).or_insert(entry), change)
@@ -192,7 +198,7 @@
         };
         if change.advanced {
             self.version.set(self.version.get() + 1);
-            entry.refresh(origin, heard, self.version.get(), now);
+            entry.refresh(origin, heard_at, self.version.get(), now);
         }
         if change.restarted || entry.serving_since.age(now) < aged.serving() {
             entry.serving_since = PastInstant::new(now, aged.serving());
@@ -206,7 +212,7 @@
         change
     }
 
-    /// Takes in a heartbeat.
+    /// Merges a heartbeat.
     pub(crate) fn merge_heartbeat(
         &self,
         heartbeat: &GatewayHeartbeat,
@@ -226,19 +232,20 @@
         if change.membership { HeartbeatOutcome::Returned } else { HeartbeatOutcome::Known }
     }
 
-    /// The heartbeats taken after `cursor` from the own row.
+    /// Returns the heartbeats of this gateway's row received after `cursor`.
     pub(crate) fn row_heartbeats_after(&self, cursor: u64) -> Vec<GatewayHeartbeat> {
         let entries = self.entries.borrow();
-        let fresh = |entry: &&MemberEntry| entry.origin == Origin::Row && entry.version > cursor;
-        entries.values().filter(fresh).map(heartbeat).collect()
+        let updated = |entry: &&MemberEntry| entry.origin == Origin::Row && entry.version > cursor;
+        entries.values().filter(updated).map(heartbeat).collect()
     }
 
-    /// The mark of all heartbeats taken so far.
+    /// Returns the cursor after all heartbeats received so far.
     pub(crate) fn heartbeat_cursor(&self) -> u64 {
         self.version.get()
     }
 
-    /// Whether nothing was heard of `vm` for so long that its row may be gone.
+    /// Returns whether no heartbeat of `vm` was received for so long that its whole row may be
+    /// down.
     pub(crate) fn is_silent(&self, vm: &VmName) -> bool {
         let now = self.clock.now();
         self.entries
@@ -247,7 +254,8 @@
             .is_none_or(|entry| self.silence(entry, now) >= self.silent_after())
     }
 
-    /// Declares `vm` dead at the last heartbeat known; false where it was already.
+    /// Declares `vm` dead as of its last known heartbeat. Returns false if it was already declared
+    /// dead.
     pub(crate) fn expire(&self, vm: &VmName) -> bool {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(vm).filter(|entry| !entry.record.status.is_expired())
@@ -259,11 +267,11 @@
         true
     }
 
-    /// Forgets gateways that have been dead for long.
+    /// Drops the records of gateways that have been dead for longer than the retention.
     pub(crate) fn sweep(&self) {
         let now = self.clock.now();
         let forgettable = |entry: &MemberEntry| {
-            !entry.record.status.is_live() && entry.heard.age(now) >= RETENTION
+            !entry.record.status.is_live() && entry.heard_at.age(now) >= RETENTION
         };
         let before = self.entries.borrow().len();
         self.entries.borrow_mut().retain(|vm, entry| *vm == self.local_vm || !forgettable(entry));
@@ -274,26 +282,26 @@
         }
     }
 
-    /// Counts changes of membership.
+    /// Returns the number of membership changes so far.
     pub(crate) fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// The gateways that are not known to be dead, with their failure domains.
+    /// Returns the gateways not known to be dead, with their failure domains.
     pub(crate) fn alive_domains(&self) -> BTreeMap<VmName, FailureDomain> {
         let entries = self.entries.borrow();
         let alive = entries.iter().filter(|(_, entry)| !entry.record.status.is_expired());
         alive.map(|(vm, entry)| (vm.clone(), entry.record.profile.domain.clone())).collect()
     }
 
-    /// The gateways that are not known to be dead, draining ones included.
+    /// Returns the gateways not known to be dead, including draining ones.
     pub(crate) fn alive(&self) -> BTreeSet<VmName> {
         let entries = self.entries.borrow();
         let alive = entries.iter().filter(|(_, entry)| !entry.record.status.is_expired());
         alive.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// The gateways alive that do not drain, or all alive ones where all drain.
+    /// Returns the live gateways that are not draining, or all live ones if all are draining.
     pub(crate) fn preferred(&self) -> Vec<VmName> {
         let entries = self.entries.borrow();
         let live = |only_serving: bool| {
@@ -307,19 +315,19 @@
         if serving.is_empty() { live(false) } else { serving }
     }
 
-    /// The gateways that are known to be dead.
+    /// Returns the gateways known to be dead.
     pub(crate) fn dead(&self) -> Vec<VmName> {
         let entries = self.entries.borrow();
         let dead = entries.iter().filter(|(_, entry)| entry.record.status.is_expired());
         dead.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// The gateway whose run has this id.
+    /// Returns the gateway whose run has this identifier.
     pub(crate) fn name_of(&self, id: RunId) -> Option<VmName> {
         self.by_id.borrow().get(&id).cloned()
     }
 
-    /// The gateways that take callers, as far as is known here, and the age of their heartbeats.
+    /// Returns the gateways that accept callers, as far as known, with the age of their heartbeats.
     pub(crate) fn serving(&self) -> Vec<(GatewayRecord, Duration)> {
         let now = self.clock.now();
         let entries = self.entries.borrow();
@@ -336,15 +344,15 @@
     }
 
     fn silence(&self, entry: &MemberEntry, now: MonotonicTime) -> Duration {
-        if entry.record.vm == self.local_vm { Duration::ZERO } else { entry.heard.age(now) }
+        if entry.record.vm == self.local_vm { Duration::ZERO } else { entry.heard_at.age(now) }
     }
 
-    /// The record of `vm`.
+    /// Returns the record of `vm`.
     pub(crate) fn record(&self, vm: &VmName) -> Option<GatewayRecord> {
         self.entries.borrow().get(vm).map(|entry| entry.record.clone())
     }
 
-    /// The record of `vm` and its age.
+    /// Returns the record of `vm` with its age.
     pub(crate) fn aged_record(&self, vm: &VmName) -> Option<AgedRecord<GatewayRecord>> {
         let now = self.clock.now();
         self.entries.borrow().get(vm).map(|entry| self.aged_entry(entry, now))
@@ -355,17 +363,18 @@
         AgedRecord::new(entry.record.clone(), age, serving)
     }
 
-    /// The records that comparisons cover.
+    /// Returns the records covered by digests. Records past half of their retention are excluded,
+    /// because gateways drop them at slightly different times.
     pub(crate) fn compared_records(&self) -> Vec<AgedRecord<GatewayRecord>> {
         let now = self.clock.now();
         let entries = self.entries.borrow();
         let is_compared = |entry: &&MemberEntry| {
-            entry.record.status.is_live() || entry.heard.age(now) < RETENTION / 2
+            entry.record.status.is_live() || entry.heard_at.age(now) < RETENTION / 2
         };
         entries.values().filter(is_compared).map(|entry| self.aged_entry(entry, now)).collect()
     }
 
-    /// A hash of the membership of gateways.
+    /// Returns a hash of the gateway membership.
     pub(crate) fn hash(&self) -> u32 {
         let hash_of = |aged: AgedRecord<GatewayRecord>| {
             let status = aged.record.status;
@@ -377,14 +386,14 @@
 }
 
 impl MemberEntry {
-    fn new(record: GatewayRecord, heard: PastInstant) -> Self {
+    fn new(record: GatewayRecord, heard_at: PastInstant) -> Self {
         let id = RunId::new(record.vm.as_str(), record.status.incarnation);
-        Self { record, id, origin: Origin::OtherRow, heard, serving_since: heard, version: 0 }
+        Self { record, id, origin: Origin::OtherRow, heard_at, serving_since: heard_at, version: 0 }
     }
 
-    fn refresh(&mut self, origin: Origin, heard: PastInstant, version: u64, now: MonotonicTime) {
-        if heard.age(now) < self.heard.age(now) {
-            self.heard = heard;
+    fn refresh(&mut self, origin: Origin, heard_at: PastInstant, version: u64, now: MonotonicTime) {
+        if heard_at.age(now) < self.heard_at.age(now) {
+            self.heard_at = heard_at;
         }
         self.origin = if origin == Origin::Sync { self.origin } else { origin };
         self.version = version;
--- a/crates/backend/src/message.rs
+++ b/crates/backend/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between gateways.
+//! Messages between gateways.
 
 use {
     crate::{BackendRecord, GatewayLoad, GatewayRecord, LoadReport, RegionDelta, TotalsDelta},
@@ -8,19 +8,19 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// The unit of ages in messages.
+/// Unit of ages in messages.
 const AGE_UNIT: Duration = Duration::from_millis(50);
 
-/// The unit of queued prompt tokens in messages.
+/// Unit of queued prompt tokens in messages.
 const PREFILL_UNIT: u64 = 64;
 
-/// Names one run of a backend server or gateway in four bytes. Two names of one region that share
-/// an id are refused where the second is first announced.
+/// Four-byte identifier of one run of a backend server or gateway. An announcement whose identifier
+/// collides with that of another name in the region is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunId([u8; 4]);
 
 impl RunId {
-    /// The id of the run `incarnation` of `name`.
+    /// Computes the identifier of the run `incarnation` of `name`.
     pub fn new(name: &str, incarnation: Incarnation) -> Self {
         let hash = xxh3_64_with_seed(name.as_bytes(), incarnation.0);
         let [a, b, c, d, ..] = hash.to_le_bytes();
@@ -28,24 +28,25 @@
     }
 }
 
-/// Which step of the relaying a message is.
+/// Dissemination step of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayStep {
-    /// From who heard it to its row, which relays it.
+    /// First step: from the gateway that received the update to the gateways of its row, which
+    /// relay it.
     Row,
-    /// From a row's relay to other rows, where it ends.
+    /// Second step: from a relay to gateways of other rows, which do not forward it.
     Across,
 }
 
-/// One message between two gateways of a region.
+/// Gossip message between two gateways of a region.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GossipDelta {
-    /// Which step this is.
+    /// Dissemination step.
     pub step: RelayStep,
-    /// The sender's heartbeat.
+    /// Heartbeat of the sender.
     #[serde(rename = "pulse")]
     pub heartbeat: GatewayHeartbeat,
-    /// A hash of the sender's membership; unequal hashes are healed by a sync.
+    /// Digest of the sender's membership. A persistent mismatch triggers a sync.
     pub digest: [u8; 4],
     /// Backend servers whose membership changed.
     pub backends: Vec<AgedRecord<BackendRecord>>,
@@ -53,37 +54,37 @@
     pub gateways: Vec<AgedRecord<GatewayRecord>>,
     /// Loads that changed.
     pub loads: Vec<LoadDelta>,
-    /// Heartbeats of the sender's row.
+    /// Heartbeats of the gateways in the sender's row.
     #[serde(rename = "pulses")]
     pub row_heartbeats: Vec<GatewayHeartbeat>,
-    /// Totals of the sender's row, for gateways that speak for the region.
+    /// Totals of the sender's row, for region reporters.
     pub row_totals: TotalsDelta,
-    /// News of other regions.
+    /// Updates about other regions.
     pub regions: Vec<RegionDelta>,
 }
 
-/// The answer to a [`GossipDelta`].
+/// Reply to a [`GossipDelta`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaReply {
-    /// The receiver knows this run of the sender and had not taken it for dead. If not, it has not
-    /// called the sender either, and the sender would not notice that nobody tells it anything: it
-    /// must make itself known and ask for what it missed.
+    /// True if the receiver knows this run of the sender and does not consider it dead. Otherwise
+    /// the receiver has not sent anything to the sender either, which the sender cannot detect by
+    /// itself. The sender must introduce itself and fetch what it missed by a sync.
     pub known: bool,
 }
 
-/// A record and its age.
+/// A record with its age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgedRecord<T> {
     /// The record.
     pub record: T,
-    /// Since its newest report, in milliseconds.
+    /// Time since the newest report, in milliseconds.
     pub age_millis: u32,
-    /// Since it began to serve, in milliseconds.
+    /// Time since it began to serve, in milliseconds.
     pub serving_millis: u32,
 }
 
 impl<T> AgedRecord<T> {
-    /// A record last reported `age` ago that has served for `serving`.
+    /// Creates a record last reported `age` ago that has been serving for `serving`.
     pub fn new(record: T, age: Duration, serving: Duration) -> Self {
         Self {
             record,
@@ -92,12 +93,12 @@
         }
     }
 
-    /// Since its newest report.
+    /// Returns the time since the newest report.
     pub fn age(&self) -> Duration {
         Duration::from_millis(u64::from(self.age_millis))
     }
 
-    /// Since it began to serve.
+    /// Returns the time since it began to serve.
     pub fn serving(&self) -> Duration {
         Duration::from_millis(u64::from(self.serving_millis))
     }
@@ -107,24 +108,24 @@
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// The newest load of one backend server.
+/// Compact form of the newest load of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDelta {
-    /// The run.
+    /// Run of the backend server.
     pub id: RunId,
-    /// The low bits of the announcement's sequence.
+    /// Low 16 bits of the announcement's sequence number.
     pub sequence: u16,
-    /// The report's age.
+    /// Age of the report, in units of `AGE_UNIT`.
     age: u8,
     running: u16,
     waiting: u16,
     prefill: u16,
-    /// The cache's filling, percent.
+    /// Cache utilization in percent.
     cached: u8,
 }
 
 impl LoadDelta {
-    /// The delta of a report of `age`; `cache_tokens` is the cache's size.
+    /// Creates the delta for a report of `age` from an engine with a cache of `cache_tokens`.
     pub fn new(
         id: RunId,
         sequence: u64,
@@ -144,12 +145,12 @@
         }
     }
 
-    /// The report's age when it was sent.
+    /// Returns the age of the report at the time of sending.
     pub fn age(&self) -> Duration {
         AGE_UNIT * u32::from(self.age)
     }
 
-    /// The load, of an engine whose cache holds `cache_tokens`.
+    /// Returns the load, for an engine with a cache of `cache_tokens`.
     pub fn load(&self, cache_tokens: u64) -> LoadReport {
         LoadReport {
             running: u32::from(self.running),
@@ -160,49 +161,50 @@
     }
 }
 
-/// The heartbeat of one gateway.
+/// Heartbeat of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayHeartbeat {
-    /// The run.
+    /// Run of the gateway.
     pub id: RunId,
-    /// The low bits of the heartbeat's number.
+    /// Low 16 bits of the heartbeat's sequence number.
     pub sequence: u16,
-    /// What it carries.
+    /// Current load.
     pub load: GatewayLoad,
 }
 
-/// Asks a peer for what it knows and this gateway does not.
+/// Request for the records in which a peer differs from the requester.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Who asks: a gateway that just started is made known by this.
+    /// Record of the requester. Introduces a gateway that has just started.
     pub from: AgedRecord<GatewayRecord>,
-    /// Hashes of the asker's membership by part; a part that differs is answered whole. Empty:
-    /// the asker knows nothing.
+    /// Hashes of the requester's membership buckets. The reply contains all records of every bucket
+    /// whose hash differs. Empty if the requester has no records yet.
     #[serde(rename = "parts")]
     pub bucket_hashes: Vec<u32>,
 }
 
-/// The answer to a [`SyncRequest`].
+/// Reply to a [`SyncRequest`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// Backend servers of the parts that differ.
+    /// Backend servers in the buckets that differ.
     pub backends: Vec<AgedRecord<BackendRecord>>,
     /// All gateways of the region.
     pub gateways: Vec<AgedRecord<GatewayRecord>>,
-    /// The region that answers. A gateway of another one gets nothing but `regions`.
+    /// Region of the replying gateway. A requester from another region receives only this field and
+    /// `regions`.
     pub region: Option<RegionName>,
-    /// Other regions, for an asker that knows nothing; for one of another region, whom to turn to
-    /// in each.
+    /// Other regions, if the requester has no records yet. For a requester from another region, the
+    /// contacts in each known region.
     pub regions: Vec<RegionDelta>,
 }
 
-/// The low bits of a sequence.
+/// Returns the low 16 bits of a sequence number.
 pub(crate) fn low_bits(sequence: u64) -> u16 {
     (sequence & u64::from(u16::MAX)) as u16
 }
 
-/// The sequence nearest to `known` whose low bits are `low`. Right as long as the two are less
-/// than 2^15 apart, 18 hours of announcements every 2 s.
+/// Returns the sequence number nearest to `known` whose low 16 bits are `low`. Correct as long as
+/// the two differ by less than 2^15, which is 18 hours of announcements at an interval of 2 s.
 pub(crate) fn nearest_sequence(known: u64, low: u16) -> u64 {
     let forward = low.wrapping_sub(low_bits(known));
     let backward = low_bits(known).wrapping_sub(low);
--- a/crates/backend/src/notifier.rs
+++ b/crates/backend/src/notifier.rs
@@ -1,9 +1,10 @@
-//! Wakes the tasks that wait for news.
+//! Wakes tasks that wait for a condition.
 
 use {futures::channel::oneshot, std::cell::RefCell};
 
-/// Wakes all who wait at the moment; remembers nothing for those who come later, so a waiter
-/// checks its condition after it has begun to wait or before, without an await between.
+/// Broadcast notification without memory: wakes all current waiters and is lost for later ones. A
+/// waiter must therefore call [`notified`](Self::notified) and check its condition without an await
+/// in between.
 #[derive(Default)]
 pub(crate) struct Notifier {
     waiters: RefCell<Vec<oneshot::Sender<()>>>,
@@ -12,12 +13,12 @@
 impl Notifier {
     pub(crate) fn notify_all(&self) {
         for waiter in self.waiters.take() {
-            // A waiter that gave up has dropped its end.
+            // Sending fails only if the waiter was dropped.
             let _ = waiter.send(());
         }
     }
 
-    /// Completes at the next ring.
+    /// Completes at the next call of [`notify_all`](Self::notify_all).
     pub(crate) fn notified(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let mut waiters = self.waiters.borrow_mut();
--- a/crates/backend/src/past_instant.rs
+++ b/crates/backend/src/past_instant.rs
@@ -1,8 +1,8 @@
-//! Moments of the past as another process tells them: by their age.
+//! Instants in the past that other processes report by their age.
 
 use {gullglade_units::MonotonicTime, std::time::Duration};
 
-/// A moment that may lie before the start of this process.
+/// An instant that may precede the start of this process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PastInstant {
     observed_at: MonotonicTime,
@@ -18,8 +18,9 @@
         now.since(self.observed_at).saturating_add(self.age_when_observed)
     }
 
-    /// The moment on this process's clock; its start where the moment lies before.
-    pub(crate) fn to_local(&self) -> MonotonicTime {
+    /// Converts to this process's clock. An instant before the start of the clock maps to the
+    /// start.
+    pub(crate) fn local_time(&self) -> MonotonicTime {
         MonotonicTime(self.observed_at.0.saturating_sub(self.age_when_observed))
     }
 }
--- a/crates/backend/src/plan.rs
+++ b/crates/backend/src/plan.rs
@@ -1,10 +1,13 @@
-//! Who tells whom inside a region.
+//! Dissemination plan inside a region: two-step gossip over a grid of gateways.
 //!
-//! Gateways are dealt out to rows by hash. What a gateway heard itself it tells the other members
-//! of its row; what it heard from its row it tells those members of other rows for which it is the
-//! row's relay (by rendezvous hash, in even shares). So everything reaches everyone in two steps, along one path,
-//! and each gateway talks to about two times the square root of the region's gateways instead of
-//! all of them. Rows ignore failure domains on purpose: the loss of one domain must not take a
+//! Gateways are assigned to rows by hash. A gateway sends the updates that it received directly to
+//! the other gateways of its row. It forwards these and the updates received from its row to the
+//! gateways of other rows for which it is the relay of its row, chosen by rendezvous hash in even
+//! shares. Every update thus reaches every gateway in two steps along a single path, and each
+//! gateway communicates with about twice the square root of the number of gateways instead of all
+//! of them.
+//!
+//! Rows deliberately ignore failure domains, so that the loss of one domain does not take out a
 //! whole row.
 
 use {
@@ -15,32 +18,34 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Up to this many gateways everyone tells everyone.
+/// Number of gateways up to which there is a single row, in which every gateway sends to every
+/// other one.
 const SINGLE_ROW_LIMIT: usize = 12;
 
-/// How many members of its row watch each gateway.
+/// Number of gateways of the same row that watch each gateway.
 const WATCHERS_PER_GATEWAY: usize = 3;
 
-/// The key that places gateways in rows.
+/// Rendezvous key for the assignment of gateways to rows.
 const ROW_KEY: &str = "row";
 
-/// The part of one gateway in its region's relaying, for one set of live members.
+/// Dissemination plan of one gateway for one set of live gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayPlan {
-    /// The other members of its row: told what it heard itself.
+    /// Other gateways of the row. They receive the updates that this gateway received directly.
     pub row_peers: BTreeSet<VmName>,
-    /// Members of other rows: told what it heard from its row and itself.
+    /// Gateways of other rows. They receive the updates that this gateway received directly or from
+    /// its row.
     pub relay_targets: BTreeSet<VmName>,
-    /// The mates that it calls more often, to notice their death soon: each gateway has
-    /// `WATCHERS_PER_GATEWAY` of these watchers, of other failure domains where there are any: watchers that
-    /// die together with the watched notice nothing.
+    /// Row peers that this gateway calls at a shorter interval to detect their failure quickly.
+    /// Each gateway has `WATCHERS_PER_GATEWAY` watchers, in other failure domains where possible: a
+    /// watcher that fails together with the watched gateway detects nothing.
     pub watched: BTreeSet<VmName>,
     rows: BTreeMap<VmName, u64>,
 }
 
 impl RelayPlan {
-    /// The plan of `local` among `members`, which are given with their failure domains and in which
-    /// `local` may or may not be listed.
+    /// Computes the plan of `local` among `members`, given with their failure domains. `members`
+    /// may or may not contain `local`.
     pub fn new(local: &VmName, members: &BTreeMap<VmName, FailureDomain>) -> Self {
         let rows = assign_rows(local, members);
         let row_of = |vm: &VmName| rows.get(vm).copied().unwrap_or(0);
@@ -60,19 +65,19 @@
         Self { row_peers, relay_targets, watched, rows }
     }
 
-    /// The number of rows.
+    /// Returns the number of rows.
     pub fn row_count(&self) -> u64 {
         self.rows.values().max().map_or(0, |last| last + 1)
     }
 
-    /// The row of `vm`.
+    /// Returns the row of `vm`.
     pub fn row_of(&self, vm: &VmName) -> Option<u64> {
         self.rows.get(vm).copied()
     }
 }
 
-/// Deals the members out to rows: in the order of their hashes, in equal parts. A member that
-/// comes or goes moves one other member at most from each row to the next.
+/// Assigns the members to rows of equal size, in the order of their hashes. A member that joins or
+/// leaves moves at most one other member from each row to the next.
 fn assign_rows(local: &VmName, members: &BTreeMap<VmName, FailureDomain>) -> BTreeMap<VmName, u64> {
     let all: BTreeSet<&VmName> = members.keys().chain([local]).collect();
     let (count, rows) = (all.len(), row_count(all.len()));
@@ -81,7 +86,8 @@
     ordered.map(|(index, vm)| (vm.clone(), row(index))).collect()
 }
 
-/// Rows for `members` gateways: a power of two near the square root, so that it seldom changes.
+/// Returns the number of rows for `members` gateways: a power of two near the square root, so that
+/// it rarely changes.
 fn row_count(members: usize) -> usize {
     if members <= SINGLE_ROW_LIMIT { 1 } else { members.isqrt().next_power_of_two() }
 }
--- a/crates/backend/src/prompt.rs
+++ b/crates/backend/src/prompt.rs
@@ -1,30 +1,31 @@
-//! Prompts as a prefix cache sees them: what decides whether a backend server has read the start
-//! of a prompt before.
+//! Division of prompts into prefix cache blocks.
 
 use {crate::PrefixHash, xxhash_rust::xxh3::xxh3_64_with_seed};
 
-/// Prompt tokens in one cache block.
+/// Prompt tokens per cache block.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// Bytes of prompt text taken as one token; engines count exactly, the estimate need not.
+/// Bytes of prompt text counted as one token. The estimate need not match the exact count of the
+/// engines.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of prompt text in one cache block.
+/// Bytes of prompt text per cache block.
 const BLOCK_BYTES: usize = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
 
-/// A prompt cut into cache blocks, each named by the hash of its own text and of the block before
-/// it, so that equal hashes mean equal prefixes.
+/// A prompt divided into cache blocks. Each block is identified by the hash of its text chained
+/// with the hash of the preceding block, so that equal hashes mean equal prefixes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptBlocks {
-    /// Tokens of the whole prompt, estimated.
+    /// Estimated number of tokens of the whole prompt.
     pub tokens: u64,
-    /// Its full blocks from the start; the last, partial block is never cached.
+    /// Hashes of the full blocks from the start. A partial last block is never cached and not
+    /// included.
     pub blocks: Vec<PrefixHash>,
 }
 
 impl PromptBlocks {
-    /// Cuts the prompt text given to `model`. The text of a chat is each message's role, `": "`,
-    /// its content and a line feed, one after the other.
+    /// Divides a prompt for `model` into blocks. The text of a chat is the concatenation of each
+    /// message's role, `": "`, content and a line feed.
     pub fn new(model: &str, prompt: &str) -> Self {
         let mut last = xxh3_64_with_seed(model.as_bytes(), 0);
         let chain = |block: &[u8]| {
--- a/crates/backend/src/record.rs
+++ b/crates/backend/src/record.rs
@@ -1,4 +1,4 @@
-//! What gateways agree on about one backend server: its run, its newest profile and load.
+//! Replicated state of a backend server: status, profile and load.
 
 use {
     crate::{Announcement, BackendProfile, LoadReport, RunStatus, StatusChange},
@@ -7,25 +7,25 @@
     std::rc::Rc,
 };
 
-/// The shared state of one backend server; merges as [`RunStatus`] does.
+/// Replicated state of one backend server, merged by the rules of [`RunStatus`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendRecord {
-    /// The backend server.
+    /// Name of the backend server.
     pub name: BackendName,
-    /// Its newest run.
+    /// Status of the latest known run.
     pub status: RunStatus,
-    /// Its newest profile, where one is known.
+    /// Newest known profile.
     pub profile: Option<SequencedProfile>,
-    /// The load of the highest sequence known.
+    /// Load of the announcement with the highest known sequence number.
     pub load: LoadReport,
 }
 
-/// A profile and the announcement that brought it.
+/// A profile with the sequence number of its announcement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SequencedProfile {
-    /// The sequence of the announcement.
+    /// Sequence number of the announcement.
     pub sequence: u64,
-    /// What it said.
+    /// Announced profile.
     pub profile: Rc<BackendProfile>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl BackendRecord {
-    /// Takes in what `other`, a record of the same backend server, knows beyond this one.
+    /// Merges `other`, a record of the same backend server, into this record.
     pub fn merge(&mut self, other: &BackendRecord) -> StatusChange {
         let mut change = self.status.merge(&other.status);
         if change.superseded {
@@ -62,16 +62,18 @@
         change
     }
 
-    /// The profile, where one is known.
+    /// Returns the profile, if known.
     pub fn profile(&self) -> Option<&BackendProfile> {
         self.profile.as_ref().map(|p| &*p.profile)
     }
 }
 
-/// Whether `left` replaces `right`. Two profiles of one sequence come only from two processes that
-/// share a name and an incarnation. Without the last comparison gateways would each keep the one
-/// that they heard first and exchange records without end; the encoded bytes decide the same
-/// everywhere.
+/// Returns whether `left` replaces `right`.
+///
+/// Two different profiles with the same sequence number occur only if two processes share a name
+/// and an incarnation. They are ordered by their encoded bytes, so that all gateways select the
+/// same one. Otherwise each gateway would keep the one that it received first, and the gateways
+/// would exchange the records forever.
 fn is_newer_profile(left: Option<&SequencedProfile>, right: Option<&SequencedProfile>) -> bool {
     match (left, right) {
         (None, _) => false,
--- a/crates/backend/src/region_table.rs
+++ b/crates/backend/src/region_table.rs
@@ -1,4 +1,4 @@
-//! What this gateway knows of the other regions.
+//! Table of the other regions known to this gateway.
 
 use {
     crate::{
@@ -15,25 +15,25 @@
     },
 };
 
-/// A region is reachable as long as something was heard of it in this time.
+/// Time after the last update for which a region is considered reachable.
 const REACHABLE_FOR: Duration = Duration::from_secs(8);
 
-/// A contact that failed is tried last for this long.
+/// Time for which a contact is tried last after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_secs(5);
 
-/// The most gateways remembered of one region.
+/// Maximum number of contacts retained per region.
 const CONTACT_LIMIT: usize = 32;
 
-/// The unit of ages in messages.
+/// Unit of ages in messages.
 const AGE_UNIT: Duration = Duration::from_millis(50);
 
-/// The other regions. Every method returns without waiting.
+/// State of the other regions. No method blocks.
 pub(crate) struct RegionTable {
     clock: Rc<dyn Clock>,
     interval_scale: Rc<IntervalScale>,
     entries: RefCell<BTreeMap<RegionName, RegionEntry>>,
     reporters: RefCell<BTreeMap<RegionName, VmName>>,
-    failed: RefCell<HashMap<SocketAddr, MonotonicTime>>,
+    failed_until: RefCell<HashMap<SocketAddr, MonotonicTime>>,
     version: Cell<u64>,
 }
 
@@ -42,14 +42,15 @@
     target_versions: BTreeMap<TargetId, TargetVersions>,
     contacts: Vec<GatewayContact>,
     contacts_version: u64,
-    heard: PastInstant,
-    heard_version: u64,
-    since: MonotonicTime,
+    heard_at: PastInstant,
+    report_version: u64,
+    reachable_since: MonotonicTime,
     delay_millis: u16,
     origin: Origin,
 }
 
-/// Under which stamps a target was last told of.
+/// Versions of the last updates of a target: `full` for updates with capacity, `any` for all
+/// updates.
 #[derive(Clone, Copy, Debug, Default)]
 struct TargetVersions {
     full: u64,
@@ -63,40 +64,40 @@
             interval_scale,
             entries: RefCell::default(),
             reporters: RefCell::default(),
-            failed: RefCell::default(),
+            failed_until: RefCell::default(),
             version: Cell::new(0),
         }
     }
 
-    /// Notes that `vm` spoke for `region`. True where another gateway spoke for it last: what `vm`
-    /// leaves out, because it told so before, may have been overwritten since.
+    /// Records that `vm` reported for `region`. Returns true if the previous report came from
+    /// another gateway. Values that `vm` omitted as unchanged may have been overwritten since then.
     ///
-    /// Two gateways speak for one region while they have not heard of each other, as after a start.
-    /// When the one that knows less speaks last and then falls silent, this region goes on with its
-    /// poorer totals until the other's next whole message: it showed as a region without engines for
-    /// half a minute.
+    /// Two gateways report for the same region while they have not discovered each other, for
+    /// example after a start. If the one with less information reports last and then stops, its
+    /// incomplete totals remain until the next full report of the other one, and the region can
+    /// appear to have no engines for half a minute.
     pub(crate) fn note_reporter(&self, region: &RegionName, vm: &VmName) -> bool {
         let before = self.reporters.borrow_mut().insert(region.clone(), vm.clone());
         before.is_some_and(|before| before != *vm)
     }
 
-    /// Takes in what a region told. A message that is older than the newest heard is ignored: it
-    /// took a slower way.
+    /// Applies a report of a region. Reports older than the newest one are ignored, because they
+    /// took a slower path.
     pub(crate) fn apply(&self, delta: &RegionDelta, origin: Origin) {
         let now = self.clock.now();
-        let heard = PastInstant::new(now, AGE_UNIT * u32::from(delta.age));
+        let heard_at = PastInstant::new(now, AGE_UNIT * u32::from(delta.age));
         let version = self.next_version();
         let mut entries = self.entries.borrow_mut();
         let entry =
-            entries.entry(delta.region.clone()).or_insert_with(|| RegionEntry::new(heard, now));
-        if heard.age(now) > entry.heard.age(now) {
+            entries.entry(delta.region.clone()).or_insert_with(|| RegionEntry::new(heard_at, now));
+        if heard_at.age(now) > entry.heard_at.age(now) {
             return;
         }
-        if entry.heard.age(now) >= self.reachable_for() {
-            entry.since = now;
+        if entry.heard_at.age(now) >= self.reachable_for() {
+            entry.reachable_since = now;
         }
-        entry.heard = heard;
-        entry.heard_version = version;
+        entry.heard_at = heard_at;
+        entry.report_version = version;
         entry.origin = if origin == Origin::Sync { entry.origin } else { origin };
         entry.delay_millis = delta.delay_millis;
         for (target, full) in delta.totals.apply(&mut entry.totals) {
@@ -119,23 +120,23 @@
         self.version.get()
     }
 
-    /// The mark of all heard so far.
+    /// Returns the cursor after all updates received so far.
     pub(crate) fn cursor(&self) -> u64 {
         self.version.get()
     }
 
-    /// What was heard after `cursor` from one of `origins`.
+    /// Returns the updates received after `cursor` from one of `origins`.
     pub(crate) fn deltas_after(&self, cursor: u64, origins: &[Origin]) -> Vec<RegionDelta> {
         let now = self.clock.now();
         let entries = self.entries.borrow();
-        let fresh = entries
+        let updated = entries
             .iter()
-            .filter(|(_, entry)| entry.heard_version > cursor && origins.contains(&entry.origin));
-        fresh.map(|(region, entry)| entry.delta(region, cursor, now)).collect()
+            .filter(|(_, entry)| entry.report_version > cursor && origins.contains(&entry.origin));
+        updated.map(|(region, entry)| entry.delta(region, cursor, now)).collect()
     }
 
-    /// Notes gateways of a region, where nothing was heard of the region itself lately: those
-    /// known before may all be gone.
+    /// Adds contacts of a region that is not reachable. The known contacts of such a region may all
+    /// be down.
     pub(crate) fn add_contacts(&self, region: &RegionName, contacts: Vec<GatewayContact>) {
         if self.is_reachable(region) {
             return;
@@ -154,31 +155,31 @@
         entry.contacts.drain(..excess);
     }
 
-    /// The regions known.
+    /// Returns the known regions.
     pub(crate) fn names(&self) -> Vec<RegionName> {
         self.entries.borrow().keys().cloned().collect()
     }
 
-    /// The gateways of `region` to turn to.
+    /// Returns the contacts of `region`.
     pub(crate) fn contacts(&self, region: &RegionName) -> Vec<GatewayContact> {
         self.entries.borrow().get(region).map_or_else(Vec::new, |entry| entry.contacts.clone())
     }
 
-    /// Whether a call to `address` failed lately.
+    /// Returns whether a call to `address` failed recently.
     pub(crate) fn has_failed(&self, address: SocketAddr) -> bool {
         let now = self.clock.now();
-        self.failed.borrow().get(&address).is_some_and(|until| now < *until)
+        self.failed_until.borrow().get(&address).is_some_and(|until| now < *until)
     }
 
-    /// A call to the gateway at `address` did not get through.
+    /// Records a failed call to the gateway at `address`.
     pub(crate) fn note_failure(&self, address: SocketAddr) {
         let now = self.clock.now();
-        let mut failed = self.failed.borrow_mut();
-        failed.retain(|_, until| now < *until);
-        failed.insert(address, now + FAILURE_PAUSE);
+        let mut failed_until = self.failed_until.borrow_mut();
+        failed_until.retain(|_, until| now < *until);
+        failed_until.insert(address, now + FAILURE_PAUSE);
     }
 
-    /// What each region offers for `target`.
+    /// Returns the capacity and load of each region for `target`.
     pub(crate) fn summaries(&self, target: BackendTarget<'_>) -> Vec<RegionSummary> {
         let now = self.clock.now();
         let id = TargetId::from(target);
@@ -186,36 +187,36 @@
         let summary = |(region, entry): (&RegionName, &RegionEntry)| {
             Some(RegionSummary {
                 region: region.clone(),
-                is_reachable: entry.heard.age(now) < self.reachable_for(),
+                is_reachable: entry.heard_at.age(now) < self.reachable_for(),
                 delay: Duration::from_millis(u64::from(entry.delay_millis)),
                 totals: *entry.totals.get(&id)?,
-                age: entry.heard.age(now),
-                reachable_for: now.since(entry.since),
+                age: entry.heard_at.age(now),
+                reachable_for: now.since(entry.reachable_since),
             })
         };
         entries.iter().filter_map(summary).collect()
     }
 
-    /// Whether anything was heard of `region` lately.
+    /// Returns whether an update about `region` was received recently.
     pub(crate) fn is_reachable(&self, region: &RegionName) -> bool {
         let now = self.clock.now();
         self.entries
             .borrow()
             .get(region)
-            .is_some_and(|entry| entry.heard.age(now) < self.reachable_for())
+            .is_some_and(|entry| entry.heard_at.age(now) < self.reachable_for())
     }
 }
 
 impl RegionEntry {
-    fn new(heard: PastInstant, now: MonotonicTime) -> Self {
+    fn new(heard_at: PastInstant, now: MonotonicTime) -> Self {
         Self {
             totals: TotalsMap::new(),
             target_versions: BTreeMap::new(),
             contacts: Vec::new(),
             contacts_version: 0,
-            heard,
-            heard_version: 0,
-            since: now,
+            heard_at,
+            report_version: 0,
+            reachable_since: now,
             delay_millis: 0,
             origin: Origin::OtherRow,
         }
@@ -230,7 +231,7 @@
             let current = self.totals.get(target).unwrap_or(&removed);
             totals.push(*target, current, versions.full > cursor);
         }
-        let age = self.heard.age(now).as_millis() / AGE_UNIT.as_millis();
+        let age = self.heard_at.age(now).as_millis() / AGE_UNIT.as_millis();
         RegionDelta {
             region: region.clone(),
             age: u8::try_from(age).unwrap_or(u8::MAX),
--- a/crates/backend/src/relay.rs
+++ b/crates/backend/src/relay.rs
@@ -1,11 +1,11 @@
-//! The relaying of membership between the gateways of one region.
+//! Gossip of membership between the gateways of a region.
 //!
-//! One task per peer sends it one batch a tick: heartbeats, loads and changed records, along the
-//! two steps of the [`RelayPlan`]. When a backend server stops taking work, or a gateway comes or
-//! goes, everybody is told at once and by many ways: by the gateway that heard it, and by each that
-//! hears of it to all of its plan, so that the word gets round also if the first gateway dies in
-//! the middle of telling it. Whatever is lost all the same shows in the digests and is fetched by
-//! a sync.
+//! One task per peer sends a batch of heartbeats, loads and changed records at each interval, in
+//! the two steps of the [`RelayPlan`]. Urgent changes are sent immediately and redundantly: a
+//! backend server that stops accepting requests, or a gateway that joins or leaves. They are sent
+//! by the gateway that received them and by every gateway that learns of them, to all peers of its
+//! plan, so that they still spread if the first gateway fails while sending. Updates that are lost
+//! nevertheless show up as digest mismatches and are recovered by anti-entropy sync.
 
 mod anti_entropy;
 mod config;
@@ -31,36 +31,36 @@
 
 pub use config::RelayConfig;
 
-/// Who the own gateway is.
+/// Identity of this gateway.
 #[derive(Clone, Debug)]
 pub struct LocalGateway {
-    /// Its VM.
+    /// VM of the gateway.
     pub vm: VmName,
-    /// This run of it.
+    /// Incarnation of this run.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Location and addresses.
     pub profile: GatewayProfile,
 }
 
-/// What the relay needs of its process.
+/// Services of the process that the relay depends on.
 #[derive(Clone)]
 pub struct RelayDependencies {
-    /// Calls other gateways.
+    /// Transport for calls to other gateways.
     pub transport: Rc<dyn PeerTransport>,
-    /// Takes the events of membership.
+    /// Sink for membership events.
     pub events: Rc<dyn EventSink>,
-    /// Clocks, randomness, tasks.
+    /// Clock, random source and task spawner.
     pub context: ProcessContext,
 }
 
-/// The membership of one gateway: its table, its peers and the tasks that keep them equal.
+/// Membership service of one gateway: its table, its peers and the tasks that replicate the state.
 #[derive(Clone)]
 pub struct BackendRelay {
     shared: Rc<RelayShared>,
 }
 
 impl BackendRelay {
-    /// A relay that fills `table`. Nothing runs before [`start`](Self::start).
+    /// Creates a relay that maintains `table`. No task runs before [`start`](Self::start).
     pub fn new(
         local: LocalGateway,
         table: Rc<BackendTable>,
@@ -70,62 +70,66 @@
         Self { shared: Rc::new(RelayShared::new(local, table, config, dependencies)) }
     }
 
-    /// Starts to join the region and to keep in touch with it.
+    /// Starts the tasks that join the region and exchange updates with its gateways.
     pub fn start(&self) {
         let shared = self.shared.clone();
         let task = housekeeping::run(shared.clone());
         shared.dependencies.context.spawner.spawn(Box::pin(task));
     }
 
-    /// Serves the peer methods `backend.…`.
+    /// Returns the handler for the peer methods `backend.…`.
     pub fn handler(&self) -> Rc<dyn PeerHandler> {
         Rc::new(RelayHandler { shared: self.shared.clone() })
     }
 
-    /// Takes in an announcement. When it says `leaving`, the answer waits until the region's
-    /// gateways have it, or for [`RelayConfig::urgent_limit`]: a backend server that got the
-    /// answer may rely on getting no new work, and one that did not tells another gateway.
+    /// Processes an announcement.
+    ///
+    /// If the state is `leaving`, the reply is delayed until the gateways of the region have
+    /// received it, or until [`RelayConfig::urgent_timeout`]. A backend server that receives the
+    /// reply can rely on getting no new requests. One that does not must announce to another
+    /// gateway.
     pub async fn announce(
         &self,
         announcement: &Announcement,
     ) -> Result<AnnounceReply, AnnounceRefusal> {
         let outcome = self.shared.table.announce(announcement)?;
-        self.shared.note_announcement(announcement, outcome.change);
+        self.shared.propagate_announcement(announcement, outcome.change);
         if outcome.change.membership && announcement.state == ServingState::Leaving {
             self.shared.wait_delivered().await;
         }
         Ok(outcome.reply)
     }
 
-    /// Sets what this gateway carries; told with the next heartbeats.
+    /// Sets the load of this gateway, which is sent with the next heartbeats.
     pub fn set_load(&self, load: GatewayLoad) {
         self.shared.members.set_load(load);
     }
 
-    /// This gateway takes no new callers from now on. Completes when the region knows it, or after
-    /// [`RelayConfig::urgent_limit`].
+    /// Marks this gateway as draining: it accepts no new callers. Completes when the gateways of
+    /// the region have been notified, or after [`RelayConfig::urgent_timeout`].
     pub async fn drain(&self) {
         self.shared.drain();
         self.shared.wait_delivered().await;
     }
 
-    /// The gateways of the region that are not known to be dead.
+    /// Returns the gateways of the region that are not known to be dead.
     pub fn members(&self) -> BTreeSet<VmName> {
         self.shared.members.alive()
     }
 
-    /// What each other region offers for `target`.
+    /// Returns the capacity and load of each other region for `target`.
     pub fn summaries(&self, target: BackendTarget<'_>) -> Vec<RegionSummary> {
         self.shared.regions.summaries(target)
     }
 
-    /// The gateways of another region to turn to, those that failed lately last, the others in an
-    /// order of this gateway's own, so that a region's gateways spread over another's.
+    /// Returns the contacts of another region. Recently failed ones come last. The others are in an
+    /// order specific to this gateway, so that the gateways of a region spread over those of the
+    /// other.
     pub fn contacts(&self, region: &RegionName) -> Vec<GatewayContact> {
         self.shared.ordered_contacts(region)
     }
 
-    /// A call to the gateway of another region at `address` did not get through.
+    /// Records a failed call to the gateway of another region at `address`.
     pub fn note_failure(&self, address: SocketAddr) {
         self.shared.regions.note_failure(address);
     }
@@ -136,13 +140,13 @@
         candidates
     }
 
-    /// Whom this gateway tells what.
+    /// Returns the current dissemination plan of this gateway.
     pub fn plan(&self) -> Rc<RelayPlan> {
         self.shared.plan()
     }
 
-    /// Whether a peer has answered since the start, or it was found that there is none: the table
-    /// is as good as the region's knowledge.
+    /// Returns whether the initial sync has completed: a peer has answered since the start, or none
+    /// was found.
     pub fn is_joined(&self) -> bool {
         self.shared.joined.get()
     }
--- a/crates/backend/src/relay/anti_entropy.rs
+++ b/crates/backend/src/relay/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Joining the region and healing what was missed: the calls that fetch what peers know.
+//! Anti-entropy: joining the region and recovering missed updates by sync calls to peers.
 
 use {
     super::shared::RelayShared,
@@ -9,17 +9,17 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How many lost gateways one that is alone tries at once.
+/// Maximum number of unreached gateways that an isolated gateway tries at the same time.
 const ISOLATED_SYNC_LIMIT: usize = 4;
 
-/// Fetches the region's knowledge from the seeds, all at once: a gateway that starts knowing
-/// nobody must not take the first seed's silence for an empty region. Where none of its own region
-/// answers, it tries those that other regions know.
+/// Fetches the region's state from all seeds concurrently. A gateway that has just started must not
+/// mistake the silence of the first seed for an empty region. If no gateway of its region answers,
+/// it tries the addresses of this region's gateways that other regions have returned.
 pub(super) async fn join(shared: &Rc<RelayShared>) {
     fetch_all(shared, shared.config.seeds.clone()).await;
     if is_alone(shared) {
-        let peer_hints = shared.peer_hints.borrow().iter().copied().collect();
-        fetch_all(shared, peer_hints).await;
+        let address_hints = shared.address_hints.borrow().iter().copied().collect();
+        fetch_all(shared, address_hints).await;
     }
     shared.joined.set(true);
     shared.subset();
@@ -27,13 +27,16 @@
 }
 
 async fn fetch_all(shared: &Rc<RelayShared>, addresses: Vec<SocketAddr>) {
-    let limit = shared.config.sync_timeout;
-    join_all(addresses.into_iter().map(|address| sync(shared, address, Vec::new(), limit))).await;
+    let timeout = shared.config.sync_timeout;
+    join_all(addresses.into_iter().map(|address| sync(shared, address, Vec::new(), timeout))).await;
 }
 
-/// Runs as long as the process: syncs with a peer that differs, or else tries one that seems dead.
-/// After a partition each side takes the other for dead, and without these tries they would never
-/// talk again. Who is cut off alone tries often: the others can only wait for it.
+/// Syncs in a loop for the lifetime of the process, with a peer whose digest differs or else with a
+/// gateway considered dead.
+///
+/// After a partition, each side considers the other dead, and without these attempts they would
+/// never reconnect. An isolated gateway tries at every check, since the others can only wait for
+/// it.
 pub(super) async fn run(shared: Rc<RelayShared>) {
     let mut last = shared.now();
     loop {
@@ -56,10 +59,11 @@
     shared.members.alive().len() == 1
 }
 
-/// A peer that differs, or else up to `count` of those that seem dead, at random.
+/// Returns the peer whose digest differs, or else up to `count` randomly chosen addresses of
+/// gateways considered dead.
 fn sync_targets(shared: &RelayShared, count: usize) -> Vec<SocketAddr> {
-    let wanted = shared.sync_peer.borrow_mut().take();
-    if let Some(address) = wanted.and_then(|vm| address_of(shared, &vm)) {
+    let diverged_peer = shared.sync_peer.borrow_mut().take();
+    if let Some(address) = diverged_peer.and_then(|vm| address_of(shared, &vm)) {
         return vec![address];
     }
     let mut dead = unreached_addresses(shared);
@@ -72,7 +76,7 @@
     picked
 }
 
-/// The addresses at which a gateway should be and none is alive.
+/// Returns the addresses of dead gateways, of seeds and of hints at which no live gateway is known.
 fn unreached_addresses(shared: &RelayShared) -> Vec<SocketAddr> {
     let alive = shared.members.alive();
     let known: Vec<SocketAddr> = alive.iter().filter_map(|vm| address_of(shared, vm)).collect();
@@ -82,7 +86,7 @@
     let dead = dead.iter().filter_map(|vm| address_of(shared, vm));
     let mut addresses: Vec<SocketAddr> = dead
         .chain(seeds)
-        .chain(shared.peer_hints.borrow().iter().copied())
+        .chain(shared.address_hints.borrow().iter().copied())
         .filter(|address| !known.contains(address))
         .collect();
     addresses.sort();
@@ -94,8 +98,9 @@
     shared.members.record(vm).map(|record| record.profile.peer_address)
 }
 
-/// Fetches what was missed while this process or its VM stood still. Peers have taken it for dead
-/// and stopped telling it; without this it would go on sending work to backend servers that left.
+/// Fetches the updates missed while this process or its VM was stalled. Peers considered it dead
+/// and stopped sending. Without the sync it would continue to dispatch requests to backend servers
+/// that have left.
 pub(super) async fn catch_up_after_stall(shared: &Rc<RelayShared>) {
     let plan = shared.plan();
     let peer =
@@ -105,22 +110,24 @@
     }
 }
 
-/// Fetches what differs from the peer at `address`.
+/// Fetches the records that differ from the peer at `address`.
 pub(super) async fn catch_up(shared: &Rc<RelayShared>, address: SocketAddr) {
     let bucket_hashes = shared.table.bucket_hashes().to_vec();
     sync(shared, address, bucket_hashes, shared.config.sync_timeout).await;
 }
 
-/// Fetches from `address` what differs from `bucket_hashes`. A failure needs no report: the next try comes.
+/// Fetches the records in buckets that differ from `bucket_hashes` from the gateway at `address`.
+/// Failures are ignored, because the sync is repeated.
 async fn sync(
     shared: &Rc<RelayShared>,
     address: SocketAddr,
     bucket_hashes: Vec<u32>,
-    limit: Duration,
+    timeout: Duration,
 ) {
     let Some(from) = shared.members.aged_record(shared.members.local_vm()) else { return };
     let body = Bytes::from(encode(&SyncRequest { from, bucket_hashes }));
-    let Ok(reply) = shared.dependencies.transport.call(address, "backend.sync", body, limit).await
+    let Ok(reply) =
+        shared.dependencies.transport.call(address, "backend.sync", body, timeout).await
     else {
         return;
     };
--- a/crates/backend/src/relay/config.rs
+++ b/crates/backend/src/relay/config.rs
@@ -1,47 +1,50 @@
-//! Ticks and limits of the relaying.
+//! Intervals and timeouts of the relay.
 
 use {
     crate::SubsetConfig,
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How the gateways of a region keep in touch. Start from [`RelayConfig::default`].
+/// Configuration of the relay, based on [`RelayConfig::default`].
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// Peer addresses known from the settings; some of them may be of other regions or down.
+    /// Peer addresses from the settings. Some may be in other regions or down.
     pub seeds: Vec<SocketAddr>,
-    /// Between two messages to a gateway that this one watches; 1 s. It bounds how long a dead
-    /// gateway goes unnoticed.
+    /// Interval between messages to a gateway watched by this one. Bounds the time to detect its
+    /// failure. Default 1 s.
     pub watch_interval: Duration,
-    /// Between two messages to another gateway of the plan; 2 s, and up to twice as long in a
-    /// region of more than 24 gateways.
+    /// Interval between messages to the other gateways of the plan. Default 2 s, scaled up by a
+    /// factor of at most 2 in regions of more than 24 gateways.
     pub relay_interval: Duration,
-    /// How long a peer may take to answer; 350 ms. A member of the own row that fails to answer
-    /// two calls in a row is declared dead.
+    /// Timeout of a call to a peer. A gateway of the same row that fails to answer two consecutive
+    /// calls is declared dead. Default 350 ms.
     pub call_timeout: Duration,
-    /// How long the answer to `leaving` waits for the peers; 500 ms.
+    /// Maximum time for which the reply to a `leaving` announcement waits for the peers. Default
+    /// 500 ms.
     pub urgent_timeout: Duration,
-    /// Between two checks of leases and plans; 500 ms.
+    /// Interval between checks of leases and plans. Default 500 ms.
     pub check_interval: Duration,
-    /// How long a peer's digest may differ before a sync; 4 s, two relay ticks.
+    /// Time for which the digest of a peer must differ before a sync. Default 4 s, which is two
+    /// relay intervals.
     pub divergence_timeout: Duration,
-    /// The least time between two syncs of one gateway, and between two tries to reach gateways
-    /// that seem dead; 3 s.
+    /// Minimum interval between syncs of one gateway, including attempts to reach gateways
+    /// considered dead. Default 3 s.
     pub sync_interval: Duration,
-    /// How long a sync with a seed may take when this gateway starts; 2 s.
+    /// Timeout of a sync with a seed at the start of this gateway. Default 2 s.
     pub sync_timeout: Duration,
-    /// How long a later sync may take; 500 ms, for most of them try somebody who is dead.
+    /// Timeout of later syncs. Default 500 ms, because most of them try to reach a dead gateway.
     pub background_sync_timeout: Duration,
-    /// A gateway that was declared dead and answered others is not declared dead again by the same
-    /// gateway for this long; 10 s.
+    /// Time for which this gateway does not declare a gateway dead again after an earlier
+    /// declaration was refuted. Default 10 s.
     pub dead_declaration_cooldown: Duration,
-    /// Between two messages to another region; 3 s.
+    /// Interval between reports to another region. Default 3 s.
     pub region_interval: Duration,
-    /// How long another region may take to answer; 1 s.
+    /// Timeout of a call to another region. Default 1 s.
     pub region_timeout: Duration,
-    /// After so many messages all totals are told anew; 12. It heals what was lost on the way.
+    /// Number of messages after which all totals are sent again, which recovers lost updates.
+    /// Default 12.
     pub full_refresh_messages: u32,
-    /// How many follow whom.
+    /// Configuration of subsetting.
     pub subset: SubsetConfig,
 }
 
--- a/crates/backend/src/relay/handler.rs
+++ b/crates/backend/src/relay/handler.rs
@@ -1,4 +1,4 @@
-//! What peers call.
+//! Handler of peer calls.
 
 use {
     super::{
@@ -15,7 +15,7 @@
     std::rc::Rc,
 };
 
-/// Serves the methods `backend.…`.
+/// Serves the peer methods `backend.…`.
 pub(super) struct RelayHandler {
     pub(super) shared: Rc<RelayShared>,
 }
@@ -43,7 +43,9 @@
             "backend.region" => {
                 let delta: RegionDelta = decode(body).map_err(PeerFault::malformed)?;
                 if delta.region == self.shared.local_region() {
-                    return Err(PeerFault::refused("this is a gateway of your own region"));
+                    return Err(PeerFault::refused(
+                        "the caller is in the same region as this gateway",
+                    ));
                 }
                 self.shared.regions.apply(&delta, Origin::Direct);
                 let resend_all = self.shared.regions.note_reporter(&delta.region, &from.vm);
@@ -60,8 +62,8 @@
 }
 
 impl RelayShared {
-    /// Takes in a message of the gateway `from`; false: this run of it was not known here, or was
-    /// taken for dead and has been told nothing since.
+    /// Applies a gossip message of the gateway `from`. Returns false if this run of the sender was
+    /// not known here or was considered dead, in which case it has not been sent any updates.
     fn apply_delta(self: &Rc<Self>, from: &VmName, delta: &GossipDelta) -> bool {
         let origin = match delta.step {
             RelayStep::Row => Origin::Row,
@@ -80,7 +82,7 @@
                 LoadOutcome::Unknown => missing = true,
                 LoadOutcome::Returned(name) => {
                     let change = StatusChange { membership: true, ..StatusChange::default() };
-                    self.note_backend(&name, change, origin);
+                    self.propagate_backend(&name, change, origin);
                 }
             }
         }
@@ -91,28 +93,28 @@
         was_alive
     }
 
-    /// Whether this run of the sender is known here and was not taken for dead.
+    /// Returns whether this run of the sender is known here and is not considered dead.
     fn is_alive(&self, from: &VmName, heartbeat: &GatewayHeartbeat) -> bool {
         let is_this_run = self.members.name_of(heartbeat.id).as_ref() == Some(from);
         is_this_run && self.members.record(from).is_some_and(|r| !r.status.is_expired())
     }
 
-    /// False: this gateway does not know who sent the heartbeat.
+    /// Merges a heartbeat. Returns false if its sender is not known here.
     fn merge_heartbeat(&self, from: &VmName, heartbeat: &GatewayHeartbeat, origin: Origin) -> bool {
         match self.members.merge_heartbeat(heartbeat, origin) {
             HeartbeatOutcome::Known => true,
             HeartbeatOutcome::Unknown => false,
             HeartbeatOutcome::Returned => {
                 if let Some(vm) = self.members.name_of(heartbeat.id) {
-                    self.note_gateway(&vm, if vm == *from { Origin::Direct } else { origin });
+                    self.propagate_gateway(&vm, if vm == *from { Origin::Direct } else { origin });
                 }
                 true
             }
         }
     }
 
-    /// Asks for a sync when `from` has differed for a while: what differs for less may be news on
-    /// its way.
+    /// Requests a sync with `from` if its digest has differed for longer than `divergence_timeout`.
+    /// A shorter difference may be due to updates in transit.
     fn track_divergence(&self, from: &VmName, differs: bool) {
         let mut diverged_since = self.diverged_since.borrow_mut();
         if !differs {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Answers a peer that found a difference or has just started.
+    /// Replies to a peer that has detected a difference or has just started.
     fn answer_sync(self: &Rc<Self>, request: &SyncRequest) -> SyncReply {
         let requester = &request.from.record;
         if requester.profile.region != self.local_region() {
--- a/crates/backend/src/relay/housekeeping.rs
+++ b/crates/backend/src/relay/housekeeping.rs
@@ -1,4 +1,4 @@
-//! The task that watches leases and plans.
+//! Background task that checks leases, subsets and peer tasks.
 
 use {
     super::{anti_entropy, region_reporter, shared::RelayShared},
@@ -7,19 +7,19 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// A check that comes so late means that the process stood still: by then a member of the row may
-/// have found two calls unanswered.
+/// Delay of a check beyond which the process is assumed to have stalled. By then, a gateway of the
+/// same row may have had two calls unanswered and declared this gateway dead.
 const STALL_LIMIT: Duration = Duration::from_millis(700);
 
-/// Runs as long as the process.
+/// Joins the region and then runs the checks for the lifetime of the process.
 pub(super) async fn run(shared: Rc<RelayShared>) {
     anti_entropy::join(&shared).await;
     let heal = anti_entropy::run(shared.clone());
     shared.dependencies.context.spawner.spawn(Box::pin(heal));
     loop {
-        let begun = shared.now();
+        let started = shared.now();
         shared.dependencies.context.clock.sleep(shared.config.check_interval).await;
-        if shared.now().since(begun) >= shared.config.check_interval + STALL_LIMIT {
+        if shared.now().since(started) >= shared.config.check_interval + STALL_LIMIT {
             shared.dependencies.events.emit(EventDraft::new("gateway.stalled").level(Level::Warn));
             anti_entropy::catch_up_after_stall(&shared).await;
         }
@@ -33,7 +33,7 @@
 fn check_leases(shared: &RelayShared) {
     for name in shared.table.expire_silent() {
         let change = StatusChange { membership: true, ..StatusChange::default() };
-        shared.note_backend(&name, change, Origin::Direct);
+        shared.propagate_backend(&name, change, Origin::Direct);
     }
     shared.table.sweep();
     shared.members.sweep();
--- a/crates/backend/src/relay/peer_task.rs
+++ b/crates/backend/src/relay/peer_task.rs
@@ -1,4 +1,4 @@
-//! The task that tells one peer what it has to know.
+//! Task that sends updates to one peer.
 
 use {
     super::{
@@ -17,14 +17,14 @@
     std::{collections::HashSet, rc::Rc, time::Duration},
 };
 
-/// The pause after a failed call.
+/// Delay before the retry of a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A peer that fails to answer so often in a row is declared dead, unless its own row still
-/// vouches for it.
+/// Number of consecutive failed calls after which a peer is declared dead, unless its own row still
+/// receives its heartbeats.
 const FAILURE_LIMIT: u32 = 2;
 
-/// Up to where a peer has been told.
+/// Position up to which a peer has received the updates.
 #[derive(Clone, Copy)]
 struct PeerCursor {
     log: u64,
@@ -33,7 +33,7 @@
     regions: u64,
 }
 
-/// What a speaker of the region has been told of this row.
+/// Totals of this row last sent to a region reporter.
 #[derive(Default)]
 struct SentRowTotals {
     totals: TotalsMap,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Tells `vm` until it is dead.
+/// Sends updates to `vm` until it is dead.
 pub(super) async fn run(shared: Rc<RelayShared>, vm: VmName) {
     let mut cursor =
         PeerCursor { log: delivered_position(&shared, &vm), loads: 0, heartbeats: 0, regions: 0 };
@@ -63,7 +63,7 @@
     while let Some(scope) = wait_until_due(&shared, &vm, &cursor, failures).await {
         let next = current_cursor(&shared);
         let mut delta = make_delta(&shared, &vm, scope, &cursor);
-        if scope == PeerScope::Across && shared.is_reporter(&vm) {
+        if scope == PeerScope::RelayTarget && shared.is_reporter(&vm) {
             delta.row_totals = sent_totals.delta(&shared, &vm);
         }
         match send(&shared, &vm, &delta).await {
@@ -76,7 +76,7 @@
             Err(_) => {
                 sent_totals.totals.clear();
                 failures += 1;
-                let is_heard_by_row = scope != PeerScope::Row && !shared.members.is_silent(&vm);
+                let is_heard_by_row = scope != PeerScope::RowPeer && !shared.members.is_silent(&vm);
                 if failures >= FAILURE_LIMIT && !is_heard_by_row {
                     shared.declare_dead(&vm);
                 }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Waits until it is time to tell `vm` something; `None`: it is dead.
+/// Waits until the next message to `vm` is due. Returns `None` if `vm` is dead.
 async fn wait_until_due(
     shared: &RelayShared,
     vm: &VmName,
@@ -114,50 +114,51 @@
             return shared.scope_of(vm);
         }
     }
-    let mut tick = clock.sleep(send_interval(shared, vm, shared.scope_of(vm)?));
+    let mut timer = clock.sleep(send_interval(shared, vm, shared.scope_of(vm)?));
     loop {
         let update = shared.updates.notified();
         let scope = shared.scope_of(vm)?;
         if has_urgent_change(shared, scope, cursor) {
             return Some(scope);
         }
-        match select(tick, update).await {
+        match select(timer, update).await {
             Either::Left(_) => {
                 let scope = shared.scope_of(vm)?;
-                if scope != PeerScope::Urgent || shared.members.is_silent(vm) {
+                if scope != PeerScope::UrgentOnly || shared.members.is_silent(vm) {
                     return Some(scope);
                 }
-                tick = clock.sleep(send_interval(shared, vm, scope));
+                timer = clock.sleep(send_interval(shared, vm, scope));
             }
-            Either::Right((_, unfinished)) => tick = unfinished,
+            Either::Right((_, unfinished)) => timer = unfinished,
         }
     }
 }
 
-/// The tick of a duty, shortened at random by up to a tenth, so that the region's messages do not
-/// fall into step.
+/// Returns the send interval for a peer, shortened at random by up to 10 %, so that the messages of
+/// a region do not synchronize.
 fn send_interval(shared: &RelayShared, vm: &VmName, scope: PeerScope) -> Duration {
-    let tick = match scope {
-        PeerScope::Row if shared.plan().watched.contains(vm) => shared.config.watch_interval,
+    let interval = match scope {
+        PeerScope::RowPeer if shared.plan().watched.contains(vm) => shared.config.watch_interval,
         _ => shared.table.interval_scale().scale(shared.config.relay_interval),
     };
-    tick.mul_f64(1.0 - 0.1 * shared.dependencies.context.random.unit())
+    interval.mul_f64(1.0 - 0.1 * shared.dependencies.context.random.unit())
 }
 
 fn has_urgent_change(shared: &RelayShared, scope: PeerScope, cursor: &PeerCursor) -> bool {
     shared.log.since(cursor.log).iter().any(|change| change.urgent && is_in_scope(scope, change))
 }
 
-/// Whether a peer of `scope` is to be told `change` by this gateway. What is urgent goes to every
-/// peer of the plan, whoever told it: a gateway that dies in the middle of telling would otherwise
-/// leave out those whom only it was to tell, and they would send work to a backend server that
-/// has left.
+/// Returns whether this gateway sends `change` to a peer of `scope`.
+///
+/// Urgent changes are sent to every peer of the plan regardless of their origin. Otherwise, a
+/// gateway that fails while sending would leave out the peers that only it was to notify, and they
+/// would continue to dispatch requests to a backend server that has left.
 fn is_in_scope(scope: PeerScope, change: &LoggedChange) -> bool {
     match (change.origin, scope) {
-        (Origin::Direct, PeerScope::Urgent) => change.urgent,
-        (_, PeerScope::Urgent) => false,
+        (Origin::Direct, PeerScope::UrgentOnly) => change.urgent,
+        (_, PeerScope::UrgentOnly) => false,
         _ if change.urgent => true,
-        (Origin::Direct, _) | (Origin::Row, PeerScope::Across) => true,
+        (Origin::Direct, _) | (Origin::Row, PeerScope::RelayTarget) => true,
         (Origin::Row | Origin::OtherRow | Origin::Sync, _) => false,
     }
 }
@@ -169,7 +170,7 @@
     cursor: &PeerCursor,
 ) -> GossipDelta {
     let mut delta = GossipDelta {
-        step: if scope == PeerScope::Row { RelayStep::Row } else { RelayStep::Across },
+        step: if scope == PeerScope::RowPeer { RelayStep::Row } else { RelayStep::Across },
         heartbeat: shared.members.next_heartbeat(),
         digest: shared.digest(),
         backends: Vec::new(),
@@ -181,18 +182,18 @@
     };
     add_changes(shared, scope, cursor, &mut delta);
     match scope {
-        PeerScope::Row => {
+        PeerScope::RowPeer => {
             delta.loads = shared.table.loads_after(cursor.loads, &[Origin::Direct], None);
             delta.regions = shared.regions.deltas_after(cursor.regions, &[Origin::Direct]);
         }
-        PeerScope::Across => {
+        PeerScope::RelayTarget => {
             let followed = shared.subset().followed_by(vm);
             let origins = [Origin::Direct, Origin::Row];
             delta.loads = shared.table.loads_after(cursor.loads, &origins, Some(&followed));
             delta.regions = shared.regions.deltas_after(cursor.regions, &origins);
             delta.row_heartbeats = shared.members.row_heartbeats_after(cursor.heartbeats);
         }
-        PeerScope::Urgent => {}
+        PeerScope::UrgentOnly => {}
     }
     delta
 }
@@ -219,8 +220,8 @@
     let Some(record) = shared.members.record(vm) else { return Ok(()) };
     let body = Bytes::from(encode(delta));
     let to = record.profile.peer_address;
-    let limit = shared.config.call_timeout;
-    let answer = shared.dependencies.transport.call(to, "backend.delta", body, limit).await?;
+    let timeout = shared.config.call_timeout;
+    let answer = shared.dependencies.transport.call(to, "backend.delta", body, timeout).await?;
     if decode(&answer).is_ok_and(|reply: DeltaReply| !reply.known) {
         anti_entropy::catch_up(shared, to).await;
     }
--- a/crates/backend/src/relay/region_reporter.rs
+++ b/crates/backend/src/relay/region_reporter.rs
@@ -1,8 +1,9 @@
-//! Speaking for the region: one task for each other region that this gateway tells of its own.
+//! Region reports: one task for each other region to which this gateway reports.
 //!
-//! The gateways, 20 at most, chosen by rendezvous hash, are speakers, and the regions are dealt out
-//! to them evenly, so that no gateway carries much of it. They are also the ones that other regions
-//! turn to. When a speaker dies, the next in rank takes over its regions and tells them all.
+//! Up to 20 gateways, chosen by rendezvous hash, are reporters, and the other regions are
+//! distributed evenly among them, which bounds the load of each gateway. They are also the contacts
+//! of the region for other regions. When a reporter fails, the next one in rank takes over its
+//! regions and sends them full reports.
 
 use {
     super::shared::RelayShared,
@@ -19,21 +20,21 @@
     std::{cmp::Reverse, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// The most speakers; the design size has 19 other regions.
+/// Maximum number of reporters. The design size has 19 other regions.
 const REPORTER_LIMIT: usize = 20;
 
-/// The key that chooses speakers.
+/// Rendezvous key for the choice of reporters.
 const REPORTER_KEY: &str = "speaker";
 
-/// The answer to what a speaker tells.
+/// Reply to a region report.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct ReportReply {
-    /// Another gateway spoke for the region meanwhile: the next message must tell everything.
+    /// Another gateway has reported for the region in the meantime. The next report must be full.
     #[serde(rename = "again")]
     pub(super) resend_all: bool,
 }
 
-/// What another region has been told.
+/// State last sent to another region.
 #[derive(Default)]
 struct SentReport {
     totals: TotalsMap,
@@ -42,7 +43,7 @@
     delay: Duration,
 }
 
-/// Starts a task for every region that this gateway speaks to and that has none.
+/// Starts a task for every region to which this gateway reports and that has none.
 pub(super) fn ensure_tasks(shared: &Rc<RelayShared>) {
     for region in shared.regions.names() {
         if !shared.reports_to(&region)
@@ -55,27 +56,27 @@
     }
 }
 
-/// Tells `region` of the own one for as long as this gateway is the one to do so.
+/// Reports to `region` for as long as this gateway is its reporter.
 async fn run(shared: Rc<RelayShared>, region: RegionName) {
     let mut sent = SentReport::default();
     while shared.reports_to(&region) {
         if let Some(address) = shared.report_receiver(&region) {
             send_report(&shared, address, &mut sent).await;
         }
-        let tick = shared.config.region_interval;
+        let interval = shared.config.region_interval;
         let jitter = 1.0 - 0.1 * shared.dependencies.context.random.unit();
-        shared.dependencies.context.clock.sleep(tick.mul_f64(jitter)).await;
+        shared.dependencies.context.clock.sleep(interval.mul_f64(jitter)).await;
     }
     shared.reported_regions.borrow_mut().remove(&region);
 }
 
 async fn send_report(shared: &RelayShared, to: SocketAddr, sent: &mut SentReport) {
     let body = Bytes::from(encode(&sent.delta(shared)));
-    let begun = shared.now();
-    let limit = shared.config.region_timeout;
-    match shared.dependencies.transport.call(to, "backend.region", body, limit).await {
+    let started = shared.now();
+    let timeout = shared.config.region_timeout;
+    match shared.dependencies.transport.call(to, "backend.region", body, timeout).await {
         Ok(reply) => {
-            let delay = shared.now().since(begun) / 2;
+            let delay = shared.now().since(started) / 2;
             if decode::<ReportReply>(&reply).is_ok_and(|reply| reply.resend_all) {
                 *sent = SentReport::default();
             }
@@ -108,7 +109,7 @@
 }
 
 impl RelayShared {
-    /// The gateways that speak for the region.
+    /// Returns the gateways that report for this region.
     fn reporters(&self) -> Vec<VmName> {
         let members = self.members.preferred();
         ranked(REPORTER_KEY, &members).into_iter().take(REPORTER_LIMIT).cloned().collect()
@@ -127,7 +128,7 @@
         })
     }
 
-    /// The gateway of `region` that hears of the own region.
+    /// Returns the gateway of `region` that receives the reports of this region.
     fn report_receiver(&self, region: &RegionName) -> Option<SocketAddr> {
         let local = self.local_region();
         let mut others: Vec<String> = self.regions.names().into_iter().map(String::from).collect();
@@ -145,13 +146,13 @@
         found.map(|(_, contact)| contact.peer_address)
     }
 
-    /// Whom other regions may turn to.
+    /// Returns the contacts of this region for other regions.
     pub(super) fn local_contacts(&self) -> Vec<GatewayContact> {
         let records = self.reporters().into_iter().filter_map(|vm| self.members.record(&vm));
         records.map(|record| record.contact()).collect()
     }
 
-    /// What the region offers to others.
+    /// Returns the totals of this region that are offered to other regions.
     fn region_totals(&self) -> TotalsMap {
         let mut sum = self.table.totals(&[Origin::Direct, Origin::Row]);
         add_totals(&mut sum, &self.row_totals.sum(&self.plan()));
@@ -159,7 +160,8 @@
         sum
     }
 
-    /// The gateways of `region` to turn to, in an order of this gateway's own.
+    /// Returns the contacts of `region` in an order specific to this gateway, recently failed ones
+    /// last.
     pub(super) fn ordered_contacts(&self, region: &RegionName) -> Vec<GatewayContact> {
         let local = self.members.local_vm().as_str();
         let mut contacts = self.regions.contacts(region);
@@ -168,7 +170,7 @@
         contacts
     }
 
-    /// Whom to turn to in each region, for a gateway of another region that knows nobody.
+    /// Returns the contacts of every known region, for a gateway of another region that knows none.
     pub(super) fn known_contacts(&self) -> Vec<RegionDelta> {
         let delta = |region: RegionName, contacts: Vec<GatewayContact>| RegionDelta {
             region,
@@ -185,14 +187,15 @@
         others.chain([delta(self.local_region(), self.local_contacts())]).collect()
     }
 
-    /// Takes note of gateways that a gateway of another region named. Those of the own region are
-    /// worth a try: when all that the settings name are down, this is the only way to find them.
+    /// Stores contacts returned by a gateway of another region. Contacts in this region are kept as
+    /// hints: if all seeds are down, they are the only way to find the gateways of this region.
     pub(super) fn add_contacts(self: &Rc<Self>, regions: &[RegionDelta]) {
         let local = self.local_region();
         for delta in regions {
             let contacts = delta.contacts.clone().unwrap_or_default();
             if delta.region == local {
-                *self.peer_hints.borrow_mut() = contacts.iter().map(|c| c.peer_address).collect();
+                *self.address_hints.borrow_mut() =
+                    contacts.iter().map(|c| c.peer_address).collect();
             } else {
                 self.regions.add_contacts(&delta.region, contacts);
             }
@@ -200,7 +203,7 @@
         ensure_tasks(self);
     }
 
-    /// Whether the region of this seed is heard of anyway.
+    /// Returns whether `seed` belongs to another region that is reachable.
     pub(super) fn is_seed_region_reachable(&self, seed: &SocketAddr) -> bool {
         let remote_seeds = self.remote_seeds.borrow();
         remote_seeds.get(seed).is_some_and(|region| self.regions.is_reachable(region))
--- a/crates/backend/src/relay/shared.rs
+++ b/crates/backend/src/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one relay share.
+//! State shared by the tasks of a relay.
 
 use {
     super::{LocalGateway, RelayConfig, RelayDependencies, peer_task},
@@ -23,15 +23,15 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// What this gateway owes a peer.
+/// Set of updates that this gateway sends to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerScope {
-    /// A member of the own row.
-    Row,
-    /// A gateway of another row that this one relays to.
-    Across,
-    /// Another gateway of the region: only what is urgent.
-    Urgent,
+    /// The peer is in the same row.
+    RowPeer,
+    /// The peer is in another row, and this gateway is the relay to it.
+    RelayTarget,
+    /// Any other gateway of the region, which is sent urgent changes only.
+    UrgentOnly,
 }
 
 pub(super) struct RelayShared {
@@ -42,27 +42,27 @@
     pub(super) regions: RegionTable,
     pub(super) row_totals: RowTotals,
     pub(super) log: ChangeLog,
-    /// Rings when something is to be told or the plan changed.
+    /// Notified when there are updates to send or the plan has changed.
     pub(super) updates: Notifier,
-    /// Rings when a peer has taken a message.
+    /// Notified when a peer has acknowledged a message or its task has ended.
     pub(super) progress: Notifier,
     pub(super) joined: Cell<bool>,
-    /// The log position up to which each peer with a task has been told.
+    /// Log position up to which each peer with a task has acknowledged the changes.
     pub(super) delivered: RefCell<BTreeMap<VmName, u64>>,
-    /// When this gateway may declare a peer dead again.
+    /// Time from which this gateway may declare a peer dead again.
     next_declaration: RefCell<HashMap<VmName, MonotonicTime>>,
     plan: RefCell<(u64, Rc<RelayPlan>)>,
     subset: RefCell<((u64, u64), Rc<SubsetPlan>)>,
     digest: Cell<((u64, u64), [u8; 4])>,
-    /// Since when the digests of peers differ from the own one.
+    /// Time since which the digest of a peer differs from that of this gateway.
     pub(super) diverged_since: RefCell<HashMap<VmName, MonotonicTime>>,
-    /// A peer to sync with.
+    /// Peer with which a sync is due.
     pub(super) sync_peer: RefCell<Option<VmName>>,
-    /// The regions of the seeds that stand in others.
+    /// Regions of the seeds that are in other regions.
     pub(super) remote_seeds: RefCell<HashMap<SocketAddr, RegionName>>,
-    /// Addresses at which other regions know gateways of this one.
-    pub(super) peer_hints: RefCell<BTreeSet<SocketAddr>>,
-    /// The regions that a task of this gateway speaks to.
+    /// Addresses of gateways of this region that other regions have returned.
+    pub(super) address_hints: RefCell<BTreeSet<SocketAddr>>,
+    /// Regions to which a task of this gateway reports.
     pub(super) reported_regions: RefCell<BTreeSet<RegionName>>,
 }
 
@@ -100,7 +100,7 @@
             diverged_since: RefCell::default(),
             sync_peer: RefCell::default(),
             remote_seeds: RefCell::default(),
-            peer_hints: RefCell::default(),
+            address_hints: RefCell::default(),
             reported_regions: RefCell::default(),
         }
     }
@@ -109,7 +109,7 @@
         self.dependencies.context.clock.now()
     }
 
-    /// The plan for the gateways alive now.
+    /// Returns the plan for the currently live gateways.
     pub(super) fn plan(&self) -> Rc<RelayPlan> {
         let generation = self.members.generation();
         if self.plan.borrow().0 != generation {
@@ -121,7 +121,7 @@
         self.plan.borrow().1.clone()
     }
 
-    /// The subsets for the gateways and backend servers alive now.
+    /// Returns the subsets for the currently live gateways and backend servers.
     pub(super) fn subset(&self) -> Rc<SubsetPlan> {
         let generations = (self.members.generation(), self.table.generation());
         if self.subset.borrow().0 != generations {
@@ -133,17 +133,17 @@
         self.subset.borrow().1.clone()
     }
 
-    /// What this gateway owes `vm`; `None`: it is dead, or this gateway itself.
+    /// Returns the scope of updates for `vm`, or `None` if it is dead or this gateway itself.
     pub(super) fn scope_of(&self, vm: &VmName) -> Option<PeerScope> {
         let plan = self.plan();
         if plan.row_peers.contains(vm) {
-            return Some(PeerScope::Row);
+            return Some(PeerScope::RowPeer);
         }
         if plan.relay_targets.contains(vm) {
-            return Some(PeerScope::Across);
+            return Some(PeerScope::RelayTarget);
         }
         let alive = self.members.record(vm).is_some_and(|r| !r.status.is_expired());
-        (alive && vm != self.members.local_vm()).then_some(PeerScope::Urgent)
+        (alive && vm != self.members.local_vm()).then_some(PeerScope::UrgentOnly)
     }
 
     /// Starts a task for every live peer that has none.
@@ -158,7 +158,8 @@
         }
     }
 
-    /// The hash of everything that should be equal on all gateways of the region.
+    /// Returns the digest of the membership state that should be equal on all gateways of the
+    /// region.
     pub(super) fn digest(&self) -> [u8; 4] {
         let generations = (self.members.generation(), self.table.generation());
         let (known, digest) = self.digest.get();
@@ -171,18 +172,18 @@
         hash.to_le_bytes()
     }
 
-    /// Follows up an announcement that this gateway heard itself.
-    pub(super) fn note_announcement(&self, announcement: &Announcement, change: StatusChange) {
+    /// Propagates the effect of an announcement received by this gateway.
+    pub(super) fn propagate_announcement(&self, announcement: &Announcement, change: StatusChange) {
         if change.superseded {
             self.emit_backend("backend.superseded", &announcement.name);
         }
-        self.note_backend(&announcement.name, change, Origin::Direct);
+        self.propagate_backend(&announcement.name, change, Origin::Direct);
     }
 
-    /// Takes in a backend server's record that a peer told.
+    /// Merges the record of a backend server received from a peer.
     pub(super) fn merge_backend(&self, aged: &AgedRecord<BackendRecord>, origin: Origin) {
         match self.table.merge_record(aged, origin) {
-            Ok(change) => self.note_backend(&aged.record.name, change, origin),
+            Ok(change) => self.propagate_backend(&aged.record.name, change, origin),
             Err(error) => {
                 let event = EventDraft::new("backend.refused").field("backend", &aged.record.name);
                 self.dependencies.events.emit(event.error("reason", &error));
@@ -190,8 +191,13 @@
         }
     }
 
-    /// Tells on what changed about `name`.
-    pub(super) fn note_backend(&self, name: &BackendName, change: StatusChange, origin: Origin) {
+    /// Logs a change of the backend server `name` and queues it for propagation.
+    pub(super) fn propagate_backend(
+        &self,
+        name: &BackendName,
+        change: StatusChange,
+        origin: Origin,
+    ) {
         let origin = if change.refuted { Origin::Direct } else { origin };
         if !change.membership && !change.refuted {
             return;
@@ -208,7 +214,7 @@
         self.dependencies.events.emit(event.optional("incarnation", incarnation));
     }
 
-    /// Takes in a gateway's record that a peer told.
+    /// Merges the record of a gateway received from a peer.
     pub(super) fn merge_gateway(&self, aged: &AgedRecord<GatewayRecord>, origin: Origin) {
         let vm = &aged.record.vm;
         if aged.record.profile.region != self.local_region() {
@@ -216,26 +222,27 @@
         }
         if vm == self.members.local_vm() {
             if self.members.refute_stale_copy(&aged.record) {
-                self.note_gateway(vm, Origin::Direct);
+                self.propagate_gateway(vm, Origin::Direct);
             }
             return;
         }
         if self.members.merge_record(aged, origin).membership {
-            self.note_gateway(vm, origin);
+            self.propagate_gateway(vm, origin);
         }
     }
 
     pub(super) fn local_region(&self) -> RegionName {
         let local = self.members.record(self.members.local_vm());
-        local.expect("the own row is made first and never removed").profile.region
+        local.expect("the entry of this gateway is created first and never removed").profile.region
     }
 
-    /// Tells on what changed about the gateway `vm`.
-    pub(super) fn note_gateway(&self, vm: &VmName, origin: Origin) {
+    /// Logs a change of the gateway `vm` and queues it for propagation.
+    pub(super) fn propagate_gateway(&self, vm: &VmName, origin: Origin) {
         let Some(record) = self.members.record(vm) else { return };
         let event = EventDraft::new(gateway_event(&record)).field("gateway", vm);
         self.dependencies.events.emit(event.field("incarnation", record.status.incarnation));
-        // Plans follow from who is alive: all must change theirs at the same time.
+        // Plans depend on the set of live gateways, so all gateways must update theirs at the same
+        // time.
         let urgent = true;
         self.push(LoggedChange { key: ChangedKey::Gateway(vm.clone()), origin, urgent });
     }
@@ -245,8 +252,8 @@
         self.updates.notify_all();
     }
 
-    /// A member of the own row failed to answer twice: declares it dead, unless it was found alive
-    /// after the last time.
+    /// Declares `vm` dead after failed calls and propagates it, unless it was found alive after a
+    /// recent declaration.
     pub(super) fn declare_dead(&self, vm: &VmName) {
         let now = self.now();
         let allowed = self.next_declaration.borrow().get(vm).is_none_or(|until| now >= *until);
@@ -256,21 +263,22 @@
         self.next_declaration
             .borrow_mut()
             .insert(vm.clone(), now + self.config.dead_declaration_cooldown);
-        self.note_gateway(vm, Origin::Direct);
+        self.propagate_gateway(vm, Origin::Direct);
     }
 
-    /// The own gateway drains.
+    /// Marks this gateway as draining and propagates it.
     pub(super) fn drain(&self) {
         self.members.drain();
-        self.note_gateway(&self.members.local_vm().clone(), Origin::Direct);
+        self.propagate_gateway(&self.members.local_vm().clone(), Origin::Direct);
     }
 
-    /// Completes when every peer has been told all there is now, or after the limit.
+    /// Completes when every peer has acknowledged all changes logged so far, or after
+    /// `urgent_timeout`.
     pub(super) async fn wait_delivered(&self) {
         let end = self.log.end();
         let all_delivered = async {
             while self.delivered.borrow().values().any(|delivered| *delivered < end) {
-                // The bell is never dropped before the relay, so this fails never.
+                // The sender cannot be dropped: the notifier lives as long as the relay.
                 let _ = self.progress.notified().await;
             }
         };
--- a/crates/backend/src/status.rs
+++ b/crates/backend/src/status.rs
@@ -1,9 +1,10 @@
-//! What is agreed about one run of a backend server or of a gateway.
+//! Replicated status of one run of a backend server or gateway.
 //!
-//! A status is a join semilattice: [`RunStatus::merge`] is commutative, associative and
-//! idempotent, so all who saw the same announcements agree, whatever the order and however often.
-//! A higher incarnation replaces everything; inside one, `Leaving` is final, and a run that was
-//! declared expired at one sequence is alive again from the next sequence on.
+//! The status is a state-based CRDT (a join semilattice): [`RunStatus::merge`] is commutative,
+//! associative and idempotent, so gateways that received the same announcements converge regardless
+//! of order and repetition. A higher incarnation replaces all state of a lower one. Within an
+//! incarnation, `Leaving` is final, and a run that was declared expired at one sequence number is
+//! live again from the next one on.
 
 use {
     crate::ServingState,
@@ -12,56 +13,56 @@
     std::cmp::Ordering,
 };
 
-/// Incarnation, sequence and whether the run may get work.
+/// Incarnation, sequence number and liveness of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RunStatus {
-    /// The highest incarnation known.
+    /// Highest known incarnation.
     pub incarnation: Incarnation,
-    /// The highest sequence of that incarnation known.
+    /// Highest known sequence number of that incarnation.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Serving state.
     pub state: ServingState,
-    /// The highest sequence after which somebody found it silent for longer than its lease.
+    /// Highest sequence number up to which a gateway has declared the run expired.
     pub expired: Option<u64>,
 }
 
-/// What merging a status did.
+/// Effect of merging a status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StatusChange {
-    /// The other was of a higher incarnation and replaced this one.
+    /// `other` had a higher incarnation and replaced the status.
     pub restarted: bool,
-    /// The other was of a lower incarnation.
+    /// `other` had a lower incarnation and was ignored.
     pub superseded: bool,
-    /// The sequence grew, or the run is another one.
+    /// The sequence number increased, or the incarnation was replaced.
     pub advanced: bool,
-    /// Incarnation, state or expiry is not what it was: everybody should hear.
+    /// The incarnation, state or expiry changed, which must be propagated to all gateways.
     pub membership: bool,
-    /// The other says that the run is over, and this side knows of later announcements.
+    /// `other` declares the run expired, but this side has later announcements.
     pub refuted: bool,
 }
 
 impl RunStatus {
-    /// A run that announced `sequence`.
+    /// Creates the status of a run that announced `sequence`.
     pub fn new(incarnation: Incarnation, sequence: u64, state: ServingState) -> Self {
         Self { incarnation, sequence, state, expired: None }
     }
 
-    /// Whether it was declared expired and nothing was heard since.
+    /// Returns whether the run was declared expired and no later announcement is known.
     pub fn is_expired(&self) -> bool {
         self.expired.is_some_and(|expired| self.sequence <= expired)
     }
 
-    /// Whether it may get new work, as far as is agreed.
+    /// Returns whether the run is serving and not expired.
     pub fn is_live(&self) -> bool {
         self.state == ServingState::Serving && !self.is_expired()
     }
 
-    /// Declares it expired at the sequence known and `margin` more.
+    /// Declares the run expired up to `margin` sequence numbers beyond the latest known one.
     pub fn expire(&mut self, margin: u64) {
         self.expired = Some(self.sequence.saturating_add(margin));
     }
 
-    /// Takes in what `other` knows beyond this one.
+    /// Merges `other` into this status.
     pub fn merge(&mut self, other: &RunStatus) -> StatusChange {
         match other.incarnation.cmp(&self.incarnation) {
             Ordering::Less => StatusChange { superseded: true, ..StatusChange::default() },
--- a/crates/backend/src/subset.rs
+++ b/crates/backend/src/subset.rs
@@ -1,10 +1,11 @@
-//! Which engines of its region a gateway follows in detail.
+//! Deterministic subsetting: selects the engines of a region that each gateway follows in detail.
 //!
-//! Every engine is followed by the gateways that rank highest for it (rendezvous hash), so none is
-//! forgotten, however many share its model; and every gateway follows a few engines of each model
-//! and service, spread over failure domains, so that it has a choice for each. A gateway or an
-//! engine that comes or goes changes only its own share of this. Up to
-//! [`SubsetConfig::followers`] gateways, everyone follows everything.
+//! Every engine is followed by the gateways that rank highest for it by rendezvous hash, so no
+//! engine is left out, however many engines share its model. In addition, every gateway follows a
+//! few engines of each model and service, spread over failure domains, so that it has a choice for
+//! each of them. A gateway or engine that joins or leaves affects only its own share of the
+//! assignment. In regions of up to [`SubsetConfig::followers`] gateways, every gateway follows
+//! every engine.
 
 use {
     gullglade_units::{
@@ -17,12 +18,12 @@
     },
 };
 
-/// How many follow whom. Start from [`SubsetConfig::default`].
+/// Configuration of subsetting, based on [`SubsetConfig::default`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetConfig {
-    /// Gateways that follow each engine; 8.
+    /// Number of gateways that follow each engine. Default 8.
     pub followers: usize,
-    /// Engines of each model or service that each gateway follows, at least; 6.
+    /// Minimum number of engines of each model or service that a gateway follows. Default 6.
     pub choices: usize,
 }
 
@@ -32,18 +33,19 @@
     }
 }
 
-/// One engine or plain service as far as the choice of a subset goes.
+/// Properties of an engine or plain service that determine the subsets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetMember {
-    /// Its name.
+    /// Name of the backend server.
     pub name: BackendName,
-    /// Its failure domain.
+    /// Failure domain of the backend server.
     pub domain: FailureDomain,
-    /// The models and services that it serves, under names that tell the two apart.
+    /// Models and services that it serves, prefixed so that a model and a service of the same name
+    /// differ.
     pub targets: Vec<String>,
 }
 
-/// The choice for one set of gateways and engines.
+/// Subsets for one set of gateways and engines.
 #[derive(Clone, Debug, Default)]
 pub struct SubsetPlan {
     followers: BTreeMap<VmName, BTreeSet<BackendName>>,
@@ -53,7 +55,7 @@
 }
 
 impl SubsetPlan {
-    /// The choice for these gateways and engines.
+    /// Computes the subsets for these gateways and engines.
     pub fn new(
         gateways: &BTreeSet<VmName>,
         engines: &[SubsetMember],
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The engines that `gateway` follows.
+    /// Returns the engines that `gateway` follows.
     pub fn followed_by(&self, gateway: &VmName) -> BTreeSet<BackendName> {
         if let Some(all_backends) = &self.all_backends {
             return all_backends.clone();
@@ -96,7 +98,8 @@
     }
 }
 
-/// The `count` engines that rank highest for `gateway` when failure domains take turns.
+/// Returns the `count` engines that rank highest for `gateway`, selected round-robin over failure
+/// domains.
 fn select_across_domains<'a>(
     gateway: &VmName,
     engines: &'a [SubsetMember],
--- a/crates/backend/src/summary.rs
+++ b/crates/backend/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a region, or a row of its gateways, says of its backend servers in sum.
+//! Aggregated capacity and load of the backend servers of a region or of a row of gateways.
 
 use {
     crate::{BackendKind, BackendRecord, BackendTarget},
@@ -8,19 +8,21 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// The unit of prompt tokens in messages.
+/// Unit of prompt tokens in messages.
 const TOKEN_UNIT: u64 = 64;
 
-/// Free slots that differ by less than this share of all slots are not told.
+/// Changes of the free slots up to this fraction (1/n) of all slots are not sent, unless the number
+/// becomes zero or non-zero.
 const MIN_SLOT_CHANGE_DIVISOR: u32 = 10;
 
-/// A queue of prompt tokens that differs by less than this many seconds of reading is not told.
+/// Changes of the prefill queue up to this time, in seconds of prefill throughput, are not sent.
 const MIN_PREFILL_CHANGE_SECONDS: f64 = 0.25;
 
-/// A region states its free slots less this share of all slots, which it keeps for its own callers.
+/// Fraction (1/n) of all slots that a region reserves for its own callers and does not offer to
+/// other regions.
 const RESERVE_DIVISOR: u32 = 10;
 
-/// Names a model or a plain service in four bytes.
+/// Four-byte identifier of a model or plain service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetId([u8; 4]);
 
@@ -35,22 +37,21 @@
     }
 }
 
-/// The backend servers of one target, summed up.
+/// Aggregated capacity and load of the backend servers of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetTotals {
-    /// Backend servers.
+    /// Number of backend servers.
     pub engines: u32,
-    /// Requests that they work on at the same time.
+    /// Total number of slots.
     pub slots: u32,
-    /// Slots that are free.
+    /// Free slots.
     pub free_slots: u32,
-    /// Prompt tokens not read yet.
+    /// Prompt tokens queued for prefill.
     pub prefill_tokens: u64,
-    /// Prompt tokens read a second.
+    /// Prefill throughput, in prompt tokens per second.
     pub prefill_rate: u64,
 }
 
-/// Totals by target.
 pub(crate) type TotalsMap = BTreeMap<TargetId, TargetTotals>;
 
 impl TargetTotals {
@@ -62,7 +63,7 @@
         self.prefill_rate = self.prefill_rate.saturating_add(other.prefill_rate);
     }
 
-    /// Less what the region keeps for its own callers.
+    /// Subtracts the reserve for the region's own callers from the free slots.
     pub(crate) fn without_reserve(mut self) -> Self {
         self.free_slots = self.free_slots.saturating_sub(self.slots / RESERVE_DIVISOR);
         self
@@ -73,7 +74,7 @@
         capacity(self) == capacity(other)
     }
 
-    /// Whether somebody who was told `sent` would decide differently by this.
+    /// Returns whether the difference from `sent` is large enough to affect routing decisions.
     fn differs_materially(&self, sent: &TargetTotals) -> bool {
         let emptied = (self.free_slots == 0) != (sent.free_slots == 0);
         let freed =
@@ -111,7 +112,7 @@
     }
 }
 
-/// The totals of one target as they are sent when its capacity is new to the receiver.
+/// Capacity and load of one target, sent if its capacity is new to the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FullTotals {
     target: TargetId,
@@ -122,7 +123,7 @@
     rate: u32,
 }
 
-/// The totals of one target whose capacity the receiver knows.
+/// Load of one target whose capacity the receiver knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadTotals {
     target: TargetId,
@@ -130,13 +131,13 @@
     prefill: u32,
 }
 
-/// The difference between two `TotalsMap`s, as far as it matters.
+/// Difference between two `TotalsMap`s, without insignificant changes of load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TotalsDelta {
-    /// All targets are told; others are gone.
+    /// The delta lists all targets. The receiver drops any others.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// Targets whose capacity changed; zero engines: the target is gone.
+    /// Targets whose capacity changed. A target with zero engines is removed.
     #[serde(rename = "rows")]
     pub full_totals: Vec<FullTotals>,
     /// Targets of which only the load changed.
@@ -145,7 +146,8 @@
 }
 
 impl TotalsDelta {
-    /// What somebody who was told `sent` has to hear of `current`; enters it in `sent`.
+    /// Computes the delta from `sent`, the totals last sent, to `current`, and updates `sent`
+    /// accordingly.
     pub(crate) fn between(sent: &mut TotalsMap, current: &TotalsMap) -> Self {
         let mut delta = Self { is_full: sent.is_empty(), ..Self::default() };
         for (target, totals) in current {
@@ -165,7 +167,7 @@
         delta
     }
 
-    /// Adds one target: whole, or its load alone.
+    /// Adds one target, with its capacity if `is_full` is true, otherwise with its load alone.
     pub(crate) fn push(&mut self, target: TargetId, totals: &TargetTotals, is_full: bool) {
         if is_full {
             self.full_totals.push(full_totals(target, totals));
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Enters this in `known`; returns the targets told of and whether whole.
+    /// Applies the delta to `known`. Returns the affected targets, each with a flag that is true if
+    /// its capacity was included.
     pub(crate) fn apply(&self, known: &mut TotalsMap) -> Vec<(TargetId, bool)> {
         let mut sent = Vec::with_capacity(self.full_totals.len() + self.load_totals.len());
         if self.is_full {
@@ -232,31 +235,31 @@
     }
 }
 
-/// What one region offers for one target, as this gateway knows it.
+/// Capacity and load of another region for one target, as known to this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionSummary {
-    /// The region.
+    /// Name of the region.
     pub region: RegionName,
-    /// Whether it was heard of lately.
+    /// Whether an update about the region was received recently.
     pub is_reachable: bool,
-    /// One-way delay between gateways, as last measured; zero: not yet.
+    /// Last measured one-way delay between gateways of the two regions. Zero if not yet measured.
     pub delay: Duration,
-    /// Its backend servers; `free_slots` is what it offers to other regions.
+    /// Totals of its backend servers. `free_slots` is the number offered to other regions.
     pub totals: TargetTotals,
-    /// Since it said so.
+    /// Age of the totals.
     pub age: Duration,
-    /// Since it was first heard of, or again after a silence.
+    /// Time since the region became reachable, for the first time or after a loss of contact.
     pub reachable_for: Duration,
 }
 
-/// A gateway of another region to turn to.
+/// Contact data of a gateway, for use by other regions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayContact {
-    /// Its VM.
+    /// VM of the gateway.
     pub vm: gullglade_units::VmName,
-    /// Where other processes of the system reach it.
+    /// Address for connections from other processes of the cluster.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
 }
 
@@ -266,17 +269,17 @@
     }
 }
 
-/// What one region tells another.
+/// Report of one region to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RegionDelta {
-    /// The region that tells.
+    /// Region that the report describes.
     pub region: RegionName,
-    /// How old this is, in units of 50 ms.
+    /// Age of the report, in units of 50 ms.
     pub age: u8,
-    /// One-way delay to it, in milliseconds.
+    /// One-way delay to the region, in milliseconds.
     pub delay_millis: u16,
-    /// What changed.
+    /// Changes of the totals.
     pub totals: TotalsDelta,
-    /// The gateways to turn to, where they changed.
+    /// Gateways that other regions may contact, if changed.
     pub contacts: Option<Vec<GatewayContact>>,
 }
--- a/crates/backend/src/table.rs
+++ b/crates/backend/src/table.rs
@@ -1,4 +1,4 @@
-//! All backend servers of the region that this gateway knows.
+//! Table of the backend servers of the region.
 
 mod entries;
 pub(crate) mod gossip;
@@ -16,56 +16,56 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// Why an announcement is not taken.
+/// Reason for which an announcement is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum AnnounceRefusal {
-    /// It stands elsewhere.
+    /// The backend server is in another region.
     #[snafu(display(
-        "{name} stands in region {region}, this gateway in {local_region}; announce to a gateway of {region}"
+        "{name} is in region {region}, this gateway in {local_region}; announce to a gateway of \
+         {region}"
     ))]
     WrongRegion {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// Where it says it stands.
+        /// Announced region.
         region: RegionName,
-        /// Where this gateway stands.
+        /// Region of this gateway.
         local_region: RegionName,
     },
-    /// Too many names.
+    /// The table has reached its limit of backend servers.
     #[snafu(display(
-        "{name} is not taken: {limit} backend servers are known already; do programs announce ever \
-         new names? Raise the limit only if the region is that large"
+        "{name} is refused: {limit} backend servers are registered already; check for programs \
+         that announce a new name each time, and raise the limit only if the region is that large"
     ))]
     TableFull {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// The most that are remembered.
+        /// Maximum number of backend servers.
         limit: usize,
     },
-    /// The short id of this run is another's.
+    /// The run identifier collides with that of another backend server.
     #[snafu(display(
-        "{name} is not taken: the short id of this run is that of {other}; restart {name} with a \
-         higher incarnation"
+        "{name} is refused: its run identifier collides with that of {other}; restart {name} with \
+         a higher incarnation"
     ))]
     IdTaken {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// Whose id it is.
+        /// Name of the backend server that holds the identifier.
         other: BackendName,
     },
 }
 
-/// What an announcement did.
+/// Result of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnnounceOutcome {
-    /// The answer for the backend server.
+    /// Reply to the backend server.
     pub reply: AnnounceReply,
-    /// What changed here.
+    /// Effect on the replicated status.
     pub change: StatusChange,
 }
 
-/// The known backend servers of one region. Shared by the tasks of a gateway; every method
-/// returns without waiting.
+/// Known backend servers of one region, shared by the tasks of a gateway. No method blocks.
 pub struct BackendTable {
     region: RegionName,
     config: BackendConfig,
@@ -75,7 +75,7 @@
 }
 
 impl BackendTable {
-    /// An empty table of `region`.
+    /// Creates an empty table for `region`.
     pub fn new(region: RegionName, config: BackendConfig, clock: Rc<dyn Clock>) -> Self {
         Self { region, config, interval_scale: Rc::default(), clock, entries: RefCell::default() }
     }
@@ -84,7 +84,7 @@
         self.config.scaled(&self.interval_scale)
     }
 
-    /// Takes in what a backend server said to this gateway itself.
+    /// Processes an announcement that this gateway received from the backend server itself.
     pub fn announce(
         &self,
         announcement: &Announcement,
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Two runs of one id would get each other's loads.
+    /// Refuses a record whose run identifier is used by another backend server. Load updates carry
+    /// only the identifier and would be applied to the wrong one.
     fn check_id(&self, record: &BackendRecord) -> Result<(), AnnounceRefusal> {
         let id = RunId::new(record.name.as_str(), record.status.incarnation);
         match self.entries.borrow().name_of(id) {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes in a record, from wherever it came.
+    /// Merges a record from any source.
     pub fn merge_record(
         &self,
         aged: &AgedRecord<BackendRecord>,
@@ -141,11 +142,11 @@
         let record = &aged.record;
         self.check_region(record)?;
         let now = self.clock.now();
-        let heard = PastInstant::new(now, aged.age());
+        let heard_at = PastInstant::new(now, aged.age());
         let mut entries = self.entries.borrow_mut();
         let full = entries.len() >= self.config().backend_limit;
         let change = match entries.get_mut(&record.name) {
-            Some(entry) => entry.merge(record, &self.config(), heard, now),
+            Some(entry) => entry.merge(record, &self.config(), heard_at, now),
             None if !record.status.is_live() && aged.age() >= self.config().retention => {
                 return Ok(StatusChange::default());
             }
@@ -154,7 +155,7 @@
                 return Err(AnnounceRefusal::TableFull { name, limit });
             }
             None => {
-                entries.insert(BackendEntry::new(record.clone(), &self.config(), heard, now));
+                entries.insert(BackendEntry::new(record.clone(), &self.config(), heard_at, now));
                 StatusChange { membership: true, advanced: true, ..StatusChange::default() }
             }
         };
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Calls `read` with every backend server that may get new work for `target` from here,
-    /// ordered by name. `read` must not call back into the table.
+    /// Calls `read` with all backend servers that may get new requests for `target`, ordered by
+    /// name. `read` must not call back into the table.
     pub fn with_candidates<R>(
         &self,
         target: BackendTarget<'_>,
@@ -187,8 +188,9 @@
         read(&views)
     }
 
-    /// Counts one request of this gateway at `name` until the guard is dropped. `None`: the
-    /// backend server left, fell silent or requested a back-off since it was chosen; choose again.
+    /// Records a dispatch of a request to `name` until the guard is dropped. Returns `None` if the
+    /// backend server has left, expired or requested a back-off since it was selected. The caller
+    /// must then select again.
     pub fn dispatch(
         &self,
         name: &BackendName,
@@ -205,15 +207,17 @@
         Some(DispatchGuard { tracker, clock: self.clock.clone(), id })
     }
 
-    /// A dispatch to `name` failed to connect: it is suspect until it reports again.
+    /// Records that a dispatch to `name` failed to connect. The backend server is suspect until its
+    /// next report.
     pub fn note_failure(&self, name: &BackendName) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(name) {
             entry.note_failure(self.clock.now());
         }
     }
 
-    /// This run has requested that nothing comes from this gateway before `until`. Whether that is
-    /// later than known; what is known of another run of the name stays as it is.
+    /// Records that this run requested not to get any requests from this gateway before `until`.
+    /// Returns whether this extends the known back-off. Has no effect on other runs of the same
+    /// name.
     pub fn note_backoff(&self, run: &BackendRun, until: MonotonicTime) -> bool {
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&run.backend);
@@ -221,33 +225,34 @@
         entry.is_some_and(|entry| entry.note_backoff(until))
     }
 
-    /// The end of the back-off that `name` has requested of this gateway, while it lasts.
+    /// Returns the end of the back-off that `name` has requested of this gateway, if not yet
+    /// passed.
     pub fn backoff_until(&self, name: &BackendName) -> Option<MonotonicTime> {
         self.entries.borrow().get(name)?.backoff_until(self.clock.now())
     }
 
-    /// What is known of `name`.
+    /// Returns the health of `name`, if known.
     pub fn health(&self, name: &BackendName) -> Option<BackendHealth> {
         let now = self.clock.now();
         self.entries.borrow().get(name).map(|entry| entry.health(&self.config(), now))
     }
 
-    /// The record of `name`.
+    /// Returns the record of `name`, if known.
     pub fn record(&self, name: &BackendName) -> Option<BackendRecord> {
         self.entries.borrow().get(name).map(|entry| entry.record.clone())
     }
 
-    /// Every backend server remembered, those that left included.
+    /// Returns the names of all backend servers in the table, including those that have left.
     pub fn names(&self) -> Vec<BackendName> {
         self.entries.borrow().iter().map(|entry| entry.name().clone()).collect()
     }
 
-    /// How many backend servers are remembered, those that left included.
+    /// Returns the number of backend servers in the table, including those that have left.
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/backend/src/table/entries.rs
+++ b/crates/backend/src/table/entries.rs
@@ -1,4 +1,4 @@
-//! The rows of a table and their indexes.
+//! Entries of the backend table and their indexes.
 
 use {
     crate::{
@@ -9,8 +9,8 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// Rows by name and by what they serve. The decision walks the rows of one model for every
-/// request, so the lists lead straight to them.
+/// Entries with indexes by name, run identifier, model and service. The routing decision iterates
+/// over the entries of one target for every request, so the indexes hold direct positions.
 #[derive(Default)]
 pub(super) struct TableEntries {
     slots: Vec<Option<BackendEntry>>,
@@ -19,13 +19,13 @@
     by_id: HashMap<RunId, BackendName>,
     by_model: HashMap<ModelName, SlotsByName>,
     by_service: HashMap<ServiceName, SlotsByName>,
-    /// Counts the loads offered to peers.
+    /// Version of the last load advertised to peers.
     pub(super) version: u64,
-    /// Counts changes of membership.
+    /// Number of membership changes.
     pub(super) generation: u64,
 }
 
-/// Positions of rows in the order of their names.
+/// Positions of entries, ordered by name.
 type SlotsByName = BTreeMap<BackendName, usize>;
 
 impl TableEntries {
@@ -58,7 +58,7 @@
         self.slots[slot] = Some(entry);
     }
 
-    /// Follows up what a merge did to the row `name`.
+    /// Updates the indexes and the advertised load of `name` after a merge.
     pub(super) fn apply_change(
         &mut self,
         name: &BackendName,
@@ -83,7 +83,7 @@
         self.advertise(name, origin, config, now);
     }
 
-    /// Notes who told the newest report of `name` and offers it to peers.
+    /// Records the origin of the newest report of `name` and advertises its load to peers.
     pub(super) fn advertise(
         &mut self,
         name: &BackendName,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Lists `name` under its id and what it serves now.
+    /// Rebuilds the index entries of `name` after a change of membership.
     pub(super) fn index(&mut self, name: &BackendName) {
         self.generation += 1;
         self.remove_from_indexes(name);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The rows followed here that serve `target`, in the order of their names.
+    /// Returns the followed entries that serve `target`, ordered by name.
     pub(super) fn serving(&self, target: BackendTarget<'_>) -> impl Iterator<Item = &BackendEntry> {
         let slots = match target {
             BackendTarget::Model(model) => self.by_model.get(model),
@@ -146,7 +146,7 @@
         slots.filter_map(|slot| self.slots[*slot].as_ref()).filter(|entry| entry.is_followed())
     }
 
-    /// Follows `names` and nothing else from now on.
+    /// Follows exactly `names` from now on.
     pub(super) fn follow(&mut self, names: &BTreeSet<BackendName>, now: MonotonicTime) {
         for entry in self.slots.iter_mut().flatten() {
             entry.follow(names.contains(entry.name()), now);
--- a/crates/backend/src/table/gossip.rs
+++ b/crates/backend/src/table/gossip.rs
@@ -1,4 +1,4 @@
-//! What the relay between gateways asks of a table.
+//! Operations of the backend table for gossip between gateways.
 
 use {
     super::BackendTable,
@@ -15,22 +15,22 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Parts into which membership is divided for comparison.
+/// Number of buckets into which the membership is divided for comparison.
 pub(crate) const BUCKET_COUNT: usize = 16;
 
-/// What became of a load that a peer told.
+/// Result of merging a load received from a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LoadOutcome {
-    /// It is newer than what was known, or not.
+    /// The run is known and was not expired. The load may or may not be newer.
     Known,
-    /// It is newer, and the backend server had been taken for dead.
+    /// The load is newer, and the backend server had been declared expired.
     Returned(BackendName),
-    /// No row has this id: membership is missing here.
+    /// No entry has this run identifier: this gateway has missed a membership change.
     Unknown,
 }
 
 impl BackendTable {
-    /// Takes in the load of a run.
+    /// Merges the load of a run.
     pub(crate) fn merge_load(&self, delta: &LoadDelta, origin: Origin) -> LoadOutcome {
         let now = self.clock.now();
         let mut entries = self.entries.borrow_mut();
@@ -45,8 +45,8 @@
             profile: None,
             load: delta.load(cache_tokens),
         };
-        let heard = PastInstant::new(now, delta.age());
-        let change = entry.merge(&record, &self.config(), heard, now);
+        let heard_at = PastInstant::new(now, delta.age());
+        let change = entry.merge(&record, &self.config(), heard_at, now);
         if change.advanced {
             entries.advertise(&name, origin, &self.config(), now);
         }
@@ -57,18 +57,18 @@
         LoadOutcome::Known
     }
 
-    /// The pace of the region, to be set by the relay.
+    /// Returns the interval scale of the region, which the relay sets.
     pub(crate) fn interval_scale(&self) -> Rc<IntervalScale> {
         self.interval_scale.clone()
     }
 
-    /// The mark of all loads offered so far.
+    /// Returns the cursor after all loads advertised so far.
     pub(crate) fn load_cursor(&self) -> u64 {
         self.entries.borrow().version
     }
 
-    /// The loads offered after `cursor` that were told by one of `origins`, of those followed by the
-    /// receiver (`None`: all).
+    /// Returns the loads advertised after `cursor` whose origin is one of `origins`, limited to the
+    /// backend servers in `followed` if given.
     pub(crate) fn loads_after(
         &self,
         cursor: u64,
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    /// The totals of what was told by one of `origins` and serves.
+    /// Returns the totals of the serving backend servers whose origin is one of `origins`.
     pub(crate) fn totals(&self, origins: &[Origin]) -> TotalsMap {
         let now = self.clock.now();
         let entries = self.entries.borrow();
@@ -98,7 +98,8 @@
         sum
     }
 
-    /// Declares expired what fell silent, as far as this gateway would know.
+    /// Declares the backend servers expired whose lease has run out, as far as this gateway would
+    /// have received their reports. Returns their names.
     pub(crate) fn expire_silent(&self) -> Vec<BackendName> {
         let now = self.clock.now();
         let mut entries = self.entries.borrow_mut();
@@ -117,7 +118,8 @@
         silent
     }
 
-    /// Drops records that got no work for so long that nothing old can still arrive.
+    /// Drops the records of backend servers that have been out of service for longer than the
+    /// retention.
     pub(crate) fn sweep(&self) {
         let now = self.clock.now();
         let mut entries = self.entries.borrow_mut();
@@ -134,12 +136,12 @@
         self.entries.borrow_mut().follow(names, self.clock.now());
     }
 
-    /// Counts changes of membership.
+    /// Returns the number of membership changes so far.
     pub(crate) fn generation(&self) -> u64 {
         self.entries.borrow().generation
     }
 
-    /// The live rows, for the choice of subsets.
+    /// Returns the live backend servers, as input for subsetting.
     pub(crate) fn subset_members(&self) -> Vec<SubsetMember> {
         let entries = self.entries.borrow();
         entries
@@ -149,13 +151,14 @@
             .collect()
     }
 
-    /// The record of `name` and its age.
+    /// Returns the record of `name` with its age.
     pub(crate) fn aged_record(&self, name: &BackendName) -> Option<AgedRecord<BackendRecord>> {
         let now = self.clock.now();
         self.entries.borrow().get(name).map(|entry| aged_record(entry, now))
     }
 
-    /// Hashes of membership by part. Load is left out: it is never equal everywhere.
+    /// Returns a hash of the membership per bucket. Load is excluded, because it is never equal on
+    /// all gateways.
     pub(crate) fn bucket_hashes(&self) -> [u32; BUCKET_COUNT] {
         let mut bucket_hashes = [0_u32; BUCKET_COUNT];
         let now = self.clock.now();
@@ -170,7 +173,7 @@
         bucket_hashes
     }
 
-    /// The records of part `bucket`.
+    /// Returns the records of one bucket.
     pub(crate) fn records_in_bucket(&self, bucket: usize) -> Vec<AgedRecord<BackendRecord>> {
         let now = self.clock.now();
         let entries = self.entries.borrow();
@@ -181,10 +184,11 @@
             .collect()
     }
 
-    /// Dead records are forgotten at slightly different times; those half way there are left out
-    /// of comparisons, so that gateways do not hand them back to each other without end.
+    /// Returns whether the entry is covered by bucket hashes. Gateways drop dead records at
+    /// slightly different times, so records past half of their retention are excluded. Otherwise
+    /// the gateways would restore them on each other forever.
     fn is_compared(&self, entry: &BackendEntry, now: MonotonicTime) -> bool {
-        entry.record.status.is_live() || entry.heard.age(now) < self.config().retention / 2
+        entry.record.status.is_live() || entry.heard_at.age(now) < self.config().retention / 2
     }
 }
 
@@ -193,7 +197,7 @@
 }
 
 fn aged_record(entry: &BackendEntry, now: MonotonicTime) -> AgedRecord<BackendRecord> {
-    let age: Duration = entry.heard.age(now);
+    let age: Duration = entry.heard_at.age(now);
     AgedRecord::new(entry.record.clone(), age, entry.serving_since.age(now))
 }
 
--- a/crates/backend/src/view.rs
+++ b/crates/backend/src/view.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the routing decision sees them.
+//! View of backend servers for the routing decision.
 
 use {
     crate::{
@@ -11,63 +11,66 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What candidates are asked for.
+/// Target for which candidates are selected.
 #[derive(Clone, Copy, Debug)]
 pub enum BackendTarget<'a> {
     /// Engines that have the model loaded.
     Model(&'a ModelName),
-    /// Plain services of that name.
+    /// Plain services of this name.
     Service(&'a ServiceName),
 }
 
-/// One backend server that may get new work, borrowed from the table.
+/// A backend server that may get new requests, borrowed from the table.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendView<'a> {
-    /// The backend server.
+    /// Name of the backend server.
     pub name: &'a BackendName,
-    /// Its incarnation.
+    /// Incarnation of the backend server.
     pub incarnation: Incarnation,
-    /// The region it stands in.
+    /// Region of the backend server.
     pub region: &'a RegionName,
-    /// Its failure domain.
+    /// Failure domain of the backend server.
     pub domain: &'a FailureDomain,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// A model engine or a plain service.
+    /// Model engine or plain service.
     pub kind: BackendKind,
-    /// What it can carry.
+    /// Processing capacity.
     pub capacity: BackendCapacity,
-    /// The load it reported last.
+    /// Last reported load.
     pub load: LoadReport,
-    /// How old that report is.
+    /// Age of the last report.
     pub load_age: Duration,
-    /// This gateway's own work there.
+    /// Requests of this gateway at the backend server.
     pub own: OwnLoad,
-    /// Silent for long, or a dispatch just failed: only where nothing better is left.
+    /// The backend server has not reported for some time, restarts often, or a dispatch to it has
+    /// failed. It is used only if no better one is left.
     pub suspect: bool,
-    /// The end of the back-off that it has requested of this gateway, while it lasts.
+    /// End of the back-off that the backend server has requested of this gateway, if not yet
+    /// passed.
     pub backoff_until: Option<MonotonicTime>,
-    /// The models that it has loaded.
+    /// Models that are loaded.
     pub models: &'a [ModelName],
-    /// How long it has served without a break, also as other gateways saw it: what was lately
-    /// started or cut off has a cold cache and should get its share of work only by degrees.
+    /// Time for which it has served without interruption, as observed by any gateway. A backend
+    /// server that was recently started or cut off has a cold cache, and its share of requests
+    /// should be increased gradually.
     pub serving_for: Duration,
     pub(crate) cache: &'a CacheEstimate,
     pub(crate) now: MonotonicTime,
 }
 
 impl BackendView<'_> {
-    /// Requests running or waiting there now, as far as can be known here.
+    /// Estimates the number of requests running or waiting at the backend server now.
     pub fn requests(&self) -> u32 {
         self.own.requests(&self.load)
     }
 
-    /// Prompt tokens still to be read there, as far as can be known here.
+    /// Estimates the number of prompt tokens queued for prefill at the backend server now.
     pub fn queued_prefill_tokens(&self) -> u64 {
         self.own.queued_prefill_tokens(&self.load)
     }
 
-    /// Tokens of a prompt, cut into these blocks, that its cache is expected to hold.
+    /// Returns the expected number of cached tokens of a prompt with these blocks.
     pub fn expected_cached_tokens(&self, blocks: &[PrefixHash]) -> u32 {
         let tokens = self.cache.expected_blocks(blocks, self.now) * BLOCK_TOKENS as f32;
         tokens as u32
