--- a/crates/backend/benches/table.rs
+++ b/crates/backend/benches/table.rs
@@ -1,4 +1,4 @@
-//! What the decision pays for its candidates: `cargo bench -p gullglade-backend`.
+//! Benchmarks of candidate selection for the routing decision: `cargo bench -p gullglade-backend`.
 
 use {
     criterion::{Criterion, criterion_group, criterion_main},
@@ -9,31 +9,31 @@
     gullglade_units::{Incarnation, ModelName, fake::FakeWorld},
 };
 
-/// Engines of the model asked for: the mean region, were all of one model.
+/// Engines of the requested model: the size of a mean region in which all engines serve one model.
 const CANDIDATES: usize = 145;
 
-/// Engines of other models beside them.
-const OTHERS: usize = 435;
+/// Engines of other models.
+const OTHER_ENGINES: usize = 435;
 
-/// Own requests in progress at each engine.
+/// Requests of this gateway in progress at each engine.
 const OWN_REQUESTS: usize = 4;
 
-/// Blocks of the prompt asked about.
+/// Blocks of the requested prompt.
 const PROMPT_BLOCKS: u64 = 32;
 
 fn announcement(engine: usize, model: &str) -> Announcement {
     Announcement {
-        name: format!("engine-{engine}").parse().expect("a name"),
+        name: format!("engine-{engine}").parse().expect("a valid name"),
         incarnation: Incarnation(1),
         sequence: 1,
         state: ServingState::Serving,
         load: LoadReport { running: 20, ..LoadReport::default() },
         profile: Some(BackendProfile {
-            region: "puget".parse().expect("a name"),
-            domain: format!("domain-{}", engine % 4).parse().expect("a name"),
-            address: "10.0.0.9:8000".parse().expect("an address"),
+            region: "puget".parse().expect("a valid name"),
+            domain: format!("domain-{}", engine % 4).parse().expect("a valid name"),
+            address: "10.0.0.9:8000".parse().expect("a valid address"),
             kind: BackendKind::Engine,
-            models: vec![model.parse().expect("a name")],
+            models: vec![model.parse().expect("a valid name")],
             services: Vec::new(),
             capacity: BackendCapacity {
                 slots: 32,
@@ -47,27 +47,27 @@
     }
 }
 
-fn busy_table() -> (BackendTable, Vec<DispatchGuard>) {
-    let region = "puget".parse().expect("a name");
-    // Time stands still, or the leases would run out while the bench runs.
+fn loaded_table() -> (BackendTable, Vec<DispatchGuard>) {
+    let region = "puget".parse().expect("a valid name");
+    // The clock does not advance. Otherwise the leases would expire during the benchmark.
     let clock = FakeWorld::new(1).1.clock;
     let table = BackendTable::new(region, BackendConfig::default(), clock);
     let mut guards = Vec::new();
     let prefixes: Vec<PrefixHash> = (0..PROMPT_BLOCKS / 2).map(PrefixHash).collect();
-    for engine in 0..CANDIDATES + OTHERS {
+    for engine in 0..CANDIDATES + OTHER_ENGINES {
         let model = if engine < CANDIDATES { "ballast" } else { "other" };
-        let said = announcement(engine, model);
-        table.announce(&said).expect("room in the table");
+        let announcement = announcement(engine, model);
+        table.announce(&announcement).expect("room in the table");
         for _ in 0..OWN_REQUESTS {
-            guards.extend(table.dispatch(&said.name, 500, &prefixes));
+            guards.extend(table.dispatch(&announcement.name, 500, &prefixes));
         }
     }
     (table, guards)
 }
 
 fn bench(criterion: &mut Criterion) {
-    let (table, _guards) = busy_table();
-    let model: ModelName = "ballast".parse().expect("a name");
+    let (table, _guards) = loaded_table();
+    let model: ModelName = "ballast".parse().expect("a valid name");
     let blocks: Vec<PrefixHash> = (0..PROMPT_BLOCKS).map(PrefixHash).collect();
     criterion.bench_function("read 145 of 580 engines", |bencher| {
         bencher.iter(|| {
--- a/crates/backend/examples/membership_traffic.rs
+++ b/crates/backend/examples/membership_traffic.rs
@@ -1,16 +1,18 @@
-//! Measures what membership costs a gateway: bytes and messages a second at several sizes.
+//! Measures the network traffic of membership per gateway, in bytes and messages per second, for
+//! several cluster sizes.
 //!
-//! Runs the real relays of a whole cluster on a fake network in virtual time, with engines whose
-//! load moves as that of a queue at 85% does, and counts the encoded bytes of every call. One
-//! region has the size asked for; the others are small in gateways but tell of as many models, so
-//! that what they send is as large as at full size.
+//! Runs the actual relays of a whole cluster on a simulated network in virtual time and counts the
+//! encoded bytes of every call. The load of the engines changes like that of a queue at 85 %
+//! utilization. One region has the requested size. The others have few gateways but as many models,
+//! so that their reports are as large as at full size.
 //!
 //! ```sh
 //! cargo run --release -p gullglade-backend --example membership_traffic
 //! cargo run --release -p gullglade-backend --example membership_traffic -- 18 145 20 26
 //! ```
 //!
-//! The arguments are gateways and engines of the region measured, regions and models.
+//! The arguments are the gateways and engines of the measured region, the number of regions and the
+//! number of models.
 
 use {
     bytes::Bytes,
@@ -37,31 +39,31 @@
     },
 };
 
-/// Time for the cluster to meet and settle.
+/// Time for the cluster to reach a steady state.
 const WARM_UP: Duration = Duration::from_secs(40);
 
-/// Time measured.
+/// Duration of the measurement.
 const MEASURED: Duration = Duration::from_secs(60);
 
 /// Gateways of each region that is not measured.
 const OTHER_GATEWAYS: usize = 4;
 
-/// Engines a model of each region that is not measured.
+/// Engines per model in each region that is not measured.
 const OTHER_ENGINES: usize = 5;
 
-/// Slots of an engine.
+/// Slots per engine.
 const SLOTS: u32 = 32;
 
-/// Seconds that a request holds its slot, on average.
+/// Mean service time of a request, in seconds.
 const HOLD_SECONDS: f64 = 8.0;
 
-/// The share of slots that arriving requests fill on average.
+/// Mean utilization of the slots.
 const UTILIZATION: f64 = 0.85;
 
 /// Prompt tokens of a waiting request.
 const PROMPT_TOKENS: u64 = 800;
 
-/// The size of one run.
+/// Cluster size of one run.
 #[derive(Clone, Copy)]
 struct RunSize {
     gateways: usize,
@@ -70,7 +72,7 @@
     models: usize,
 }
 
-/// The sizes of DESIGN section 10 and two below, for the slope.
+/// The design sizes and two smaller ones, which show how the traffic grows.
 const SIZES: &[RunSize] = &[
     RunSize { gateways: 9, engines: 24, regions: 3, models: 2 },
     RunSize { gateways: 9, engines: 72, regions: 20, models: 26 },
@@ -79,19 +81,18 @@
     RunSize { gateways: 74, engines: 580, regions: 20, models: 26 },
 ];
 
-/// What framing adds to a call and to its answer, bytes, as measured for docs/CAPACITY.md (`capacity
-/// frames`, kept session).
-const CALL_FRAME: f64 = 47.0;
-const ANSWER_FRAME: f64 = 64.0;
+/// Framing overhead of a call and of its answer on a kept session, in bytes.
+const CALL_FRAMING_BYTES: f64 = 47.0;
+const ANSWER_FRAMING_BYTES: f64 = 64.0;
 
-/// The headers of one packet, bytes; assumed: IPv4 and TCP with timestamps.
-const PACKET_HEAD: f64 = 52.0;
+/// Header bytes of one packet, assuming IPv4 and TCP with timestamps.
+const PACKET_HEADER_BYTES: f64 = 52.0;
 
-/// The heads of an announcement and of its answer over HTTP/1.1, bytes; assumed.
-const ANNOUNCE_HEAD: f64 = 110.0;
-const REPLY_HEAD: f64 = 120.0;
+/// HTTP/1.1 header bytes of an announcement and of its reply, assumed.
+const ANNOUNCE_HEADER_BYTES: f64 = 110.0;
+const REPLY_HEADER_BYTES: f64 = 120.0;
 
-/// What one gateway sent and got, in calls and bytes.
+/// Traffic of one gateway, in calls and bytes.
 #[derive(Clone, Copy, Default)]
 struct Traffic {
     calls_out: f64,
@@ -107,54 +108,54 @@
 }
 
 impl Traffic {
-    /// Bytes sent, with framing, packets and announcements.
+    /// Bytes sent, including framing, packet headers and announcements.
     fn wire_out(&self) -> f64 {
-        let calls = self.calls_out * (CALL_FRAME + PACKET_HEAD);
-        let answers = self.calls_in * (ANSWER_FRAME + PACKET_HEAD);
-        let replies = self.announcements * (REPLY_HEAD + PACKET_HEAD);
+        let calls = self.calls_out * (CALL_FRAMING_BYTES + PACKET_HEADER_BYTES);
+        let answers = self.calls_in * (ANSWER_FRAMING_BYTES + PACKET_HEADER_BYTES);
+        let replies = self.announcements * (REPLY_HEADER_BYTES + PACKET_HEADER_BYTES);
         self.bytes_out + self.json_out + calls + answers + replies
     }
 
-    /// Bytes received, likewise.
+    /// Bytes received, including framing, packet headers and announcements.
     fn wire_in(&self) -> f64 {
-        let calls = self.calls_in * (CALL_FRAME + PACKET_HEAD);
-        let answers = self.calls_out * (ANSWER_FRAME + PACKET_HEAD);
-        let announced = self.announcements * (ANNOUNCE_HEAD + PACKET_HEAD);
+        let calls = self.calls_in * (CALL_FRAMING_BYTES + PACKET_HEADER_BYTES);
+        let answers = self.calls_out * (ANSWER_FRAMING_BYTES + PACKET_HEADER_BYTES);
+        let announced = self.announcements * (ANNOUNCE_HEADER_BYTES + PACKET_HEADER_BYTES);
         self.bytes_in + self.json_in + calls + answers + announced
     }
 }
 
 #[derive(Default)]
-struct TrafficBook {
-    on: Cell<bool>,
+struct TrafficCounters {
+    enabled: Cell<bool>,
     by_node: RefCell<BTreeMap<SocketAddr, Traffic>>,
 }
 
-impl TrafficBook {
-    fn change(&self, node: SocketAddr, change: impl FnOnce(&mut Traffic)) {
-        if self.on.get() {
-            change(self.by_node.borrow_mut().entry(node).or_default());
+impl TrafficCounters {
+    fn update(&self, node: SocketAddr, update: impl FnOnce(&mut Traffic)) {
+        if self.enabled.get() {
+            update(self.by_node.borrow_mut().entry(node).or_default());
         }
     }
 
-    fn count_call(&self, from: SocketAddr, to: SocketAddr, sent: usize, got: usize) {
-        let (sent, got) = (sent as f64, got as f64);
-        self.change(from, |caller| {
+    fn count_call(&self, from: SocketAddr, to: SocketAddr, sent: usize, received: usize) {
+        let (sent, received) = (sent as f64, received as f64);
+        self.update(from, |caller| {
             caller.calls_out += 1.0;
             caller.bytes_out += sent;
-            caller.bytes_in += got;
+            caller.bytes_in += received;
         });
-        self.change(to, |callee| {
+        self.update(to, |callee| {
             callee.calls_in += 1.0;
             callee.bytes_in += sent;
-            callee.bytes_out += got;
+            callee.bytes_out += received;
         });
     }
 
-    fn count_parts(&self, from: SocketAddr, body: &[u8]) {
-        let delta: GossipDelta = decode(body).expect("a delta");
+    fn count_categories(&self, from: SocketAddr, body: &[u8]) {
+        let delta: GossipDelta = decode(body).expect("a valid delta");
         let length = |bytes: Vec<u8>| bytes.len() as f64;
-        self.change(from, |sender| {
+        self.update(from, |sender| {
             sender.heartbeats +=
                 length(encode(&(&delta.heartbeat, &delta.row_heartbeats, delta.digest)));
             sender.loads += length(encode(&delta.loads));
@@ -162,21 +163,26 @@
         });
     }
 
-    fn count_announcement(&self, to: SocketAddr, said: &Announcement, reply: AnnounceReply) {
-        let length = |json: serde_json::Result<Vec<u8>>| json.expect("it encodes").len() as f64;
-        self.change(to, |gateway| {
+    fn count_announcement(
+        &self,
+        to: SocketAddr,
+        announcement: &Announcement,
+        reply: AnnounceReply,
+    ) {
+        let length = |json: serde_json::Result<Vec<u8>>| json.expect("serializable").len() as f64;
+        self.update(to, |gateway| {
             gateway.announcements += 1.0;
-            gateway.json_in += length(serde_json::to_vec(said));
+            gateway.json_in += length(serde_json::to_vec(announcement));
             gateway.json_out += length(serde_json::to_vec(&reply));
         });
     }
 }
 
-/// Counts the calls of one gateway.
+/// Transport that counts the calls of one gateway.
 struct CountingTransport<T> {
     inner: T,
     own: SocketAddr,
-    book: Rc<TrafficBook>,
+    counters: Rc<TrafficCounters>,
 }
 
 impl<T: PeerTransport> PeerTransport for CountingTransport<T> {
@@ -190,11 +196,11 @@
         Box::pin(async move {
             let sent = method.len() + body.len();
             if method == "backend.delta" {
-                self.book.count_parts(self.own, &body);
+                self.counters.count_categories(self.own, &body);
             }
             let answer = self.inner.call(to, method, body, limit).await;
-            let got = answer.as_ref().map_or(0, Bytes::len);
-            self.book.count_call(self.own, to, sent, got);
+            let received = answer.as_ref().map_or(0, Bytes::len);
+            self.counters.count_call(self.own, to, sent, received);
             answer
         })
     }
@@ -209,20 +215,20 @@
     }
 }
 
-/// 1 ms inside a region, 55 ms between regions.
+/// Delay of 1 ms inside a region and 55 ms between regions.
 struct RegionDelay;
 
 impl FakePolicy for RegionDelay {
     fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        let near = path.from.ip() == path.to.ip();
-        MessageFate::Deliver(Duration::from_millis(if near { 1 } else { 55 }))
+        let same_region = path.from.ip() == path.to.ip();
+        MessageFate::Deliver(Duration::from_millis(if same_region { 1 } else { 55 }))
     }
 }
 
 struct Cluster {
     world: FakeWorld,
     network: FakeNetwork,
-    book: Rc<TrafficBook>,
+    counters: Rc<TrafficCounters>,
     seeds: Vec<SocketAddr>,
 }
 
@@ -233,7 +239,7 @@
 }
 
 fn region_name(region: usize) -> RegionName {
-    format!("region-{region}").parse().expect("a name")
+    format!("region-{region}").parse().expect("a valid name")
 }
 
 impl Cluster {
@@ -241,9 +247,9 @@
         let context = self.world.process().context().clone();
         let address = address(region, index);
         let identity = PeerIdentity {
-            vm: format!("vm-{region}-{index}").parse().expect("a name"),
+            vm: format!("vm-{region}-{index}").parse().expect("a valid name"),
             region: region_name(region),
-            domain: format!("domain-{region}-{}", index % 4).parse().expect("a name"),
+            domain: format!("domain-{region}-{}", index % 4).parse().expect("a valid name"),
             incarnation: Incarnation(1_750_000_000_000),
         };
         let handlers = Rc::new(HandlerTable::new());
@@ -254,7 +260,7 @@
             clock: Rc::default(),
             handlers: handlers.clone(),
         });
-        let transport = CountingTransport { inner, own: address, book: self.book.clone() };
+        let transport = CountingTransport { inner, own: address, counters: self.counters.clone() };
         let dependencies = RelayDependencies {
             transport: Rc::new(transport),
             events: Rc::new(NullSink),
@@ -286,7 +292,7 @@
                 relay: relay.clone(),
                 gateway: address(region, engine % gateways),
                 context: context.clone(),
-                book: self.book.clone(),
+                counters: self.counters.clone(),
                 next: first_announcement(region, engine, models),
             };
             let task = run_engine(engine);
@@ -297,17 +303,17 @@
 
 fn first_announcement(region: usize, engine: usize, models: usize) -> Announcement {
     Announcement {
-        name: format!("engine-{region}-{engine}").parse().expect("a name"),
+        name: format!("engine-{region}-{engine}").parse().expect("a valid name"),
         incarnation: Incarnation(1_750_000_000_000),
         sequence: 1,
         state: ServingState::Serving,
         load: LoadReport::default(),
         profile: Some(BackendProfile {
             region: region_name(region),
-            domain: format!("domain-{region}-{}", engine % 4).parse().expect("a name"),
+            domain: format!("domain-{region}-{}", engine % 4).parse().expect("a valid name"),
             address: SocketAddr::from(([10, 1, 0, 1], 8_000)),
             kind: BackendKind::Engine,
-            models: vec![format!("model-{}", engine % models).parse().expect("a name")],
+            models: vec![format!("model-{}", engine % models).parse().expect("a valid name")],
             services: Vec::new(),
             capacity: BackendCapacity {
                 slots: SLOTS,
@@ -321,28 +327,28 @@
     }
 }
 
-/// One engine and the gateway to which it announces.
+/// An engine and the gateway to which it announces.
 struct EngineRun {
     relay: BackendRelay,
     gateway: SocketAddr,
     context: ProcessContext,
-    book: Rc<TrafficBook>,
+    counters: Rc<TrafficCounters>,
     next: Announcement,
 }
 
-/// Announces, as often as it is told to, the load of a queue whose arrivals and ends are random.
+/// Announces the load of an M/M/c queue at the interval requested by the gateway.
 async fn run_engine(run: EngineRun) {
-    let EngineRun { relay, gateway, context, book, mut next } = run;
+    let EngineRun { relay, gateway, context, counters, mut next } = run;
     let random = context.random.clone();
     context.clock.sleep(Duration::from_secs(2).mul_f64(random.unit())).await;
     let mut requests = (f64::from(SLOTS) * UTILIZATION) as u32;
     loop {
         let reply = relay.announce(&next).await;
-        let reply = reply.expect("the gateway stands in the engine's region");
-        book.count_announcement(gateway, &next, reply);
+        let reply = reply.expect("the gateway is in the region of the engine");
+        counters.count_announcement(gateway, &next, reply);
         let tick = Duration::from_millis(reply.renew_millis);
         context.clock.sleep(tick).await;
-        requests = step(requests, tick, &*random);
+        requests = next_requests(requests, tick, &*random);
         let waiting = requests.saturating_sub(SLOTS);
         next.profile = None;
         next.sequence += 1;
@@ -355,16 +361,16 @@
     }
 }
 
-/// The requests of an engine after `tick`.
-fn step(requests: u32, tick: Duration, random: &dyn RandomSource) -> u32 {
-    let leave = 1.0 - (-tick.as_secs_f64() / HOLD_SECONDS).exp();
+/// Returns the number of requests at an engine after `tick`.
+fn next_requests(requests: u32, tick: Duration, random: &dyn RandomSource) -> u32 {
+    let end_probability = 1.0 - (-tick.as_secs_f64() / HOLD_SECONDS).exp();
     let running = requests.min(SLOTS);
-    let ended = (0..running).filter(|_| random.unit() < leave).count() as u32;
+    let ended = (0..running).filter(|_| random.unit() < end_probability).count() as u32;
     let mean = f64::from(SLOTS) * UTILIZATION / HOLD_SECONDS * tick.as_secs_f64();
     requests - ended + poisson(mean, random)
 }
 
-/// Knuth's method, fit for small means.
+/// Samples a Poisson distribution by Knuth's method, which suits small means.
 fn poisson(mean: f64, random: &dyn RandomSource) -> u32 {
     let limit = (-mean).exp();
     let mut product = random.unit();
@@ -381,7 +387,7 @@
     let cluster = Cluster {
         world,
         network: FakeNetwork::new(Rc::new(RegionDelay)),
-        book: Rc::default(),
+        counters: Rc::default(),
         seeds: (0..size.regions).map(|region| address(region, 0)).collect(),
     };
     cluster.start_region(0, size.gateways, size.engines, size.models);
@@ -390,34 +396,34 @@
         cluster.start_region(region, OTHER_GATEWAYS, engines, size.models);
     }
     cluster.world.run_for(WARM_UP);
-    cluster.book.on.set(true);
+    cluster.counters.enabled.set(true);
     cluster.world.run_for(MEASURED);
-    report(size, &cluster.book);
+    report(size, &cluster.counters);
 }
 
-fn report(size: RunSize, book: &TrafficBook) {
-    let nodes = book.by_node.borrow();
+fn report(size: RunSize, counters: &TrafficCounters) {
+    let nodes = counters.by_node.borrow();
     let own: Vec<Traffic> =
         (0..size.gateways).filter_map(|i| nodes.get(&address(0, i)).copied()).collect();
     let seconds = MEASURED.as_secs_f64();
     let mean =
         |pick: fn(&Traffic) -> f64| own.iter().map(pick).sum::<f64>() / own.len() as f64 / seconds;
-    let most = |pick: fn(&Traffic) -> f64| own.iter().map(pick).fold(0.0, f64::max) / seconds;
+    let maximum = |pick: fn(&Traffic) -> f64| own.iter().map(pick).fold(0.0, f64::max) / seconds;
     let RunSize { gateways, engines, regions, models } = size;
     println!(
         "| {gateways} | {engines} | {regions} | {models} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} \
          | {:.1} | {:.1} | {:.0} | {:.0} | {:.0} | {:.0} |",
         mean(|t| t.bytes_out),
-        most(|t| t.bytes_out),
+        maximum(|t| t.bytes_out),
         mean(|t| t.heartbeats),
         mean(|t| t.loads),
         mean(|t| t.regions),
         mean(|t| t.calls_out),
         mean(|t| t.announcements),
         mean(Traffic::wire_out),
-        most(Traffic::wire_out),
+        maximum(Traffic::wire_out),
         mean(Traffic::wire_in),
-        most(Traffic::wire_in),
+        maximum(Traffic::wire_in),
     );
 }
 
--- a/crates/backend/tests/membership/announcement.rs
+++ b/crates/backend/tests/membership/announcement.rs
@@ -1,74 +1,79 @@
-//! The announcement as JSON: what is taken, what is refused and with which remedy.
+//! Validation of JSON announcements, and the remedies stated in the errors.
 
 use gullglade_backend::Announcement;
 
-struct Case {
+struct AnnouncementCase {
     name: &'static str,
-    text: &'static str,
-    /// A part of the error's message; empty where the text is good.
-    refusal: &'static str,
+    json: &'static str,
+    /// Substring of the error message. Empty if the JSON is valid.
+    expected_error: &'static str,
 }
 
 const PROFILE: &str = r#""profile":{"region":"puget","domain":"puget-a","address":"10.0.0.9:8000",
     "kind":"engine","models":["ballast/7b"],"capacity":{"slots":8}}"#;
 
-const CASES: &[Case] = &[
-    Case {
+const CASES: &[AnnouncementCase] = &[
+    AnnouncementCase {
         name: "renewal",
-        text: r#"{"name":"e1","incarnation":7,"sequence":2,"state":"leaving"}"#,
-        refusal: "",
+        json: r#"{"name":"e1","incarnation":7,"sequence":2,"state":"leaving"}"#,
+        expected_error: "",
     },
-    Case {
-        name: "whole",
-        text: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving",PROFILE}"#,
-        refusal: "",
+    AnnouncementCase {
+        name: "with profile",
+        json: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving",PROFILE}"#,
+        expected_error: "",
     },
-    Case {
+    AnnouncementCase {
         name: "unknown field",
-        text: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","x":1}"#,
-        refusal: "unknown field `x`",
+        json: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","x":1}"#,
+        expected_error: "unknown field `x`",
     },
-    Case {
-        name: "bad name",
-        text: r#"{"name":"e 1","incarnation":7,"sequence":1,"state":"serving"}"#,
-        refusal: "backend server name",
+    AnnouncementCase {
+        name: "invalid name",
+        json: r#"{"name":"e 1","incarnation":7,"sequence":1,"state":"serving"}"#,
+        expected_error: "backend server name",
     },
-    Case {
+    AnnouncementCase {
         name: "no slots",
-        text: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"10.0.0.9:8000","kind":"engine","models":["m"],"capacity":{"slots":0}}}"#,
-        refusal: "capacity.slots",
+        json: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"10.0.0.9:8000","kind":"engine","models":["m"],"capacity":{"slots":0}}}"#,
+        expected_error: "capacity.slots",
     },
-    Case {
+    AnnouncementCase {
         name: "no model",
-        text: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"10.0.0.9:8000","kind":"engine","capacity":{"slots":1}}}"#,
-        refusal: "`models`",
+        json: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"10.0.0.9:8000","kind":"engine","capacity":{"slots":1}}}"#,
+        expected_error: "`models`",
     },
-    Case {
+    AnnouncementCase {
         name: "no service",
-        text: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"10.0.0.9:8000","kind":"service","capacity":{"slots":1}}}"#,
-        refusal: "`services`",
+        json: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"10.0.0.9:8000","kind":"service","capacity":{"slots":1}}}"#,
+        expected_error: "`services`",
     },
-    Case {
-        name: "address",
-        text: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"0.0.0.0:8000","kind":"engine","models":["m"],"capacity":{"slots":1}}}"#,
-        refusal: "can reach",
+    AnnouncementCase {
+        name: "unspecified address",
+        json: r#"{"name":"e1","incarnation":7,"sequence":1,"state":"serving","profile":{"region":"puget","domain":"a","address":"0.0.0.0:8000","kind":"engine","models":["m"],"capacity":{"slots":1}}}"#,
+        expected_error: "can reach",
     },
 ];
 
 #[test]
-fn announcements_are_taken_or_refused_with_the_remedy() {
+fn valid_announcements_round_trip_and_invalid_ones_state_the_remedy() {
     for case in CASES {
-        let text = case.text.replace("PROFILE", PROFILE);
-        match Announcement::try_from(text.as_bytes()) {
+        let json = case.json.replace("PROFILE", PROFILE);
+        match Announcement::try_from(json.as_bytes()) {
             Ok(announcement) => {
-                assert_eq!(case.refusal, "", "{}: taken", case.name);
-                let again = serde_json::to_vec(&announcement).unwrap();
-                assert_eq!(Announcement::try_from(&*again).unwrap(), announcement, "{}", case.name);
+                assert_eq!(case.expected_error, "", "{}: accepted", case.name);
+                let encoded = serde_json::to_vec(&announcement).unwrap();
+                assert_eq!(
+                    Announcement::try_from(&*encoded).unwrap(),
+                    announcement,
+                    "{}",
+                    case.name
+                );
             }
             Err(error) => {
                 let message = error.to_string();
-                assert!(!case.refusal.is_empty(), "{}: refused: {message}", case.name);
-                assert!(message.contains(case.refusal), "{}: {message}", case.name);
+                assert!(!case.expected_error.is_empty(), "{}: refused: {message}", case.name);
+                assert!(message.contains(case.expected_error), "{}: {message}", case.name);
             }
         }
     }
--- a/crates/backend/tests/membership/region.rs
+++ b/crates/backend/tests/membership/cluster.rs
@@ -1,4 +1,4 @@
-//! Whole regions of gateways on a fake network in virtual time.
+//! Clusters of gateways on a simulated network in virtual time.
 
 use {
     crate::common::{announcement, candidates, name},
@@ -18,26 +18,26 @@
     std::{cell::Cell, collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// One-way delay between the gateways of a region.
+/// One-way delay between gateways of the same region.
 const LINK_DELAY: Duration = Duration::from_millis(1);
 
 /// One-way delay between gateways of different regions.
-const FAR_DELAY: Duration = Duration::from_millis(55);
+const REMOTE_DELAY: Duration = Duration::from_millis(55);
 
-/// Delays by region, cuts, and a time of disorder.
-struct RegionLink {
-    near: Rc<FakeLink>,
-    far: FakeLink,
-    disorder: Rc<Disorder>,
+/// Applies link delays by region, cut links and random faults.
+struct LinkPolicy {
+    local: Rc<FakeLink>,
+    remote: FakeLink,
+    faults: Rc<NetworkFaults>,
 }
 
-/// While it is on, messages are lost, doubled and overtake each other.
-pub(crate) struct Disorder {
-    on: Cell<bool>,
+/// Random faults. While enabled, messages are lost, refused, duplicated and reordered.
+pub(crate) struct NetworkFaults {
+    enabled: Cell<bool>,
     random: SeededRandom,
 }
 
-impl Disorder {
+impl NetworkFaults {
     fn fate(&self) -> MessageFate {
         let delay = || Duration::from_millis(self.random.below(1_500));
         match self.random.below(10) {
@@ -50,18 +50,18 @@
     }
 }
 
-impl FakePolicy for RegionLink {
+impl FakePolicy for LinkPolicy {
     fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        let near = self.near.fate(path);
-        match near {
-            MessageFate::Deliver(_) if self.disorder.on.get() => self.disorder.fate(),
-            MessageFate::Deliver(_) if path.from.ip() != path.to.ip() => self.far.fate(path),
-            _ => near,
+        let local = self.local.fate(path);
+        match local {
+            MessageFate::Deliver(_) if self.faults.enabled.get() => self.faults.fate(),
+            MessageFate::Deliver(_) if path.from.ip() != path.to.ip() => self.remote.fate(path),
+            _ => local,
         }
     }
 }
 
-/// One gateway.
+/// A gateway.
 pub(crate) struct Node {
     pub(crate) region: RegionName,
     pub(crate) process: FakeProcess,
@@ -71,55 +71,60 @@
     pub(crate) address: SocketAddr,
 }
 
-/// The gateways of one or more regions.
-pub(crate) struct Region {
+/// Gateways of one or more regions.
+pub(crate) struct TestCluster {
     pub(crate) world: FakeWorld,
     pub(crate) link: Rc<FakeLink>,
-    disorder: Rc<Disorder>,
+    faults: Rc<NetworkFaults>,
     network: FakeNetwork,
     pub(crate) nodes: Vec<Node>,
 }
 
-/// The peer address of gateway `index` of region number `region`.
+/// Returns the peer address of gateway `index` of region number `region`.
 fn address(region: usize, index: usize) -> SocketAddr {
     let net = u8::try_from(region).unwrap();
     SocketAddr::from(([10, 0, net, 1], u16::try_from(7_000 + index).unwrap()))
 }
 
-/// The name of region number `region`.
+/// Returns the name of region number `region`.
 pub(crate) fn region_name(region: usize) -> RegionName {
     ["puget", "columbia", "inland"][region].parse().unwrap()
 }
 
-impl Region {
-    /// `count` gateways of one region that have found each other.
+impl TestCluster {
+    /// Starts `count` gateways in one region and waits until all are connected.
     pub(crate) fn new(seed: u64, count: usize) -> Self {
-        Self::several(seed, &[count])
+        Self::with_regions(seed, &[count])
     }
 
-    /// As many regions as counts, of so many gateways each, that have found each other.
-    pub(crate) fn several(seed: u64, counts: &[usize]) -> Self {
+    /// Starts one region per element of `counts` with that number of gateways, and waits until all
+    /// gateways of each region are connected.
+    pub(crate) fn with_regions(seed: u64, counts: &[usize]) -> Self {
         let (world, _) = FakeWorld::new(seed);
         let link = Rc::new(FakeLink::new(LINK_DELAY));
         let random = SeededRandom::new(seed);
-        let disorder = Rc::new(Disorder { on: Cell::new(false), random });
-        let far = FakeLink::new(FAR_DELAY);
-        let policy = RegionLink { near: link.clone(), far, disorder: disorder.clone() };
+        let faults = Rc::new(NetworkFaults { enabled: Cell::new(false), random });
+        let remote = FakeLink::new(REMOTE_DELAY);
+        let policy = LinkPolicy { local: link.clone(), remote, faults: faults.clone() };
         let network = FakeNetwork::new(Rc::new(policy));
-        let mut all = Self { world, link, disorder, network, nodes: Vec::new() };
+        let mut cluster = Self { world, link, faults, network, nodes: Vec::new() };
         for (region, count) in counts.iter().enumerate() {
             for index in 0..*count {
-                let node = all.make_node(region, address(region, index), 1);
-                all.nodes.push(node);
+                let node = cluster.make_node(region, address(region, index), 1);
+                cluster.nodes.push(node);
             }
         }
-        all.run_millis(10_000);
-        for node in &all.nodes {
+        cluster.run_millis(10_000);
+        for node in &cluster.nodes {
             let region = counts.iter().enumerate().find(|(r, _)| region_name(*r) == node.region);
             let count = *region.unwrap().1;
-            assert_eq!(node.relay.members().len(), count, "seed {seed}: not all have met");
+            assert_eq!(
+                node.relay.members().len(),
+                count,
+                "seed {seed}: not all gateways are connected"
+            );
         }
-        all
+        cluster
     }
 
     fn make_node(&self, region: usize, address: SocketAddr, incarnation: u64) -> Node {
@@ -157,18 +162,18 @@
         self.world.run_for(Duration::from_millis(millis));
     }
 
-    /// Begins or ends a time of disorder on the network.
-    pub(crate) fn set_disorder(&self, on: bool) {
-        self.disorder.on.set(on);
+    /// Enables or disables random network faults.
+    pub(crate) fn set_network_faults(&self, enabled: bool) {
+        self.faults.enabled.set(enabled);
     }
 
-    /// Ends a gateway's process as a kill would.
+    /// Kills the process of a gateway.
     pub(crate) fn kill(&self, index: usize) {
         self.nodes[index].process.kill();
         self.network.leave(self.nodes[index].address);
     }
 
-    /// Starts a gateway again, knowing nobody.
+    /// Restarts a gateway without any state.
     pub(crate) fn restart(&mut self, index: usize, incarnation: u64) {
         self.kill(index);
         let node = &self.nodes[index];
@@ -176,13 +181,13 @@
         self.nodes[index] = self.make_node(region, node.address, incarnation);
     }
 
-    /// A backend server announces to gateway `index` and waits for the answer.
+    /// Announces a backend server to gateway `index` and returns the reply.
     pub(crate) fn announce(&self, index: usize, announcement: &Announcement) -> AnnounceReply {
         let relay = self.nodes[index].relay.clone();
         self.world.run_until(relay.announce(announcement)).unwrap()
     }
 
-    /// Engine `e1` renews at gateway `index` every 2 s for `rounds` rounds.
+    /// Renews engine `e1` at gateway `index` every 2 s, once for each sequence number.
     pub(crate) fn renew(&self, index: usize, sequences: std::ops::Range<u64>) {
         for sequence in sequences {
             self.announce(index, &announcement(1, sequence, ServingState::Serving));
@@ -190,8 +195,8 @@
         }
     }
 
-    /// The gateways that would send new work to `e1`.
-    pub(crate) fn senders(&self) -> Vec<usize> {
+    /// Returns the live gateways that would dispatch new requests to `e1`.
+    pub(crate) fn dispatching_gateways(&self) -> Vec<usize> {
         let sends = |index: &usize| {
             let node = &self.nodes[*index];
             !node.process.is_killed() && candidates(&node.table).iter().any(|n| n.starts_with("e1"))
@@ -199,14 +204,14 @@
         (0..self.nodes.len()).filter(sends).collect()
     }
 
-    /// The health of `e1` at each live gateway.
+    /// Returns the distinct health values of `e1` on the live gateways.
     pub(crate) fn healths(&self) -> BTreeSet<Option<BackendHealth>> {
         let live = self.nodes.iter().filter(|node| !node.process.is_killed());
         live.map(|node| node.table.health(&name("e1"))).collect()
     }
 }
 
-/// Two gateways of each region that may exist.
+/// Returns two gateways of each possible region.
 fn seeds() -> Vec<SocketAddr> {
     (0..3).flat_map(|region| (0..2).map(move |index| address(region, index))).collect()
 }
--- a/crates/backend/tests/membership/common.rs
+++ b/crates/backend/tests/membership/common.rs
@@ -1,4 +1,4 @@
-//! What the membership tests share.
+//! Shared helpers of the membership tests.
 
 use {
     gullglade_backend::{
@@ -12,17 +12,17 @@
     std::{cell::Cell, rc::Rc, time::Duration},
 };
 
-/// The model that every engine of the tests serves.
+/// Model served by all engines in the tests.
 pub(crate) fn model() -> ModelName {
     ModelName::try_from("ballast").unwrap()
 }
 
-/// A clock that moves only when told.
+/// Clock that only advances on request.
 #[derive(Default)]
 pub(crate) struct ManualClock(Cell<Duration>);
 
 impl ManualClock {
-    /// Moves it by `millis`.
+    /// Advances the clock by `millis` milliseconds.
     pub(crate) fn advance(&self, millis: u64) {
         self.0.set(self.0.get() + Duration::from_millis(millis));
     }
@@ -42,23 +42,23 @@
     }
 }
 
-/// A table of region puget and its clock.
+/// Returns a table for region puget and its clock.
 pub(crate) fn table() -> (Rc<ManualClock>, BackendTable) {
     let clock = Rc::new(ManualClock::default());
     (clock.clone(), BackendTable::new(region(), BackendConfig::default(), clock))
 }
 
-/// The region of the tests.
+/// Returns the region used by the tests.
 pub(crate) fn region() -> RegionName {
     "puget".parse().unwrap()
 }
 
-/// A backend server's name.
+/// Parses the name of a backend server.
 pub(crate) fn name(text: &str) -> BackendName {
     BackendName::try_from(text).unwrap()
 }
 
-/// An engine's profile.
+/// Returns the profile of an engine.
 pub(crate) fn profile() -> BackendProfile {
     BackendProfile {
         region: region(),
@@ -77,7 +77,7 @@
     }
 }
 
-/// A whole announcement of engine `e1`.
+/// Returns an announcement of engine `e1` with its profile.
 pub(crate) fn announcement(incarnation: u64, sequence: u64, state: ServingState) -> Announcement {
     Announcement {
         name: name("e1"),
@@ -90,10 +90,10 @@
     }
 }
 
-/// The names of the candidates for [`model`]; a suspect one ends with `?`.
+/// Returns the names of the candidates for [`model`], with a `?` appended to suspect ones.
 pub(crate) fn candidates(table: &BackendTable) -> Vec<String> {
     table.with_candidates(BackendTarget::Model(&model()), |views| {
-        let mark = |suspect| if suspect { "?" } else { "" };
-        views.iter().map(|v| format!("{}{}", v.name, mark(v.suspect))).collect()
+        let suffix = |suspect| if suspect { "?" } else { "" };
+        views.iter().map(|v| format!("{}{}", v.name, suffix(v.suspect))).collect()
     })
 }
--- a/crates/backend/tests/membership/main.rs
+++ b/crates/backend/tests/membership/main.rs
@@ -1,10 +1,10 @@
-//! Membership of backend servers and gateways, from one table up to whole regions.
+//! Membership of backend servers and gateways, from a single table to several regions.
 
 mod announcement;
+mod cluster;
 mod common;
 mod entry;
 mod properties;
-mod region;
 mod regions;
 mod relay;
 mod subset;
--- a/crates/backend/tests/membership/properties.rs
+++ b/crates/backend/tests/membership/properties.rs
@@ -1,9 +1,9 @@
-//! Properties of membership under any order, repetition and loss.
+//! Property tests of membership under reordering, repetition and loss.
 
 use {
     crate::{
+        cluster::TestCluster,
         common::{announcement, name, table},
-        region::Region,
     },
     gullglade_backend::{
         AgedRecord, Announcement, BackendRecord, BackendTable, Origin, RunStatus, ServingState,
@@ -13,9 +13,9 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Something that was said of one of three engines.
+/// An update about one of three engines.
 #[derive(Clone, Debug)]
-struct Saying {
+struct Update {
     engine: u8,
     incarnation: u64,
     sequence: u64,
@@ -24,7 +24,7 @@
     with_profile: bool,
 }
 
-impl Arbitrary for Saying {
+impl Arbitrary for Update {
     fn arbitrary(g: &mut Gen) -> Self {
         let expires = u8::arbitrary(g) % 4 == 0;
         Self {
@@ -38,13 +38,14 @@
     }
 }
 
-impl Saying {
+impl Update {
     fn announcement(&self) -> Announcement {
         let state = if self.leaving { ServingState::Leaving } else { ServingState::Serving };
         let mut said = announcement(self.incarnation, self.sequence, state);
         said.name = name(&format!("e{}", self.engine));
-        // One announcement always says the same, so what it carries follows from its number.
-        let profile = said.profile.as_mut().expect("the helper gives one");
+        // The contents are derived from the sequence number, because an announcement with a given
+        // number always has the same contents.
+        let profile = said.profile.as_mut().expect("the helper includes a profile");
         profile.capacity.slots = u32::try_from(10 + self.sequence).unwrap();
         said.profile = said.profile.filter(|_| self.with_profile);
         said
@@ -57,52 +58,52 @@
     }
 }
 
-fn take(table: &BackendTable, saying: &Saying) {
-    let aged = AgedRecord::new(saying.record(), Duration::ZERO, Duration::ZERO);
+fn merge(table: &BackendTable, update: &Update) {
+    let aged = AgedRecord::new(update.record(), Duration::ZERO, Duration::ZERO);
     table.merge_record(&aged, Origin::Row).unwrap();
 }
 
-/// What gateways must agree on.
-fn agreed(table: &BackendTable) -> BTreeMap<BackendName, (RunStatus, Option<u64>)> {
+/// Returns the state on which gateways must agree.
+fn replicated_state(table: &BackendTable) -> BTreeMap<BackendName, (RunStatus, Option<u64>)> {
     let names = (0..3).map(|engine| name(&format!("e{engine}")));
     let records = names.filter_map(|name| table.record(&name));
     records.map(|r| (r.name.clone(), (r.status, r.profile.map(|p| p.sequence)))).collect()
 }
 
 #[test]
-fn any_order_and_repetition_gives_the_same_membership() {
-    fn property(sayings: Vec<Saying>, seed: u64, repeats: u8) -> bool {
+fn membership_is_independent_of_order_and_repetition() {
+    fn property(updates: Vec<Update>, seed: u64, repeats: u8) -> bool {
         let (_, first) = table();
-        sayings.iter().for_each(|saying| take(&first, saying));
-        let mut shuffled = sayings.clone();
+        updates.iter().for_each(|update| merge(&first, update));
+        let mut shuffled = updates.clone();
         let random = SeededRandom::new(seed);
-        for _ in 0..repeats.min(u8::try_from(sayings.len()).unwrap_or(u8::MAX)) {
-            shuffled.push(sayings[random.below(sayings.len() as u64) as usize].clone());
+        for _ in 0..repeats.min(u8::try_from(updates.len()).unwrap_or(u8::MAX)) {
+            shuffled.push(updates[random.below(updates.len() as u64) as usize].clone());
         }
         for index in (1..shuffled.len()).rev() {
             shuffled.swap(index, random.below(index as u64 + 1) as usize);
         }
         let (_, second) = table();
-        shuffled.iter().for_each(|saying| take(&second, saying));
-        agreed(&first) == agreed(&second)
+        shuffled.iter().for_each(|update| merge(&second, update));
+        replicated_state(&first) == replicated_state(&second)
     }
-    QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Saying>, u64, u8) -> bool);
+    QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Update>, u64, u8) -> bool);
 }
 
 #[test]
-fn no_old_incarnation_returns_and_leaving_is_final() {
-    fn property(sayings: Vec<Saying>) -> bool {
+fn incarnations_never_regress_and_leaving_is_final() {
+    fn property(updates: Vec<Update>) -> bool {
         let (_, table) = table();
-        sayings.iter().all(|saying| {
-            let before = agreed(&table);
-            take(&table, saying);
-            never_goes_back(&before, &agreed(&table))
+        updates.iter().all(|update| {
+            let before = replicated_state(&table);
+            merge(&table, update);
+            never_regresses(&before, &replicated_state(&table))
         })
     }
-    QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Saying>) -> bool);
+    QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Update>) -> bool);
 }
 
-fn never_goes_back(
+fn never_regresses(
     before: &BTreeMap<BackendName, (RunStatus, Option<u64>)>,
     after: &BTreeMap<BackendName, (RunStatus, Option<u64>)>,
 ) -> bool {
@@ -113,75 +114,77 @@
     })
 }
 
-/// What happens during a time of disorder.
+/// A step in a random schedule with network faults.
 #[derive(Clone, Debug)]
-enum Happening {
+enum TestAction {
     /// An engine announces, or an old announcement arrives late or again.
-    Say { gateway: u8, saying: Saying },
-    /// A gateway is killed and starts again knowing nobody.
+    Announce { gateway: u8, update: Update },
+    /// A gateway is killed and restarted without any state.
     Restart { gateway: u8 },
     /// Time passes.
     Wait { millis: u16 },
 }
 
-impl Arbitrary for Happening {
+impl Arbitrary for TestAction {
     fn arbitrary(g: &mut Gen) -> Self {
         let gateway = u8::arbitrary(g);
         match u8::arbitrary(g) % 8 {
             0 => Self::Restart { gateway },
             1 | 2 => Self::Wait { millis: u16::arbitrary(g) % 3_000 },
-            _ => Self::Say { gateway, saying: Saying::arbitrary(g) },
+            _ => Self::Announce { gateway, update: Update::arbitrary(g) },
         }
     }
 }
 
-// Symptom: gateways disagree for good on who serves.
-// Events: any announcements, late and doubled, at any gateways; messages between these are lost,
-// doubled and overtake each other; gateways restart; then the network is whole again.
-// Cause: an update that depends on the order of arrival, or a loss that nothing heals.
+// Guards against permanent disagreement about the serving engines. Announcements arrive late and
+// twice at any gateway, messages between gateways are lost, duplicated and reordered, and gateways
+// restart. After the faults end, no update may depend on the order of arrival, and every loss must
+// be recovered.
 #[test]
-fn a_region_agrees_after_any_disorder() {
-    fn property(happenings: Vec<Happening>, seed: u64, many: bool) -> bool {
-        let count = if many { 14 } else { 4 };
-        let mut region = Region::new(seed, count);
-        region.set_disorder(true);
+fn region_converges_after_network_faults_and_restarts() {
+    fn property(actions: Vec<TestAction>, seed: u64, large: bool) -> bool {
+        let count = if large { 14 } else { 4 };
+        let mut cluster = TestCluster::new(seed, count);
+        cluster.set_network_faults(true);
         let mut incarnation = 1;
-        for happening in &happenings {
-            let before: Vec<_> = region.nodes.iter().map(|n| agreed(&n.table)).collect();
+        for action in &actions {
+            let before: Vec<_> = cluster.nodes.iter().map(|n| replicated_state(&n.table)).collect();
             let mut restarted = None;
-            match happening {
-                Happening::Say { gateway, saying } => {
+            match action {
+                TestAction::Announce { gateway, update } => {
                     let index = usize::from(*gateway) % count;
-                    // The same announcement goes to all who get it, so it is whole.
-                    let saying = Saying { with_profile: true, expired: None, ..saying.clone() };
-                    region.announce(index, &saying.announcement());
+                    // All gateways receive the same announcement with its profile.
+                    let update = Update { with_profile: true, expired: None, ..update.clone() };
+                    cluster.announce(index, &update.announcement());
                 }
-                Happening::Restart { gateway } => {
+                TestAction::Restart { gateway } => {
                     incarnation += 1;
                     let index = usize::from(*gateway) % count;
-                    region.restart(index, incarnation);
+                    cluster.restart(index, incarnation);
                     restarted = Some(index);
                 }
-                Happening::Wait { millis } => region.run_millis(u64::from(*millis)),
+                TestAction::Wait { millis } => cluster.run_millis(u64::from(*millis)),
             }
-            let ordered = region.nodes.iter().zip(&before).enumerate().all(|(index, (n, b))| {
-                restarted == Some(index) || never_goes_back(b, &agreed(&n.table))
-            });
-            if !ordered {
+            let is_monotonic =
+                cluster.nodes.iter().zip(&before).enumerate().all(|(index, (n, b))| {
+                    restarted == Some(index) || never_regresses(b, &replicated_state(&n.table))
+                });
+            if !is_monotonic {
                 return false;
             }
         }
-        region.set_disorder(false);
-        region.run_millis(60_000);
-        let first = comparable(&region.nodes[0].table);
-        let met = region.nodes.iter().all(|n| n.relay.members().len() == count);
-        met && region.nodes.iter().all(|n| comparable(&n.table) == first)
+        cluster.set_network_faults(false);
+        cluster.run_millis(60_000);
+        let first = comparable(&cluster.nodes[0].table);
+        let all_joined = cluster.nodes.iter().all(|n| n.relay.members().len() == count);
+        all_joined && cluster.nodes.iter().all(|n| comparable(&n.table) == first)
     }
-    QuickCheck::new().tests(15).quickcheck(property as fn(Vec<Happening>, u64, bool) -> bool);
+    QuickCheck::new().tests(15).quickcheck(property as fn(Vec<TestAction>, u64, bool) -> bool);
 }
 
-/// Which runs there are and whether they may get work; sequences differ with what was heard last.
+/// Returns the known runs and whether they may get requests. Sequence numbers are excluded, because
+/// they depend on the last announcement received.
 fn comparable(table: &BackendTable) -> Vec<(BackendName, Incarnation, ServingState, bool)> {
-    let rows = agreed(table).into_iter();
+    let rows = replicated_state(table).into_iter();
     rows.map(|(name, (s, _))| (name, s.incarnation, s.state, s.is_live())).collect()
 }
--- a/crates/backend/tests/membership/subset.rs
+++ b/crates/backend/tests/membership/subset.rs
@@ -1,4 +1,4 @@
-//! Subsets: everyone is followed, choices span failure domains, changes move only their share.
+//! Subsets: every engine has followers, choices span failure domains, and changes are local.
 
 use {
     gullglade_backend::{RelayPlan, SubsetConfig, SubsetMember, SubsetPlan},
@@ -10,12 +10,12 @@
     (0..count).map(|i| format!("vm-{i}").parse().unwrap()).collect()
 }
 
-fn with_domains(gateways: &BTreeSet<VmName>) -> BTreeMap<VmName, FailureDomain> {
+fn assign_domains(gateways: &BTreeSet<VmName>) -> BTreeMap<VmName, FailureDomain> {
     let domain = |index: usize| format!("domain-{}", index % 3).parse().unwrap();
     gateways.iter().enumerate().map(|(index, vm)| (vm.clone(), domain(index))).collect()
 }
 
-/// Engines of 26 models, the first models with more of them, in 4 failure domains.
+/// Returns engines of 26 models in 4 failure domains. The first models have more engines.
 fn engines(count: usize) -> Vec<SubsetMember> {
     let member = |i: usize| SubsetMember {
         name: format!("engine-{i}").parse().unwrap(),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_engine_has_its_followers_and_every_gateway_its_choices() {
+fn every_engine_has_enough_followers_and_every_gateway_enough_choices() {
     for (gateway_count, engine_count) in [(3, 15), (9, 15), (18, 145), (74, 580)] {
         let (gateways, engines) = (gateways(gateway_count), engines(engine_count));
         let followed = followed(&gateways, &engines);
@@ -64,20 +64,20 @@
     name: &'static str,
     gateways: (usize, usize),
     engines: (usize, usize),
-    /// The most pairs of gateway and engine that may change, of all followed ones.
+    /// Maximum share of the pairs of gateway and followed engine that may change.
     share: f64,
 }
 
-// Symptom: caches go cold and load jumps all over the region when one VM restarts.
-// Events: one gateway or engine comes or goes.
-// Cause: a subset cut from a list by position moves everyone behind the gap.
+// Guards against cold caches and load shifts in the whole region when a single gateway or engine is
+// added or removed. Subsets chosen by list position would change for every member after the
+// affected one.
 #[test]
-fn one_change_moves_only_its_share() {
+fn one_change_reassigns_only_its_share() {
     let cases = [
         ChangeCase { name: "gateway", gateways: (74, 73), engines: (580, 580), share: 2.5 / 74.0 },
         ChangeCase { name: "engine", gateways: (74, 74), engines: (580, 579), share: 2.5 / 580.0 },
         ChangeCase {
-            name: "engine, mean",
+            name: "engine, mean region",
             gateways: (18, 18),
             engines: (145, 144),
             share: 2.5 / 145.0,
@@ -98,20 +98,20 @@
 }
 
 #[test]
-fn what_one_tells_reaches_everyone_in_two_steps() {
+fn every_update_reaches_every_gateway_once_in_two_steps() {
     for count in [1, 2, 9, 12, 13, 18, 40, 74] {
-        let members = with_domains(&gateways(count));
+        let members = assign_domains(&gateways(count));
         let plans: BTreeMap<_, _> =
             members.keys().map(|m| (m.clone(), RelayPlan::new(m, &members))).collect();
         for (own, plan) in &plans {
             let mut reached: Vec<&VmName> =
                 plan.row_peers.iter().chain(&plan.relay_targets).collect();
-            reached.extend(plan.row_peers.iter().flat_map(|mate| &plans[mate].relay_targets));
+            reached.extend(plan.row_peers.iter().flat_map(|peer| &plans[peer].relay_targets));
             reached.push(own);
             reached.sort();
             let once: BTreeSet<_> = reached.iter().collect();
-            assert_eq!(once.len(), members.len(), "{own} of {count} does not reach everyone");
-            assert_eq!(reached.len(), members.len(), "{own} of {count} tells someone twice");
+            assert_eq!(once.len(), members.len(), "{own} of {count} does not reach every gateway");
+            assert_eq!(reached.len(), members.len(), "{own} of {count} reaches a gateway twice");
         }
     }
 }
@@ -119,19 +119,19 @@
 #[test]
 fn every_gateway_is_watched_from_other_failure_domains() {
     for count in [4, 9, 18, 40, 74] {
-        let members = with_domains(&gateways(count));
+        let members = assign_domains(&gateways(count));
         let plans: BTreeMap<_, _> =
             members.keys().map(|m| (m.clone(), RelayPlan::new(m, &members))).collect();
         for vm in members.keys() {
             let watchers: Vec<_> =
                 plans.iter().filter(|(_, p)| p.watched.contains(vm)).map(|(w, _)| w).collect();
             let row_peers = &plans[vm].row_peers;
-            let far = |mate: &&VmName| members[*mate] != members[vm];
+            let in_other_domain = |peer: &&VmName| members[*peer] != members[vm];
             assert_eq!(watchers.len(), row_peers.len().min(3), "{vm} of {count}");
-            let far_watchers = watchers.iter().copied().filter(far).count();
+            let watchers_in_other_domain = watchers.iter().copied().filter(in_other_domain).count();
             assert_eq!(
-                far_watchers,
-                row_peers.iter().filter(far).count().min(3),
+                watchers_in_other_domain,
+                row_peers.iter().filter(in_other_domain).count().min(3),
                 "{vm} of {count}"
             );
         }
--- a/crates/backend/tests/membership/table.rs
+++ b/crates/backend/tests/membership/table.rs
@@ -1,4 +1,4 @@
-//! One gateway's table: leases, incarnations and the correction of reported load.
+//! Table of a single gateway: leases, incarnations and the correction of reported load.
 
 use {
     crate::common::{announcement, candidates, model, name, table},
@@ -11,64 +11,63 @@
 
 struct OrderCase {
     name: &'static str,
-    /// Incarnation, sequence, state of each announcement in the order of arrival.
-    heard: &'static [(u64, u64, ServingState)],
+    /// Incarnation, sequence number and state of each announcement, in the order of arrival.
+    announcements: &'static [(u64, u64, ServingState)],
     incarnation: u64,
     sequence: u64,
     health: BackendHealth,
 }
 
-// Symptom: an engine that left or restarted gets work again, which nobody answers.
-// Events: announcements arrive twice, late, or out of order.
-// Cause: the last one heard is taken for the newest one written.
+// Guards against dispatching requests to an engine that has left or restarted. Announcements arrive
+// twice, late or out of order, and the last one received is not always the newest.
 #[test]
-fn late_and_repeated_announcements_change_nothing() {
+fn late_and_repeated_announcements_are_ignored() {
     let cases = [
         OrderCase {
             name: "in order",
-            heard: &[(1, 1, Serving), (1, 2, Serving)],
+            announcements: &[(1, 1, Serving), (1, 2, Serving)],
             incarnation: 1,
             sequence: 2,
             health: BackendHealth::Serving,
         },
         OrderCase {
-            name: "swapped",
-            heard: &[(1, 2, Serving), (1, 1, Serving)],
+            name: "out of order",
+            announcements: &[(1, 2, Serving), (1, 1, Serving)],
             incarnation: 1,
             sequence: 2,
             health: BackendHealth::Serving,
         },
         OrderCase {
             name: "repeated",
-            heard: &[(1, 2, Serving), (1, 2, Serving)],
+            announcements: &[(1, 2, Serving), (1, 2, Serving)],
             incarnation: 1,
             sequence: 2,
             health: BackendHealth::Serving,
         },
         OrderCase {
-            name: "leaving overtakes",
-            heard: &[(1, 3, Leaving), (1, 2, Serving)],
+            name: "leaving arrives first",
+            announcements: &[(1, 3, Leaving), (1, 2, Serving)],
             incarnation: 1,
             sequence: 3,
             health: BackendHealth::Leaving,
         },
         OrderCase {
             name: "leaving is final",
-            heard: &[(1, 3, Leaving), (1, 4, Serving)],
+            announcements: &[(1, 3, Leaving), (1, 4, Serving)],
             incarnation: 1,
             sequence: 4,
             health: BackendHealth::Leaving,
         },
         OrderCase {
-            name: "restart serves again",
-            heard: &[(1, 3, Leaving), (2, 1, Serving)],
+            name: "serving after restart",
+            announcements: &[(1, 3, Leaving), (2, 1, Serving)],
             incarnation: 2,
             sequence: 1,
             health: BackendHealth::Serving,
         },
         OrderCase {
             name: "old run after restart",
-            heard: &[(2, 1, Serving), (1, 9, Leaving)],
+            announcements: &[(2, 1, Serving), (1, 9, Leaving)],
             incarnation: 2,
             sequence: 1,
             health: BackendHealth::Serving,
@@ -76,7 +75,7 @@
     ];
     for case in cases {
         let (_, table) = table();
-        for (incarnation, sequence, state) in case.heard {
+        for (incarnation, sequence, state) in case.announcements {
             table.announce(&announcement(*incarnation, *sequence, *state)).unwrap();
         }
         let record = table.record(&name("e1")).unwrap();
@@ -86,11 +85,10 @@
     }
 }
 
-// Symptom: requests wait for an engine whose VM is gone.
-// Events: the engine announces, then its VM dies without a word.
-// Cause: nothing but silence tells; the lease must run out here, and late reports don't renew it.
+// Guards against requests that wait for an engine whose VM has failed. The engine sends no notice,
+// so its lease must expire locally, and late reports must not renew it.
 #[test]
-fn silence_makes_suspect_then_out() {
+fn silent_backend_becomes_suspect_then_expires() {
     let (clock, table) = table();
     table.announce(&announcement(1, 5, Serving)).unwrap();
     clock.advance(4_999);
@@ -101,14 +99,14 @@
     clock.advance(5_000);
     assert_eq!(candidates(&table), [""; 0]);
     table.announce(&announcement(1, 6, Serving)).unwrap();
-    assert_eq!(candidates(&table), ["e1"], "it was only cut off");
+    assert_eq!(candidates(&table), ["e1"], "the announcement renews the lease");
 }
 
-// Symptom: an engine never gets work after its VM was replaced.
-// Events: it restarts on a VM whose clock is behind, so its new incarnation is the lower one.
-// Cause: incarnations come from wall clocks; the reply must say which one to exceed.
+// Guards against an engine that gets no requests after its VM was replaced. The clock of the new VM
+// is behind, and incarnations are derived from wall clocks, so the new incarnation is lower. The
+// reply must state the incarnation to exceed.
 #[test]
-fn a_stepped_back_clock_is_told_the_incarnation_to_exceed() {
+fn reply_to_a_lower_incarnation_states_the_one_to_exceed() {
     let (_, table) = table();
     table.announce(&announcement(900, 5, Serving)).unwrap();
     let reply = table.announce(&announcement(100, 1, Serving)).unwrap().reply;
@@ -120,7 +118,7 @@
 }
 
 #[test]
-fn a_renewal_of_an_unknown_profile_is_asked_for_it() {
+fn renewal_without_a_known_profile_requests_the_profile() {
     let (_, table) = table();
     let mut renewal = announcement(1, 2, Serving);
     let profile = renewal.profile.take();
@@ -132,11 +130,10 @@
     assert_eq!(candidates(&table), ["e1"]);
 }
 
-// Symptom: an idle engine is flooded while others stand idle.
-// Events: it reports 1 request; before the next report this gateway sends it 3 more.
-// Cause: the report is older than the dispatches.
+// Guards against overloading an idle engine. It reports one request, and this gateway dispatches
+// three more before the next report, which are missing from the report.
 #[test]
-fn own_dispatches_correct_the_report() {
+fn load_report_is_corrected_by_own_dispatches() {
     let (clock, table) = table();
     let requests = || table.with_candidates(BackendTarget::Model(&model()), |v| v[0].requests());
     let prefill =
@@ -155,14 +152,14 @@
     report.load.running = 3;
     report.load.queued_prefill_tokens = 100;
     table.announce(&report).unwrap();
-    assert_eq!((requests(), prefill()), (3, 100), "the report counts the two in progress");
+    assert_eq!((requests(), prefill()), (3, 100), "the report includes the two in progress");
     clock.advance(10);
     guards.clear();
-    assert_eq!(requests(), 1, "two that the report counts have ended");
+    assert_eq!(requests(), 1, "two requests of the report have ended");
 }
 
 #[test]
-fn a_failed_dispatch_makes_suspect_until_the_next_report() {
+fn failed_dispatch_makes_backend_suspect_until_the_next_report() {
     let (clock, table) = table();
     table.announce(&announcement(1, 1, Serving)).unwrap();
     clock.advance(10);
@@ -173,29 +170,28 @@
     assert_eq!(candidates(&table), ["e1"]);
 }
 
-// Symptom: an engine that was cut off for a while gets its full share at once, with a cold cache.
-// Events: it is silent for longer than its lease, then announces again in the same incarnation.
-// Cause: the time it has served is counted from its start instead of from its return.
+// Guards against sending the full share of requests to an engine with a cold cache. The engine is
+// silent for longer than its lease and returns in the same incarnation. Its serving time must count
+// from its return.
 #[test]
-fn a_return_starts_the_time_served_anew() {
+fn serving_time_restarts_after_the_lease_expired() {
     let (clock, table) = table();
-    let served =
+    let serving_seconds =
         || table.with_candidates(BackendTarget::Model(&model()), |v| v[0].serving_for.as_secs());
     for sequence in 1..=16 {
         table.announce(&announcement(1, sequence, Serving)).unwrap();
         clock.advance(2_000);
     }
-    assert_eq!(served(), 32);
+    assert_eq!(serving_seconds(), 32);
     clock.advance(10_000);
     table.announce(&announcement(1, 17, Serving)).unwrap();
-    assert_eq!(served(), 0);
+    assert_eq!(serving_seconds(), 0);
 }
 
-// Symptom: work is lost again and again at an engine that crashes under it.
-// Events: it restarts every few seconds and each time looks new and idle.
-// Cause: each restart clears what was known of it.
+// Guards against losing requests repeatedly at an engine in a crash loop. The engine restarts every
+// few seconds and looks new and idle each time.
 #[test]
-fn an_engine_that_keeps_restarting_is_suspect() {
+fn crash_looping_engine_is_suspect() {
     let (clock, table) = table();
     for incarnation in 1..=4 {
         table.announce(&announcement(incarnation, 1, Serving)).unwrap();
