--- a/crates/backend/examples/membership_traffic.rs
+++ b/crates/backend/examples/membership_traffic.rs
@@ -181,7 +181,7 @@
 /// Transport that counts the calls of one gateway.
 struct CountingTransport<T> {
     inner: T,
-    own: SocketAddr,
+    local: SocketAddr,
     counters: Rc<TrafficCounters>,
 }
 
@@ -196,11 +196,11 @@
         Box::pin(async move {
             let sent = method.len() + body.len();
             if method == "backend.delta" {
-                self.counters.count_categories(self.own, &body);
+                self.counters.count_categories(self.local, &body);
             }
             let answer = self.inner.call(to, method, body, limit).await;
             let received = answer.as_ref().map_or(0, Bytes::len);
-            self.counters.count_call(self.own, to, sent, received);
+            self.counters.count_call(self.local, to, sent, received);
             answer
         })
     }
@@ -260,7 +260,8 @@
             clock: Rc::default(),
             handlers: handlers.clone(),
         });
-        let transport = CountingTransport { inner, own: address, counters: self.counters.clone() };
+        let transport =
+            CountingTransport { inner, local: address, counters: self.counters.clone() };
         let dependencies = RelayDependencies {
             transport: Rc::new(transport),
             events: Rc::new(NullSink),
@@ -276,9 +277,9 @@
             caller_address: SocketAddr::new(address.ip(), address.port() + 1_000),
             limit: 1_000,
         };
-        let own = LocalGateway { vm: identity.vm, incarnation: identity.incarnation, profile };
+        let local = LocalGateway { vm: identity.vm, incarnation: identity.incarnation, profile };
         let config = RelayConfig { seeds: self.seeds.clone(), ..RelayConfig::default() };
-        let relay = BackendRelay::new(own, table, config, dependencies);
+        let relay = BackendRelay::new(local, table, config, dependencies);
         handlers.register("backend", relay.handler());
         relay.start();
         (relay, context)
@@ -403,12 +404,14 @@
 
 fn report(size: RunSize, counters: &TrafficCounters) {
     let nodes = counters.by_node.borrow();
-    let own: Vec<Traffic> =
+    let traffic: Vec<Traffic> =
         (0..size.gateways).filter_map(|i| nodes.get(&address(0, i)).copied()).collect();
     let seconds = MEASURED.as_secs_f64();
-    let mean =
-        |pick: fn(&Traffic) -> f64| own.iter().map(pick).sum::<f64>() / own.len() as f64 / seconds;
-    let maximum = |pick: fn(&Traffic) -> f64| own.iter().map(pick).fold(0.0, f64::max) / seconds;
+    let mean = |pick: fn(&Traffic) -> f64| {
+        traffic.iter().map(pick).sum::<f64>() / traffic.len() as f64 / seconds
+    };
+    let maximum =
+        |pick: fn(&Traffic) -> f64| traffic.iter().map(pick).fold(0.0, f64::max) / seconds;
     let RunSize { gateways, engines, regions, models } = size;
     println!(
         "| {gateways} | {engines} | {regions} | {models} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} \
--- a/crates/backend/src/subset.rs
+++ b/crates/backend/src/subset.rs
@@ -111,13 +111,13 @@
         let entry = (score_of(engine.name.as_str()), &engine.name);
         by_domain.entry(&engine.domain).or_default().push(entry);
     }
-    let mut turns = Vec::with_capacity(engines.len());
+    let mut candidates = Vec::with_capacity(engines.len());
     for (domain, mut ranked) in by_domain {
         ranked.sort();
         let domain_score = score_of(domain.as_str());
-        let places = ranked.into_iter().enumerate();
-        turns.extend(places.map(|(turn, (_, name))| (turn, domain_score, name)));
+        let positions = ranked.into_iter().enumerate();
+        candidates.extend(positions.map(|(turn, (_, name))| (turn, domain_score, name)));
     }
-    turns.sort();
-    turns.into_iter().take(count).map(|(_, _, name)| name.clone())
+    candidates.sort();
+    candidates.into_iter().take(count).map(|(_, _, name)| name.clone())
 }
--- a/crates/backend/tests/membership/properties.rs
+++ b/crates/backend/tests/membership/properties.rs
@@ -41,14 +41,14 @@
 impl Update {
     fn announcement(&self) -> Announcement {
         let state = if self.leaving { ServingState::Leaving } else { ServingState::Serving };
-        let mut said = announcement(self.incarnation, self.sequence, state);
-        said.name = name(&format!("e{}", self.engine));
+        let mut message = announcement(self.incarnation, self.sequence, state);
+        message.name = name(&format!("e{}", self.engine));
         // The contents are derived from the sequence number, because an announcement with a given
         // number always has the same contents.
-        let profile = said.profile.as_mut().expect("the helper includes a profile");
+        let profile = message.profile.as_mut().expect("the helper includes a profile");
         profile.capacity.slots = u32::try_from(10 + self.sequence).unwrap();
-        said.profile = said.profile.filter(|_| self.with_profile);
-        said
+        message.profile = message.profile.filter(|_| self.with_profile);
+        message
     }
 
     fn record(&self) -> BackendRecord {
