--- a/crates/backend/src/summary.rs
+++ b/crates/backend/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a region, or a row of its gateways, says of its backend servers in sum.
+//! Aggregated capacity and load of the backend servers of a region or of a row of gateways.
 
 use {
     crate::{BackendKind, BackendRecord, BackendTarget},
@@ -8,19 +8,21 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// The unit of prompt tokens in messages.
+/// Unit of prompt tokens in messages.
 const TOKEN_UNIT: u64 = 64;
 
-/// Free slots that differ by less than this share of all slots are not told.
-const TELL_SLOTS: u32 = 10;
+/// Changes of the free slots up to this fraction (1/n) of all slots are not sent, unless the number
+/// becomes zero or non-zero.
+const MIN_SLOT_CHANGE_DIVISOR: u32 = 10;
 
-/// A queue of prompt tokens that differs by less than this many seconds of reading is not told.
-const TELL_PREFILL_SECONDS: f64 = 0.25;
+/// Changes of the prefill queue up to this time, in seconds of prefill throughput, are not sent.
+const MIN_PREFILL_CHANGE_SECONDS: f64 = 0.25;
 
-/// A region states its free slots less this share of all slots, which it keeps for its own callers.
-const RESERVE_SHARE: u32 = 10;
+/// Fraction (1/n) of all slots that a region reserves for its own callers and does not offer to
+/// other regions.
+const RESERVE_DIVISOR: u32 = 10;
 
-/// Names a model or a plain service in four bytes.
+/// Four-byte identifier of a model or plain service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetId([u8; 4]);
 
@@ -35,22 +37,21 @@
     }
 }
 
-/// The backend servers of one target, summed up.
+/// Aggregated capacity and load of the backend servers of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetTotals {
-    /// Backend servers.
+    /// Number of backend servers.
     pub engines: u32,
-    /// Requests that they work on at the same time.
+    /// Total number of slots.
     pub slots: u32,
-    /// Slots that are free.
+    /// Free slots.
     pub free_slots: u32,
-    /// Prompt tokens not read yet.
+    /// Prompt tokens queued for prefill.
     pub prefill_tokens: u64,
-    /// Prompt tokens read a second.
+    /// Prefill throughput, in prompt tokens per second.
     pub prefill_rate: u64,
 }
 
-/// Totals by target.
 pub(crate) type TotalsMap = BTreeMap<TargetId, TargetTotals>;
 
 impl TargetTotals {
@@ -62,9 +63,9 @@
         self.prefill_rate = self.prefill_rate.saturating_add(other.prefill_rate);
     }
 
-    /// Less what the region keeps for its own callers.
-    pub(crate) fn stated(mut self) -> Self {
-        self.free_slots = self.free_slots.saturating_sub(self.slots / RESERVE_SHARE);
+    /// Subtracts the reserve for the region's own callers from the free slots.
+    pub(crate) fn without_reserve(mut self) -> Self {
+        self.free_slots = self.free_slots.saturating_sub(self.slots / RESERVE_DIVISOR);
         self
     }
 
@@ -73,12 +74,13 @@
         capacity(self) == capacity(other)
     }
 
-    /// Whether somebody who was told `told` would decide differently by this.
-    fn moved_from(&self, told: &TargetTotals) -> bool {
-        let emptied = (self.free_slots == 0) != (told.free_slots == 0);
-        let freed = self.free_slots.abs_diff(told.free_slots) > self.slots / TELL_SLOTS;
-        let queued = self.prefill_tokens.abs_diff(told.prefill_tokens) as f64;
-        emptied || freed || queued > self.prefill_rate as f64 * TELL_PREFILL_SECONDS
+    /// Returns whether the difference from `sent` is large enough to affect routing decisions.
+    fn differs_materially(&self, sent: &TargetTotals) -> bool {
+        let emptied = (self.free_slots == 0) != (sent.free_slots == 0);
+        let freed =
+            self.free_slots.abs_diff(sent.free_slots) > self.slots / MIN_SLOT_CHANGE_DIVISOR;
+        let queued = self.prefill_tokens.abs_diff(sent.prefill_tokens) as f64;
+        emptied || freed || queued > self.prefill_rate as f64 * MIN_PREFILL_CHANGE_SECONDS
     }
 }
 
@@ -110,7 +112,7 @@
     }
 }
 
-/// The totals of one target as they are sent when its capacity is new to the receiver.
+/// Capacity and load of one target, sent if its capacity is new to the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FullTotals {
     target: TargetId,
@@ -121,7 +123,7 @@
     rate: u32,
 }
 
-/// The totals of one target whose capacity the receiver knows.
+/// Load of one target whose capacity the receiver knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadTotals {
     target: TargetId,
@@ -129,86 +131,95 @@
     prefill: u32,
 }
 
-/// The difference between two `TotalsMap`s, as far as it matters.
+/// Difference between two `TotalsMap`s, without insignificant changes of load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TotalsDelta {
-    /// All targets are told; others are gone.
-    pub whole: bool,
-    /// Targets whose capacity changed; zero engines: the target is gone.
-    pub rows: Vec<FullTotals>,
+    /// The delta lists all targets. The receiver drops any others.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// Targets whose capacity changed. A target with zero engines is removed.
+    #[serde(rename = "rows")]
+    pub full_totals: Vec<FullTotals>,
     /// Targets of which only the load changed.
-    pub moves: Vec<LoadTotals>,
+    #[serde(rename = "moves")]
+    pub load_totals: Vec<LoadTotals>,
 }
 
 impl TotalsDelta {
-    /// What somebody who was told `told` has to hear of `current`; enters it in `told`.
-    pub(crate) fn between(told: &mut TotalsMap, current: &TotalsMap) -> Self {
-        let mut delta = Self { whole: told.is_empty(), ..Self::default() };
+    /// Computes the delta from `sent`, the totals last sent, to `current`, and updates `sent`
+    /// accordingly.
+    pub(crate) fn between(sent: &mut TotalsMap, current: &TotalsMap) -> Self {
+        let mut delta = Self { is_full: sent.is_empty(), ..Self::default() };
         for (target, totals) in current {
-            let known = told.get(target).filter(|before| before.same_capacity(totals));
-            if known.is_some_and(|before| !totals.moved_from(before)) {
+            let known = sent.get(target).filter(|before| before.same_capacity(totals));
+            if known.is_some_and(|before| !totals.differs_materially(before)) {
                 continue;
             }
             delta.push(*target, totals, known.is_none());
-            told.insert(*target, *totals);
+            sent.insert(*target, *totals);
         }
-        let gone: Vec<TargetId> =
-            told.keys().filter(|target| !current.contains_key(target)).copied().collect();
-        for target in gone {
-            told.remove(&target);
+        let removed: Vec<TargetId> =
+            sent.keys().filter(|target| !current.contains_key(target)).copied().collect();
+        for target in removed {
+            sent.remove(&target);
             delta.push(target, &TargetTotals::default(), true);
         }
         delta
     }
 
-    /// Adds one target: whole, or its load alone.
-    pub(crate) fn push(&mut self, target: TargetId, totals: &TargetTotals, whole: bool) {
-        if whole {
-            self.rows.push(totals_row(target, totals));
+    /// Adds one target, with its capacity if `is_full` is true, otherwise with its load alone.
+    pub(crate) fn push(&mut self, target: TargetId, totals: &TargetTotals, is_full: bool) {
+        if is_full {
+            self.full_totals.push(full_totals(target, totals));
         } else {
-            self.moves.push(totals_move(target, totals));
+            self.load_totals.push(load_totals(target, totals));
         }
     }
 
-    /// Enters this in `known`; returns the targets told of and whether whole.
+    /// Applies the delta to `known`. Returns the affected targets, each with a flag that is true if
+    /// its capacity was included.
     pub(crate) fn apply(&self, known: &mut TotalsMap) -> Vec<(TargetId, bool)> {
-        let mut told = Vec::with_capacity(self.rows.len() + self.moves.len());
-        if self.whole {
-            told.extend(known.keys().map(|target| (*target, true)));
+        let mut sent = Vec::with_capacity(self.full_totals.len() + self.load_totals.len());
+        if self.is_full {
+            sent.extend(known.keys().map(|target| (*target, true)));
             known.clear();
         }
-        for row in &self.rows {
-            known.insert(row.target, row.totals());
-            told.push((row.target, true));
+        for full in &self.full_totals {
+            known.insert(full.target, full.totals());
+            sent.push((full.target, true));
         }
-        for change in &self.moves {
+        for change in &self.load_totals {
             if let Some(totals) = known.get_mut(&change.target) {
                 totals.free_slots = change.free_slots;
                 totals.prefill_tokens = u64::from(change.prefill) * TOKEN_UNIT;
-                told.push((change.target, false));
+                sent.push((change.target, false));
             }
         }
         known.retain(|_, totals| totals.engines > 0);
-        told
+        sent
     }
 }
 
-fn totals_row(target: TargetId, totals: &TargetTotals) -> FullTotals {
+fn full_totals(target: TargetId, totals: &TargetTotals) -> FullTotals {
     FullTotals {
         target,
         engines: totals.engines,
         slots: totals.slots,
         free_slots: totals.free_slots,
-        prefill: units(totals.prefill_tokens),
-        rate: units(totals.prefill_rate),
+        prefill: token_units(totals.prefill_tokens),
+        rate: token_units(totals.prefill_rate),
     }
 }
 
-fn totals_move(target: TargetId, totals: &TargetTotals) -> LoadTotals {
-    LoadTotals { target, free_slots: totals.free_slots, prefill: units(totals.prefill_tokens) }
+fn load_totals(target: TargetId, totals: &TargetTotals) -> LoadTotals {
+    LoadTotals {
+        target,
+        free_slots: totals.free_slots,
+        prefill: token_units(totals.prefill_tokens),
+    }
 }
 
-fn units(tokens: u64) -> u32 {
+fn token_units(tokens: u64) -> u32 {
     u32::try_from(tokens.div_ceil(TOKEN_UNIT)).unwrap_or(u32::MAX)
 }
 
@@ -224,31 +235,31 @@
     }
 }
 
-/// What one region offers for one target, as this gateway knows it.
+/// Capacity and load of another region for one target, as known to this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionSummary {
-    /// The region.
+    /// Name of the region.
     pub region: RegionName,
-    /// Whether it was heard of lately.
+    /// Whether an update about the region was received recently.
     pub is_reachable: bool,
-    /// One-way delay between gateways, as last measured; zero: not yet.
+    /// Last measured one-way delay between gateways of the two regions. Zero if not yet measured.
     pub delay: Duration,
-    /// Its backend servers; `free_slots` is what it offers to other regions.
+    /// Totals of its backend servers. `free_slots` is the number offered to other regions.
     pub totals: TargetTotals,
-    /// Since it said so.
+    /// Age of the totals.
     pub age: Duration,
-    /// Since it was first heard of, or again after a silence.
+    /// Time since the region became reachable, for the first time or after a loss of contact.
     pub reachable_for: Duration,
 }
 
-/// A gateway of another region to turn to.
+/// Contact data of a gateway, for use by other regions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayContact {
-    /// Its VM.
+    /// VM of the gateway.
     pub vm: gullglade_units::VmName,
-    /// Where other processes of the system reach it.
+    /// Address for connections from other processes of the cluster.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
 }
 
@@ -258,17 +269,17 @@
     }
 }
 
-/// What one region tells another.
+/// Report of one region to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RegionDelta {
-    /// The region that tells.
+    /// Region that the report describes.
     pub region: RegionName,
-    /// How old this is, in units of 50 ms.
+    /// Age of the report, in units of 50 ms.
     pub age: u8,
-    /// One-way delay to it, in milliseconds.
+    /// One-way delay to the region, in milliseconds.
     pub delay_millis: u16,
-    /// What changed.
+    /// Changes of the totals.
     pub totals: TotalsDelta,
-    /// The gateways to turn to, where they changed.
+    /// Gateways that other regions may contact, if changed.
     pub contacts: Option<Vec<GatewayContact>>,
 }
