--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,13 +1,13 @@
-//! Answers on their way to the caller: whole ones, and streams of events.
+//! Relays responses to callers: plain bodies, and event streams.
 
 use {
     crate::{
-        answer::{AnswerBody, AttemptAnswer},
+        execution::RequestExecution,
         handover::{OutputState, RunOutput},
-        journey::Journey,
-        liveness::{RunLiveness, RunWatch},
-        outcome::{AttemptPlace, FinalWord, UnknownReason},
-        replacement::WaitEnd,
+        liveness::{RunLiveness, RunMonitor},
+        outcome::{AttemptTarget, RequestError, UnknownReason},
+        replacement::WaitOutcome,
+        response::{AttemptResponse, ResponseBody},
     },
     bytes::{Bytes, BytesMut},
     futures::stream::unfold,
@@ -20,54 +20,54 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Answers up to this size are read whole before the first byte is passed on, so that one that
-/// breaks off can still be asked for again, or be told as a failure.
-const WHOLE_BYTES: usize = 1 << 20;
+/// Responses up to this size are read completely before the first byte is relayed, so that one that
+/// breaks off can still be retried or reported as an error.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
-/// Another place is sought beside a stream that may be resumed after a pause of this many times the
-/// longest one that its callers accept as prompt, and at least the time below.
+/// Another place is sought for a resumable stream after a pause of the longest one that callers
+/// accept as prompt, multiplied by this factor, and of at least [`MIN_GAP_LIMIT`].
 const GAP_FACTOR: u32 = 4;
-const LEAST_GAP: Duration = Duration::from_millis(1_200);
+const MIN_GAP_LIMIT: Duration = Duration::from_millis(1_200);
 
-/// A stream whose backend server answers others is waited for so many times as long: it may have
-/// been preempted there, or hang alone.
-const WORK_FACTOR: u32 = 2;
+/// Factor on the allowed pause of a stream whose backend server responds to others: the stream may
+/// have been preempted there, or hang alone.
+const AT_WORK_FACTOR: u32 = 2;
 
-/// The type of a stream of events.
+/// Media type of event streams.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-impl Journey {
-    /// The reply to the caller.
+impl RequestExecution {
+    /// Executes the request and returns the reply to the caller.
     pub(crate) async fn run(mut self) -> Response<ReplyBody> {
-        match self.answer().await {
+        match self.produce_reply().await {
             Ok(reply) => reply.into_response(self),
-            Err(word) => {
-                self.log.ended_with(word, &self.item);
-                word.into_response(self.proxy.dialect())
+            Err(error) => {
+                self.log.record_error(error, &self.item);
+                error.into_response(self.proxy.dialect())
             }
         }
     }
 
-    async fn answer(&mut self) -> Result<RelayedReply, FinalWord> {
+    async fn produce_reply(&mut self) -> Result<RelayedReply, RequestError> {
         let mut fallback = None;
         loop {
-            let answer = match self.next_answer().await {
-                Ok(answer) => answer,
-                Err(word) => return fallback.ok_or(word),
+            let response = match self.next_response().await {
+                Ok(response) => response,
+                Err(error) => return fallback.ok_or(error),
             };
-            let is_failure = answer.is_failure();
-            let reply = match self.item.route.kind.is_stream() && is_event_stream(&answer) {
-                true => self.first_events(answer).await,
-                false => self.whole(answer).await,
+            let is_failure = response.is_failure();
+            let reply = match self.item.route.kind.is_stream() && is_event_stream(&response) {
+                true => self.first_events(response).await,
+                false => self.read_buffered(response).await,
             };
             match reply {
-                Err(word) => return fallback.ok_or(word),
+                Err(error) => return fallback.ok_or(error),
                 Ok(None) => continue,
                 Ok(Some(reply)) if is_failure => {
-                    if !self.after_failure() {
+                    if !self.handle_failure() {
                         return Ok(reply);
                     }
-                    self.log.repeats_failure(reply.status);
+                    self.log.record_retry_after_failure(reply.status);
                     fallback = Some(reply);
                 }
                 Ok(Some(reply)) => return Ok(reply),
@@ -75,76 +75,83 @@
         }
     }
 
-    /// Reads an answer whole; `None` where it broke off and is to be asked for again.
-    async fn whole(&mut self, answer: AttemptAnswer) -> Result<Option<RelayedReply>, FinalWord> {
-        let AttemptAnswer { place, liveness, status, headers, mut body } = answer;
-        let watch = self.body_watch(place, liveness);
-        let mut whole = BytesMut::new();
+    /// Buffers a response. Returns `None` if it broke off and is to be retried.
+    async fn read_buffered(
+        &mut self,
+        response: AttemptResponse,
+    ) -> Result<Option<RelayedReply>, RequestError> {
+        let AttemptResponse { target, liveness, status, headers, mut body } = response;
+        let monitor = self.body_monitor(target, liveness);
+        let mut buffered = BytesMut::new();
         loop {
-            match self.wait_or_replace(&watch, body.next()).await {
-                WaitEnd::Came(None) => {
-                    let body = RelayedBody::Whole(whole.freeze());
+            match self.wait_or_replace(&monitor, body.next()).await {
+                WaitOutcome::Output(None) => {
+                    let body = RelayedBody::Complete(buffered.freeze());
                     return Ok(Some(RelayedReply { status, headers, body }));
                 }
-                WaitEnd::Came(Some(Ok(bytes))) => whole.extend_from_slice(&bytes),
-                WaitEnd::Came(Some(Err(_))) => {
+                WaitOutcome::Output(Some(Ok(bytes))) => buffered.extend_from_slice(&bytes),
+                WaitOutcome::Output(Some(Err(_))) => {
                     drop(body);
-                    self.after_unknown(UnknownReason::Incomplete)?;
+                    self.handle_unknown(UnknownReason::Incomplete)?;
                     return Ok(None);
                 }
-                WaitEnd::Replaced => return Ok(None),
-                WaitEnd::TimedOut => {
-                    self.after_unknown(UnknownReason::Overdue)?;
+                WaitOutcome::Replaced => return Ok(None),
+                WaitOutcome::TimedOut => {
+                    self.handle_unknown(UnknownReason::Overdue)?;
                     return Ok(None);
                 }
             }
-            if whole.len() > WHOLE_BYTES {
-                let body = RelayedBody::Long { first: whole.freeze(), rest: body };
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                let body = RelayedBody::Long { first: buffered.freeze(), rest: body };
                 return Ok(Some(RelayedReply { status, headers, body }));
             }
         }
     }
 
-    /// Waits for the first events of a stream; `None` where it broke off and is to be asked for
-    /// again.
+    /// Waits for the first events of a stream. Returns `None` if it broke off and is to be retried.
     async fn first_events(
         &mut self,
-        answer: AttemptAnswer,
-    ) -> Result<Option<RelayedReply>, FinalWord> {
-        let AttemptAnswer { place, liveness, status, headers, body } = answer;
-        let mut events = EventReader::new(body, self.body_watch(place, liveness));
+        response: AttemptResponse,
+    ) -> Result<Option<RelayedReply>, RequestError> {
+        let AttemptResponse { target, liveness, status, headers, body } = response;
+        let mut events = EventReader::new(body, self.body_monitor(target, liveness));
         match self.next_events(&mut events).await {
             EventStep::Events(first) => {
-                self.log.first_event();
+                self.log.note_first_event();
                 let body = RelayedBody::Events { first: Some(first), events };
                 Ok(Some(RelayedReply { status, headers, body }))
             }
             EventStep::End => {
-                let body = RelayedBody::Whole(Bytes::new());
+                let body = RelayedBody::Complete(Bytes::new());
                 Ok(Some(RelayedReply { status, headers, body }))
             }
             EventStep::Replaced => Ok(None),
             EventStep::Broken(reason) => {
-                self.after_unknown(reason)?;
+                self.handle_unknown(reason)?;
                 Ok(None)
             }
         }
     }
 
-    fn body_watch(&self, place: AttemptPlace, liveness: RunLiveness) -> RunWatch {
+    fn body_monitor(&self, target: AttemptTarget, liveness: RunLiveness) -> RunMonitor {
         let gap = self.item.route.gap_objective.unwrap_or_default() * GAP_FACTOR;
-        let patience = gap.max(LEAST_GAP);
-        RunWatch { place, liveness, patience, work_patience: Some(patience * WORK_FACTOR) }
+        let silence_limit = gap.max(MIN_GAP_LIMIT);
+        RunMonitor {
+            target,
+            liveness,
+            silence_limit,
+            at_work_silence_limit: Some(silence_limit * AT_WORK_FACTOR),
+        }
     }
 
-    /// The next whole events. A run that ends without them is cancelled here.
+    /// Returns the next complete events. A run that ends without them is cancelled here.
     async fn next_events(&mut self, events: &mut EventReader) -> EventStep {
-        let watch = events.watch.clone();
-        let step = match self.wait_or_replace(&watch, events.next()).await {
-            WaitEnd::Came(EventStep::Events(batch)) => self.take_events(batch),
-            WaitEnd::Came(step) => step,
-            WaitEnd::Replaced => EventStep::Replaced,
-            WaitEnd::TimedOut => EventStep::Broken(UnknownReason::Overdue),
+        let monitor = events.monitor.clone();
+        let step = match self.wait_or_replace(&monitor, events.next()).await {
+            WaitOutcome::Output(EventStep::Events(batch)) => self.accept_events(batch),
+            WaitOutcome::Output(step) => step,
+            WaitOutcome::Replaced => EventStep::Replaced,
+            WaitOutcome::TimedOut => EventStep::Broken(UnknownReason::Overdue),
         };
         if matches!(step, EventStep::Broken(_) | EventStep::Replaced) {
             events.cancel();
@@ -152,10 +159,10 @@
         step
     }
 
-    /// Takes note of events that came, where they go on after those that the caller has.
-    fn take_events(&mut self, batch: EventBatch) -> EventStep {
-        self.log.piece_came();
-        self.note_begun();
+    /// Accepts events that continue after those that the caller has.
+    fn accept_events(&mut self, batch: EventBatch) -> EventStep {
+        self.log.note_chunk();
+        self.note_response_begun();
         if !batch.follows(self.last_event) {
             return EventStep::Broken(UnknownReason::Garbled);
         }
@@ -163,51 +170,52 @@
         EventStep::Events(batch)
     }
 
-    /// The next piece of a stream that has begun, resumed elsewhere where it breaks off.
-    async fn next_piece(&mut self, events: &mut EventReader) -> Option<Result<Bytes, BodyError>> {
+    /// Returns the next chunk of a stream that has begun. A stream that breaks off is resumed with
+    /// another run.
+    async fn next_chunk(&mut self, events: &mut EventReader) -> Option<Result<Bytes, BodyError>> {
         loop {
             let (reason, planned) = match self.next_events(events).await {
                 EventStep::Events(batch) => return Some(Ok(batch.bytes)),
                 EventStep::End => return None,
                 EventStep::Replaced => (UnknownReason::Overdue, Ok(())),
-                EventStep::Broken(reason) => (reason, self.after_unknown(reason)),
+                EventStep::Broken(reason) => (reason, self.handle_unknown(reason)),
             };
             let resumed = match planned {
                 Ok(()) => self.resume(reason).await,
-                Err(word) => Err(word),
+                Err(error) => Err(error),
             };
             match resumed {
                 Ok(resumed) => *events = resumed,
-                Err(word) => {
-                    self.log.broke_off(reason, events.was_at_work, &self.item);
-                    let reason = format!("{word:?}");
+                Err(error) => {
+                    self.log.record_broke_off(reason, events.was_at_work, &self.item);
+                    let reason = format!("{error:?}");
                     return Some(Err(BodyError::Aborted { reason }));
                 }
             }
         }
     }
 
-    /// Goes on after the last event that the caller has, with another run.
-    async fn resume(&mut self, reason: UnknownReason) -> Result<EventReader, FinalWord> {
+    /// Resumes the stream after the last event that the caller has, with another run.
+    async fn resume(&mut self, reason: UnknownReason) -> Result<EventReader, RequestError> {
         loop {
-            let answer = self.next_answer().await?;
-            if answer.status.is_success() && is_event_stream(&answer) {
-                self.log.resumed(reason, self.last_event);
-                let AttemptAnswer { place, liveness, body, .. } = answer;
-                return Ok(EventReader::new(body, self.body_watch(place, liveness)));
+            let response = self.next_response().await?;
+            if response.status.is_success() && is_event_stream(&response) {
+                self.log.record_resumed(reason, self.last_event);
+                let AttemptResponse { target, liveness, body, .. } = response;
+                return Ok(EventReader::new(body, self.body_monitor(target, liveness)));
             }
-            drop(answer);
-            self.after_unknown(UnknownReason::Garbled)?;
+            drop(response);
+            self.handle_unknown(UnknownReason::Garbled)?;
         }
     }
 }
 
-fn is_event_stream(answer: &AttemptAnswer) -> bool {
-    let kind = answer.headers.get(CONTENT_TYPE).map(http::HeaderValue::as_bytes);
-    answer.status.is_success() && kind.is_some_and(|kind| kind.starts_with(EVENT_STREAM))
+fn is_event_stream(response: &AttemptResponse) -> bool {
+    let kind = response.headers.get(CONTENT_TYPE).map(http::HeaderValue::as_bytes);
+    response.status.is_success() && kind.is_some_and(|kind| kind.starts_with(EVENT_STREAM))
 }
 
-/// A reply that can be passed on.
+/// A reply that is ready to be relayed.
 struct RelayedReply {
     status: StatusCode,
     headers: HeaderMap,
@@ -215,90 +223,95 @@
 }
 
 enum RelayedBody {
-    Whole(Bytes),
-    Long { first: Bytes, rest: AnswerBody },
+    Complete(Bytes),
+    Long { first: Bytes, rest: ResponseBody },
     Events { first: Option<EventBatch>, events: EventReader },
 }
 
 impl RelayedReply {
-    fn into_response(self, mut journey: Journey) -> Response<ReplyBody> {
+    fn into_response(self, mut execution: RequestExecution) -> Response<ReplyBody> {
         let Self { status, headers, body } = self;
         let body = match body {
-            RelayedBody::Whole(bytes) => {
-                journey.log.answered(status, &journey.item);
+            RelayedBody::Complete(bytes) => {
+                execution.log.record_answered(status, &execution.item);
                 ReplyBody::full(bytes)
             }
-            RelayedBody::Long { first, rest } => long_body(journey, status, first, rest),
-            RelayedBody::Events { first, events } => event_body(journey, status, first, events),
+            RelayedBody::Long { first, rest } => long_body(execution, status, first, rest),
+            RelayedBody::Events { first, events } => event_body(execution, status, first, events),
         };
         let is_stream = matches!(body, ReplyBody::Stream(_));
         let mut response = Response::new(body);
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         if is_stream {
-            // Its length may change where it is resumed; the end is told by the framing.
+            // The length may change if the stream is resumed; the framing marks the end.
             response.headers_mut().remove(CONTENT_LENGTH);
         }
         response
     }
 }
 
-/// Passes on a long answer piece by piece.
-fn long_body(journey: Journey, status: StatusCode, first: Bytes, rest: AnswerBody) -> ReplyBody {
-    let state = (journey, Some(first), Some(rest));
-    ReplyBody::stream(unfold(state, move |(mut journey, mut first, rest)| async move {
+/// Relays a long response chunk by chunk.
+fn long_body(
+    execution: RequestExecution,
+    status: StatusCode,
+    first: Bytes,
+    rest: ResponseBody,
+) -> ReplyBody {
+    let state = (execution, Some(first), Some(rest));
+    ReplyBody::stream(unfold(state, move |(mut execution, mut first, rest)| async move {
         if let Some(first) = first.take() {
-            return Some((Ok(first), (journey, None, rest)));
+            return Some((Ok(first), (execution, None, rest)));
         }
         let mut rest = rest?;
-        let clock = Rc::clone(&journey.proxy.context().clock);
-        match timeout(&*clock, journey.left(), rest.next()).await {
-            Some(Some(piece)) => Some((piece, (journey, None, Some(rest)))),
+        let clock = Rc::clone(&execution.proxy.context().clock);
+        match timeout(&*clock, execution.left(), rest.next()).await {
+            Some(Some(chunk)) => Some((chunk, (execution, None, Some(rest)))),
             Some(None) => {
-                journey.log.answered(status, &journey.item);
+                execution.log.record_answered(status, &execution.item);
                 None
             }
             None => {
-                journey.log.reached(journey.bound);
-                journey.log.broke_off(UnknownReason::Overdue, None, &journey.item);
-                let reason = "its time was over".to_owned();
-                Some((Err(BodyError::Aborted { reason }), (journey, None, None)))
+                execution.log.note_limit(execution.total_limit);
+                execution.log.record_broke_off(UnknownReason::Overdue, None, &execution.item);
+                let reason = "the time limit of the request was reached".to_owned();
+                Some((Err(BodyError::Aborted { reason }), (execution, None, None)))
             }
         }
     }))
 }
 
-/// Passes on events as they come.
+/// Relays events as they arrive.
 fn event_body(
-    journey: Journey,
+    execution: RequestExecution,
     status: StatusCode,
     first: Option<EventBatch>,
     events: EventReader,
 ) -> ReplyBody {
-    // Boxed: the stream moves its state with each piece.
-    let state = Box::new((journey, first, events, false));
+    // Boxed, since the stream moves its state with each chunk.
+    let state = Box::new((execution, first, events, false));
     ReplyBody::stream(unfold(state, move |mut state| async move {
-        let (journey, first, events, is_over) = &mut *state;
-        if *is_over {
+        let (execution, first, events, is_finished) = &mut *state;
+        if *is_finished {
             return None;
         }
         if let Some(batch) = first.take() {
             return Some((Ok(batch.bytes), state));
         }
-        match journey.next_piece(events).await {
-            Some(piece) => {
-                *is_over = piece.is_err();
-                Some((piece, state))
+        match execution.next_chunk(events).await {
+            Some(chunk) => {
+                *is_finished = chunk.is_err();
+                Some((chunk, state))
             }
             None => {
-                journey.log.answered(status, &journey.item);
+                execution.log.record_answered(status, &execution.item);
                 None
             }
         }
     }))
 }
 
-/// Some whole events.
+/// A batch of complete events.
 struct EventBatch {
     bytes: Bytes,
     first: Option<u64>,
@@ -306,7 +319,7 @@
 }
 
 impl EventBatch {
-    /// Whether the events go on where `last` was the one before: in order, none twice.
+    /// Returns whether the events continue after `last`: in order and without duplicates.
     fn follows(&self, last: Option<u64>) -> bool {
         match (self.first, last) {
             (Some(first), Some(last)) => first > last,
@@ -333,25 +346,25 @@
     }
 }
 
-/// Takes whole events from a body. A run may break off inside an event, and a half one must not
-/// reach the caller: another run sends it again from its beginning.
+/// Reads complete events from a body. A run may break off inside an event, and a partial one must
+/// not reach the caller, since another run sends it again from its beginning.
 struct EventReader {
     /// `None` once the run is cancelled.
-    body: Option<AnswerBody>,
+    body: Option<ResponseBody>,
     buffer: BytesMut,
-    watch: RunWatch,
-    /// Whether its backend server was at work when it was cancelled, where that is known.
+    monitor: RunMonitor,
+    /// Whether the backend server was at work when the run was cancelled, if known.
     was_at_work: Option<bool>,
 }
 
 impl EventReader {
-    fn new(body: AnswerBody, watch: RunWatch) -> Self {
-        Self { body: Some(body), buffer: BytesMut::new(), watch, was_at_work: None }
+    fn new(body: ResponseBody, monitor: RunMonitor) -> Self {
+        Self { body: Some(body), buffer: BytesMut::new(), monitor, was_at_work: None }
     }
 
-    /// Ends the run.
+    /// Cancels the run.
     fn cancel(&mut self) {
-        self.was_at_work = Some(self.watch.liveness.is_at_work());
+        self.was_at_work = Some(self.monitor.liveness.is_at_work());
         self.body = None;
         self.buffer.clear();
     }
@@ -367,22 +380,22 @@
                 Some(Err(_)) => return EventStep::Broken(UnknownReason::Incomplete),
                 Some(Ok(bytes)) => self.buffer.extend_from_slice(&bytes),
             }
-            if let Some(batch) = take_whole(&mut self.buffer) {
+            if let Some(batch) = take_complete_events(&mut self.buffer) {
                 return EventStep::Events(batch);
             }
         }
     }
 }
 
-fn take_whole(buffer: &mut BytesMut) -> Option<EventBatch> {
-    let end = whole_end(buffer)?;
+fn take_complete_events(buffer: &mut BytesMut) -> Option<EventBatch> {
+    let end = complete_events_end(buffer)?;
     let bytes = buffer.split_to(end).freeze();
     let (first, last) = event_ids(&bytes);
     Some(EventBatch { bytes, first, last })
 }
 
-/// Behind the last blank line.
-fn whole_end(bytes: &[u8]) -> Option<usize> {
+/// Returns the offset after the last blank line.
+fn complete_events_end(bytes: &[u8]) -> Option<usize> {
     (1..bytes.len()).rev().find_map(|at| {
         let is_blank = bytes[at] == b'\n'
             && (bytes[at - 1] == b'\n'
@@ -391,7 +404,7 @@
     })
 }
 
-/// The first and last event ids.
+/// Returns the first and the last event id.
 fn event_ids(bytes: &[u8]) -> (Option<u64>, Option<u64>) {
     let mut ids = bytes.split(|b| *b == b'\n').filter_map(event_id);
     let first = ids.next();
--- a/crates/proxy/src/replacement.rs
+++ b/crates/proxy/src/replacement.rs
@@ -1,14 +1,14 @@
-//! The wait for a run, and the search for another place beside it.
+//! Waits for the output of a run, and searches for another place if it stays silent.
 //!
-//! A run is given up only for another one that is secured: its place is reserved, its repeat is
-//! taken out of the budget, and the new run has begun. Until then what comes of the old one counts.
+//! A run is abandoned only for another one that is secured: its place is reserved, its retry is
+//! taken from the budget, and the new run has begun. Until then output of the old run counts.
 
 use {
     crate::{
-        handover::{HandoverEnd, RunOutput},
-        journey::Journey,
-        liveness::RunWatch,
-        outcome::{RepeatReason, UnknownReason},
+        execution::RequestExecution,
+        handover::{HandoverOutcome, RunOutput},
+        liveness::RunMonitor,
+        outcome::{RetryReason, UnknownReason},
         search::PlaceSearch,
     },
     futures::future::{Either, select},
@@ -17,30 +17,30 @@
     std::{pin::pin, rc::Rc, time::Duration},
 };
 
-/// How a wait for a run ended.
-pub(crate) enum WaitEnd<T> {
-    /// Something came.
-    Came(T),
-    /// Another run is secured. This one is to be ended before anything else is done.
+/// Result of waiting for a run.
+pub(crate) enum WaitOutcome<T> {
+    /// The run has produced output.
+    Output(T),
+    /// Another run is secured. The old run must be cancelled before anything else is done.
     Replaced,
     /// The time of the request is over.
     TimedOut,
 }
 
-/// The searches in one silence that found no place.
+/// Failed searches for another place during one silence.
 #[derive(Default)]
 struct FailedSearches {
     count: u32,
     last: Option<MonotonicTime>,
 }
 
-impl Journey {
-    /// Waits for `next`, the next thing of `run`.
+impl RequestExecution {
+    /// Waits for `next`, the next output of `run`.
     pub(crate) async fn wait_or_replace<T: RunOutput>(
         &mut self,
-        run: &RunWatch,
+        run: &RunMonitor,
         next: impl Future<Output = T>,
-    ) -> WaitEnd<T> {
+    ) -> WaitOutcome<T> {
         let mut next = pin!(next);
         let clock = Rc::clone(&self.proxy.context().clock);
         let began = clock.now();
@@ -49,32 +49,33 @@
             match self.silent_run(run, began, &failed).next_step() {
                 SilenceStep::Wait(wait) => {
                     if let Some(output) = timeout(&*clock, wait, next.as_mut()).await {
-                        return WaitEnd::Came(output);
+                        return WaitOutcome::Output(output);
                     }
                 }
                 SilenceStep::Search => {
-                    // What comes in the meantime ends the search, and gives back its place.
+                    // Output that arrives meanwhile ends the search and releases its place.
                     let found = match self.begin_search(run) {
                         None => None,
                         Some(search) => {
                             let search = timeout(&*clock, self.left(), search.run());
-                            // Boxed: a search is rare, and every wait would keep room for it.
+                            // Boxed, since searches are rare and every wait would reserve space for
+                            // the future.
                             match select(next.as_mut(), Box::pin(search)).await {
-                                Either::Left((output, _)) => return WaitEnd::Came(output),
+                                Either::Left((output, _)) => return WaitOutcome::Output(output),
                                 Either::Right((found, _)) => found.flatten(),
                             }
                         }
                     };
-                    // Its backend server may have answered others during the search.
+                    // The backend server may have responded to others during the search.
                     let step = self.silent_run(run, began, &failed).next_step();
                     if let Some(found) = found.filter(|_| step == SilenceStep::Search)
-                        && self.take_overdue_repeat()
+                        && self.take_overdue_retry()
                     {
                         let silence = clock.now().since(began);
                         match self.hand_over(run, next.as_mut(), found, silence).await {
-                            HandoverEnd::Came(output) => return WaitEnd::Came(output),
-                            HandoverEnd::Kept => {}
-                            HandoverEnd::Replaced => return WaitEnd::Replaced,
+                            HandoverOutcome::Output(output) => return WaitOutcome::Output(output),
+                            HandoverOutcome::Kept => {}
+                            HandoverOutcome::Replaced => return WaitOutcome::Replaced,
                         }
                     }
                     failed = FailedSearches { count: failed.count + 1, last: Some(clock.now()) };
@@ -82,23 +83,23 @@
             }
             if self.left().is_zero() {
                 run.note_silence(clock.now().since(began));
-                self.log.reached(self.reached_limit());
-                return WaitEnd::TimedOut;
+                self.log.note_limit(self.reached_limit());
+                return WaitOutcome::TimedOut;
             }
         }
     }
 
     fn silent_run(
         &self,
-        run: &RunWatch,
+        run: &RunMonitor,
         began: MonotonicTime,
         failed: &FailedSearches,
     ) -> SilentRun {
         let now = self.now();
         SilentRun {
             silence: now.since(began),
-            patience: run.patience,
-            work_patience: run.work_patience,
+            patience: run.silence_limit,
+            work_patience: run.at_work_silence_limit,
             is_at_work: run.liveness.is_at_work(),
             may_be_replaced: self.may_be_replaced(),
             left: self.left(),
@@ -107,17 +108,17 @@
         }
     }
 
-    /// A search for a place beside `run`, where the budget has a repeat left.
-    fn begin_search(&mut self, run: &RunWatch) -> Option<PlaceSearch> {
-        let reason = RepeatReason::Unknown(UnknownReason::Overdue);
-        let may_search = self.check_hold().is_ok() && self.has_repeat_left(reason);
-        may_search.then(|| PlaceSearch::beside(self, run))
+    /// Starts a search for another place while `run` continues, if the budget has a retry left.
+    fn begin_search(&mut self, run: &RunMonitor) -> Option<PlaceSearch> {
+        let reason = RetryReason::Unknown(UnknownReason::Overdue);
+        let may_search = self.check_hold().is_ok() && self.has_retry_left(reason);
+        may_search.then(|| PlaceSearch::new_alongside(self, run))
     }
 
-    /// Takes the repeat for the place that was found. Without one left the place is given back,
-    /// and the run goes on.
-    fn take_overdue_repeat(&mut self) -> bool {
-        let reason = RepeatReason::Unknown(UnknownReason::Overdue);
+    /// Takes the retry for the place that was found. Without one the place is released and the run
+    /// continues.
+    fn take_overdue_retry(&mut self) -> bool {
+        let reason = RetryReason::Unknown(UnknownReason::Overdue);
         self.check_hold().is_ok() && self.take_from_budget(reason)
     }
 }
--- /dev/null
+++ b/crates/proxy/src/request_fingerprint.rs
@@ -0,0 +1,64 @@
+//! Fingerprints of callers' requests, computed on first use.
+
+use {
+    crate::CallerRequest,
+    gullglade_poison::{PrintKey, RequestPrint, RequestView},
+    gullglade_units::WorkspaceName,
+    http::header::AUTHORIZATION,
+    std::{cell::OnceCell, rc::Rc},
+};
+
+/// Fingerprint of one request. It is computed at most once, however often the request is sent, and
+/// not at all while no request is suspect.
+pub(crate) struct RequestFingerprint {
+    request: Rc<CallerRequest>,
+    workspace: Option<WorkspaceName>,
+    key: PrintKey,
+    cached: OnceCell<RequestPrint>,
+}
+
+impl RequestFingerprint {
+    /// Creates the fingerprint of `request`. `known` is the fingerprint that the forwarding gateway
+    /// has computed, if any.
+    pub(crate) fn new(
+        request: &Rc<CallerRequest>,
+        workspace: Option<WorkspaceName>,
+        key: PrintKey,
+        known: Option<RequestPrint>,
+    ) -> Rc<Self> {
+        let cached = known.map_or_else(OnceCell::new, OnceCell::from);
+        Rc::new(Self { request: Rc::clone(request), workspace, key, cached })
+    }
+
+    pub(crate) fn request(&self) -> &CallerRequest {
+        &self.request
+    }
+
+    /// Returns the fingerprint, computing it on the first call.
+    pub(crate) fn get(&self) -> RequestPrint {
+        *self.cached.get_or_init(|| {
+            let request = &self.request;
+            self.key.print(&RequestView {
+                method: request.method.as_str(),
+                host: &request.host,
+                target: &request.target,
+                credentials: self.credentials(),
+                body: &request.body,
+            })
+        })
+    }
+
+    /// Returns the identity of the caller. The same request with another key of the same workspace
+    /// has the same fingerprint.
+    fn credentials(&self) -> &[u8] {
+        match &self.workspace {
+            Some(workspace) => workspace.as_str().as_bytes(),
+            None => self.request.headers.get(AUTHORIZATION).map_or(&[], |value| value.as_bytes()),
+        }
+    }
+
+    /// Returns the fingerprint if it has been computed.
+    pub(crate) fn cached(&self) -> Option<RequestPrint> {
+        self.cached.get().copied()
+    }
+}
--- a/crates/proxy/src/reservation.rs
+++ b/crates/proxy/src/reservation.rs
@@ -1,4 +1,4 @@
-//! Places that this gateway reserved for gateways of other regions, and the runs begun there.
+//! Places reserved for gateways of other regions, and the runs that began there.
 
 use {
     futures::channel::oneshot,
@@ -6,26 +6,26 @@
     std::{cell::RefCell, collections::HashMap, future::pending, time::Duration},
 };
 
-/// What the calling gateway has said of a place.
+/// State of a reserved place.
 enum ReservedPlace {
-    /// Nothing yet. Told: that it is to be used.
+    /// The place is offered. The channel reports that it is committed.
     Offered(oneshot::Sender<RunCommitment>),
-    /// The request was sent there. Told: that the run may go on after its lease.
+    /// The request was sent with a lease. The channel reports that the run may continue after it.
     Leased(oneshot::Sender<()>),
-    /// The request was sent there for good.
+    /// The request was sent without a lease, or its lease was committed.
     Kept,
 }
 
-/// What a run is begun for.
+/// Terms on which a run begins.
 pub(crate) struct RunCommitment {
-    /// Where it replaces a run that has not ended: how long it may go on without a further word,
-    /// and that word.
+    /// For the replacement of a run that has not ended: the time for which the run may continue
+    /// without a commit, and the channel that reports the commit.
     lease: Option<(Duration, oneshot::Receiver<()>)>,
 }
 
 impl RunCommitment {
-    /// Returns when the run has to end, as its gateway has not said that it may go on.
-    pub(crate) async fn ended(self, clock: &dyn Clock) {
+    /// Completes when the lease has expired without a commit; never for a run without a lease.
+    pub(crate) async fn lease_expired(self, clock: &dyn Clock) {
         if let Some((lease, kept)) = self.lease
             && !matches!(timeout(clock, lease, kept).await, Some(Ok(())))
         {
@@ -35,41 +35,41 @@
     }
 }
 
-/// All of them, by their numbers. Each word may come twice.
+/// Reservations by token. Each command may arrive twice.
 #[derive(Default)]
 pub(crate) struct ReservationTable(RefCell<HashMap<u64, ReservedPlace>>);
 
-/// A place that is offered. Dropped, its number means nothing any more.
+/// An offered place. Its token becomes invalid on drop.
 pub(crate) struct ReservationGuard<'a> {
     table: &'a ReservationTable,
     token: u64,
 }
 
 impl ReservationTable {
-    /// Offers a place under `token`. The receiver is told that it is to be used.
+    /// Offers a place under `token`. The receiver completes when the place is committed.
     pub(crate) fn offer(
         &self,
         token: u64,
     ) -> (ReservationGuard<'_>, oneshot::Receiver<RunCommitment>) {
-        let (sender, used) = oneshot::channel();
+        let (sender, committed) = oneshot::channel();
         self.0.borrow_mut().insert(token, ReservedPlace::Offered(sender));
-        (ReservationGuard { table: self, token }, used)
+        (ReservationGuard { table: self, token }, committed)
     }
 
-    /// Has the place used, with a lease or for good, also after a lease; false where it is no
-    /// longer reserved, or its run has ended.
+    /// Commits the place, with a lease or permanently; also used to make a leased place permanent.
+    /// Returns `false` if the place is no longer reserved or its run has ended.
     pub(crate) fn commit(&self, token: u64, lease: Option<Duration>) -> bool {
         let mut places = self.0.borrow_mut();
         let Some(place) = places.remove(&token) else { return false };
         let next = match place {
-            ReservedPlace::Offered(used) => {
+            ReservedPlace::Offered(committed) => {
                 let (keep, kept) = oneshot::channel();
                 let next = match lease {
                     Some(_) => ReservedPlace::Leased(keep),
                     None => ReservedPlace::Kept,
                 };
                 let lease = lease.map(|lease| (lease, kept));
-                used.send(RunCommitment { lease }).is_ok().then_some(next)
+                committed.send(RunCommitment { lease }).is_ok().then_some(next)
             }
             ReservedPlace::Leased(keep) if lease.is_none() => {
                 keep.send(()).is_ok().then_some(ReservedPlace::Kept)
--- /dev/null
+++ b/crates/proxy/src/response.rs
@@ -0,0 +1,83 @@
+//! Responses that have begun: the head, and the body as a stream.
+
+use {
+    crate::{
+        dispatcher::DispatchTicket, forward::ForwardBody, liveness::RunLiveness,
+        outcome::AttemptTarget,
+    },
+    bytes::Bytes,
+    gullglade_dispatch::WorkOutcome,
+    gullglade_http::{BodyError, ClientBody},
+    http::{HeaderMap, StatusCode},
+};
+
+/// A response whose head has arrived.
+pub(crate) struct AttemptResponse {
+    /// Backend server or region that sent it.
+    pub(crate) target: AttemptTarget,
+    pub(crate) liveness: RunLiveness,
+    pub(crate) status: StatusCode,
+    pub(crate) headers: HeaderMap,
+    pub(crate) body: ResponseBody,
+}
+
+impl AttemptResponse {
+    /// Returns whether the backend server reports an error of its own.
+    pub(crate) fn is_failure(&self) -> bool {
+        self.status.is_server_error()
+    }
+}
+
+/// Body of a response. Dropping it before its end cancels the work of the backend server.
+pub(crate) enum ResponseBody {
+    Backend(BackendBody),
+    Forward(ForwardBody),
+}
+
+impl ResponseBody {
+    /// Returns the next chunk; `None` after the last chunk of a complete body.
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
+        match self {
+            Self::Backend(body) => body.next().await,
+            Self::Forward(body) => body.next().await,
+        }
+    }
+}
+
+/// Body from a backend server of the own region. It reports the outcome to the scheduler.
+pub(crate) struct BackendBody {
+    body: ClientBody,
+    ticket: Option<DispatchTicket>,
+    /// Outcome to report if the body is complete.
+    complete_outcome: WorkOutcome,
+}
+
+impl BackendBody {
+    pub(crate) fn new(
+        body: ClientBody,
+        ticket: DispatchTicket,
+        complete_outcome: WorkOutcome,
+    ) -> Self {
+        Self { body, ticket: Some(ticket), complete_outcome }
+    }
+
+    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
+        let chunk = self.body.next().await;
+        match &chunk {
+            Some(Ok(_)) => {
+                if let Some(ticket) = &self.ticket {
+                    ticket.note_first_byte();
+                }
+            }
+            None => self.finish(self.complete_outcome),
+            Some(Err(_)) => self.finish(WorkOutcome::Broken),
+        }
+        chunk
+    }
+
+    fn finish(&mut self, outcome: WorkOutcome) {
+        if let Some(ticket) = self.ticket.take() {
+            ticket.finish(outcome);
+        }
+    }
+}
--- a/crates/proxy/src/search.rs
+++ b/crates/proxy/src/search.rs
@@ -1,13 +1,13 @@
-//! The search for a place beside a run that is under way.
+//! Search for another place while a run is in progress.
 
 use {
     crate::{
         CallerRequest, Proxy,
-        call_print::CallPrint,
-        dispatcher::SentTicket,
-        forward::{ForwardCall, ReservedForward},
-        journey::Journey,
-        liveness::RunWatch,
+        dispatcher::DispatchTicket,
+        execution::RequestExecution,
+        forward::{ForwardRequest, ReservedForward},
+        liveness::RunMonitor,
+        request_fingerprint::RequestFingerprint,
     },
     gullglade_dispatch::{PromptCopy, Verdict, WorkItem},
     gullglade_event::EventDraft,
@@ -17,27 +17,27 @@
 
 /// A place that was found for a request.
 pub(crate) enum FoundPlace {
-    /// At a backend server of the own region, which holds it for as long as this is kept.
-    Here(PlacedRun),
+    /// At a backend server of the own region, which keeps it until this is dropped.
+    Local(LocalPlace),
     /// In another region, whose gateways have not been asked yet.
-    Away(RegionName),
+    Remote(RegionName),
     /// In another region, reserved by the dispatcher of a gateway there.
     Reserved(ReservedForward),
 }
 
 impl FoundPlace {
-    /// Whether it may still be used, as far as this gateway knows.
+    /// Returns whether the place may still be used, as far as this gateway knows.
     pub(crate) fn may_be_used(&self) -> bool {
         match self {
-            Self::Here(placed) => placed.ticket.may_be_used(),
-            Self::Away(_) | Self::Reserved(_) => true,
+            Self::Local(placed) => placed.ticket.may_be_used(),
+            Self::Remote(_) | Self::Reserved(_) => true,
         }
     }
 }
 
-/// A place at a backend server of the own region. Dropped, it is given back.
-pub(crate) struct PlacedRun {
-    pub(crate) ticket: SentTicket,
+/// A place at a backend server of the own region. Released on drop.
+pub(crate) struct LocalPlace {
+    pub(crate) ticket: DispatchTicket,
     pub(crate) run: BackendRun,
     pub(crate) address: SocketAddr,
     pub(crate) priority: u8,
@@ -45,43 +45,45 @@
     pub(crate) copy: Option<PromptCopy>,
 }
 
-/// A search for a place beside a run.
+/// A search for a place while another run is in progress.
 pub(crate) struct PlaceSearch {
     proxy: Proxy,
-    call: Rc<CallerRequest>,
-    print: Rc<CallPrint>,
+    request: Rc<CallerRequest>,
+    fingerprint: Rc<RequestFingerprint>,
     item: WorkItem,
     last_event: Option<u64>,
 }
 
 impl PlaceSearch {
-    /// One for the request of `journey`, anywhere but at the backend server of `run`.
-    pub(crate) fn beside(journey: &Journey, run: &RunWatch) -> Self {
-        let mut item = WorkItem { is_new: false, ..journey.item.clone() };
+    /// Creates a search for the request of `execution` at any backend server but that of `run`.
+    pub(crate) fn new_alongside(execution: &RequestExecution, run: &RunMonitor) -> Self {
+        let mut item = WorkItem { is_new: false, ..execution.item.clone() };
         item.tried.extend(run.backend());
         Self {
-            proxy: journey.proxy.clone(),
-            call: Rc::clone(&journey.call),
-            print: Rc::clone(&journey.print),
+            proxy: execution.proxy.clone(),
+            request: Rc::clone(&execution.request),
+            fingerprint: Rc::clone(&execution.fingerprint),
             item,
-            last_event: journey.last_event,
+            last_event: execution.last_event,
         }
     }
 
-    /// A place that is reserved; `None` where nobody has one now. Dropped, it leaves the queue.
+    /// Runs the search. Returns `None` if there is no place now. Dropping the future removes the
+    /// search from the queue.
     pub(crate) async fn run(self) -> Option<FoundPlace> {
         let (ticket, verdict) = self.proxy.dispatcher().place(self.item.clone()).await;
         match verdict {
             Verdict::Send { run, address, priority, expected_ms, copy } => {
-                let placed = PlacedRun { ticket, run, address, priority, expected_ms, copy };
-                Some(FoundPlace::Here(placed))
+                let placed = LocalPlace { ticket, run, address, priority, expected_ms, copy };
+                Some(FoundPlace::Local(placed))
             }
             Verdict::SendAway { region, .. } => {
                 drop(ticket);
                 self.reserve(region).await
             }
             Verdict::Refuse { reason, facts, .. } => {
-                let event = self.refused().field("reason", reason).field("serving", facts.serving);
+                let event =
+                    self.refused_event().field("reason", reason).field("serving", facts.serving);
                 let event = event.field("suspect", facts.suspect).field("waiting", facts.waiting);
                 self.proxy.events().emit(event);
                 None
@@ -91,18 +93,18 @@
 
     async fn reserve(&self, region: RegionName) -> Option<FoundPlace> {
         let now = self.proxy.context().clock.now();
-        let forward = ForwardCall {
-            print: self.print.made(),
-            ..ForwardCall::new(&self.call, &self.item, self.last_event, now)
+        let forward = ForwardRequest {
+            print: self.fingerprint.cached(),
+            ..ForwardRequest::new(&self.request, &self.item, self.last_event, now)
         };
         let reserved = self.proxy.forwarder().reserve(&region, forward).await;
         if reserved.is_none() {
-            self.proxy.events().emit(self.refused().field("region", region));
+            self.proxy.events().emit(self.refused_event().field("region", region));
         }
         reserved.map(FoundPlace::Reserved)
     }
 
-    fn refused(&self) -> EventDraft {
-        EventDraft::new("request.search_refused").field("request", &self.call.id)
+    fn refused_event(&self) -> EventDraft {
+        EventDraft::new("request.search_refused").field("request", &self.request.id)
     }
 }
--- a/crates/proxy/src/send_watch.rs
+++ b/crates/proxy/src/send_monitor.rs
@@ -1,7 +1,7 @@
-//! What is noticed of the run of a backend server under one send.
+//! Observes backend server instances through single sends.
 
 use {
-    crate::call_print::CallPrint,
+    crate::request_fingerprint::RequestFingerprint,
     gullglade_dispatch::{StatementChange, WorkOutcome},
     gullglade_event::{EventDraft, EventSink},
     gullglade_poison::CrashLedger,
@@ -9,22 +9,22 @@
     std::rc::Rc,
 };
 
-/// One send, watched for a backend server that ends under it.
-pub(crate) struct SendWatch {
-    pub(crate) print: Rc<CallPrint>,
+/// Monitor of one send that detects backend servers that end while they run a request.
+pub(crate) struct SendMonitor {
+    pub(crate) fingerprint: Rc<RequestFingerprint>,
     pub(crate) run: BackendRun,
     pub(crate) sent: MonotonicTime,
     pub(crate) crashes: Rc<CrashLedger>,
     pub(crate) events: Rc<dyn EventSink>,
 }
 
-impl SendWatch {
-    /// Something of the answer has come.
-    pub(crate) fn begin(&self) {
+impl SendMonitor {
+    /// Notes that the first byte of the response has arrived.
+    pub(crate) fn note_first_byte(&self) {
         self.crashes.note_life(&self.run, self.sent);
     }
 
-    /// The backend server stated something else than before.
+    /// Logs a change in the statements of the backend server.
     pub(crate) fn statement_changed(&self, change: StatementChange) {
         let event = |kind| EventDraft::new(kind).field("backend", &self.run.backend);
         self.events.emit(match change {
@@ -39,24 +39,26 @@
         });
     }
 
-    /// The send has ended.
+    /// Records the outcome of the send.
     pub(crate) fn end(&self, outcome: WorkOutcome, now: MonotonicTime) {
         match outcome {
             WorkOutcome::Broken => self.cut_off(now),
             WorkOutcome::Answered | WorkOutcome::Failed if !self.crashes.is_empty() => {
-                let answer = score(self.print.call().id.as_str(), "answer");
-                self.crashes.note_answer(self.print.get(), answer);
+                let answer = score(self.fingerprint.request().id.as_str(), "answer");
+                self.crashes.note_answer(self.fingerprint.get(), answer);
             }
-            // The caller left, it did not run, or nothing came: none of these tells of the request.
+            // The caller left, the request did not run, or nothing came: none of these tells
+            // anything about the request.
             _ => {}
         }
     }
 
     fn cut_off(&self, now: MonotonicTime) {
-        let print = self.print.get();
-        let ends = self.crashes.note_cut_off(print, self.run.clone(), self.sent);
-        let event = EventDraft::new("request.cut_off").field("request", &self.print.call().id);
-        let event = event.field("fingerprint", print).field("ends", ends);
+        let fingerprint = self.fingerprint.get();
+        let ends = self.crashes.note_cut_off(fingerprint, self.run.clone(), self.sent);
+        let event =
+            EventDraft::new("request.cut_off").field("request", &self.fingerprint.request().id);
+        let event = event.field("fingerprint", fingerprint).field("ends", ends);
         let event = event.field("backend", &self.run.backend);
         let event = event.field("incarnation", self.run.incarnation);
         self.events.emit(event.millis("sent_ms", now.since(self.sent)));
--- a/crates/proxy/src/unread_headers.rs
+++ b/crates/proxy/src/unread_headers.rs
@@ -1,7 +1,7 @@
-//! Headers of rejections that nobody here reads.
+//! Reports headers of rejections that the dialect does not read.
 //!
-//! A backend server that turns work away says why, and for how long, in headers. One that nobody
-//! reads may be a statement that ought to be acted on, so each name is told once.
+//! A backend server that rejects work states the reason and the duration in headers. A header that
+//! is not read may be a statement to act on, so each name is logged once.
 
 use {
     crate::BackendDialect,
@@ -17,11 +17,11 @@
     std::{cell::RefCell, collections::BTreeSet, fmt, rc::Rc},
 };
 
-/// The most names that are told in one run of a gateway.
-const MOST_NAMES: usize = 32;
+/// Most names that are reported by one gateway process.
+const MAX_REPORTED_NAMES: usize = 32;
 
-/// Headers of the protocol, which state nothing of the backend server's readiness for work.
-const ORDINARY: [HeaderName; 10] = [
+/// Standard HTTP headers, which tell nothing about the readiness of the backend server.
+const STANDARD_HEADERS: [HeaderName; 10] = [
     CACHE_CONTROL,
     CONNECTION,
     CONTENT_ENCODING,
@@ -34,7 +34,7 @@
     VARY,
 ];
 
-/// A header's name in a log line. It consists of token characters alone.
+/// A header name as a log field. It consists of token characters only.
 struct HeaderLabel(HeaderName);
 
 impl fmt::Display for HeaderLabel {
@@ -45,19 +45,19 @@
 
 impl FieldValue for HeaderLabel {}
 
-/// Tells the names of headers in rejections that nobody reads, each once.
+/// Reports the names of unread headers in rejections, each once.
 pub(crate) struct UnreadHeaders {
     events: Rc<dyn EventSink>,
-    told: RefCell<BTreeSet<String>>,
+    reported: RefCell<BTreeSet<String>>,
 }
 
 impl UnreadHeaders {
     pub(crate) fn new(events: Rc<dyn EventSink>) -> Self {
-        Self { events, told: RefCell::default() }
+        Self { events, reported: RefCell::default() }
     }
 
-    /// Looks at the headers of an answer.
-    pub(crate) fn note(
+    /// Reports unread headers of a response if it is a rejection.
+    pub(crate) fn check(
         &self,
         dialect: &dyn BackendDialect,
         backend: &BackendName,
@@ -67,11 +67,12 @@
         if !matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) {
             return;
         }
-        let mut told = self.told.borrow_mut();
-        let unread =
-            |name: &&HeaderName| !ORDINARY.contains(name) && !dialect.recognizes_header(name);
+        let mut reported = self.reported.borrow_mut();
+        let unread = |name: &&HeaderName| {
+            !STANDARD_HEADERS.contains(name) && !dialect.recognizes_header(name)
+        };
         for name in headers.keys().filter(unread) {
-            if told.len() >= MOST_NAMES || !told.insert(name.to_string()) {
+            if reported.len() >= MAX_REPORTED_NAMES || !reported.insert(name.to_string()) {
                 continue;
             }
             let event =
--- a/crates/proxy/tests/support/servers.rs
+++ b/crates/proxy/tests/support/servers.rs
@@ -260,7 +260,7 @@
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         ResponseMetadata {
             is_not_run: text("not-run").is_some(),
-            is_other_run: text("other-run").is_some(),
+            is_other_instance: text("other-run").is_some(),
             request_id: text("id").map(str::to_owned),
             statements: BackendStatements {
                 is_signed: text("signed").is_some(),
