--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,7 +6,7 @@
         dispatcher::DispatchTicket,
         outcome::{AttemptOutcome, AttemptTarget, NotRunReason, UnknownReason},
         response::{AttemptResponse, BackendBody, ResponseBody},
-        unread_headers::UnreadHeaders,
+        unread_headers::UnreadHeaderReporter,
     },
     gullglade_dispatch::{StatementChange, WorkOutcome},
     gullglade_http::{
@@ -28,7 +28,7 @@
 pub(crate) struct AttemptSender {
     pub(crate) client: Rc<dyn HttpClient>,
     pub(crate) dialect: Rc<dyn BackendDialect>,
-    pub(crate) unread_headers: UnreadHeaders,
+    pub(crate) unread_headers: UnreadHeaderReporter,
 }
 
 /// An attempt: one send of a request to a backend server.
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -67,7 +67,7 @@
         let ticket = self.scheduler.borrow_mut().submit(item, self.context.clock.now());
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
-        let sent = DispatchTicket {
+        let dispatch_ticket = DispatchTicket {
             dispatcher: Rc::clone(self),
             ticket,
             permit: self.issue_permit(ticket),
@@ -83,7 +83,7 @@
             retry_after: Duration::from_secs(1),
             facts: RefusalFacts::default(),
         });
-        (sent, verdict)
+        (dispatch_ticket, verdict)
     }
 
     /// Issues a permit to send the request. It can be revoked as soon as there is a verdict, since
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -207,7 +207,7 @@
     }
 
     /// Logs that a run continues, since the run that was to replace it did not take over.
-    pub(crate) fn record_kept(&self, target: &AttemptTarget, reason: KeptReason) {
+    pub(crate) fn record_run_kept(&self, target: &AttemptTarget, reason: KeptReason) {
         let event = self.event("request.run_kept").field("reason", reason.label());
         self.events.emit(self.with_progress(event.field("place", target)));
     }
--- a/crates/proxy/src/execution.rs
+++ b/crates/proxy/src/execution.rs
@@ -411,7 +411,7 @@
             true => self.unknown(UnknownReason::Broken),
         };
         match self.not_run_attempts < MAX_NOT_RUN_ATTEMPTS {
-            true if reason.has_arrived() => self.plan_retry(RetryReason::NotRun(reason), error),
+            true if reason.reached_backend() => self.plan_retry(RetryReason::NotRun(reason), error),
             true => Ok(()),
             false => Err(error),
         }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -238,11 +238,11 @@
         let mut frames = FrameStream { stream, liveness };
         let service = &request.service;
         let clock = &*self.context.clock;
-        let asked = clock.now();
+        let sent_at = clock.now();
         let first = self.await_accepted(region, service, request.left, &mut frames, true).await?;
-        let round_trip = clock.now().since(asked);
-        let answer = next_content(&mut frames, first);
-        match timeout(clock, request.left.min(RESERVE_TIMEOUT), answer).await? {
+        let round_trip = clock.now().since(sent_at);
+        let content = next_content(&mut frames, first);
+        match timeout(clock, request.left.min(RESERVE_TIMEOUT), content).await? {
             Some(Ok(ForwardFrame::Placed)) => Some(ReservedForward {
                 region: region.clone(),
                 gateway,
@@ -321,10 +321,10 @@
     async fn open(&self, region: &RegionName, request: &mut ForwardRequest) -> OpenedForward {
         // The gateway there cannot know the time in transit. It cuts off a response when no time is
         // left, so no more than the minimum transit time is deducted from that.
-        let least =
+        let min_delay =
             self.dispatcher.with_scheduler(|scheduler, _| scheduler.least_region_delay(region));
         request.waited += self.round_trip(region) / 2;
-        request.left = request.left.saturating_sub(least / 2);
+        request.left = request.left.saturating_sub(min_delay / 2);
         for gateway in self.pick_gateways(region) {
             let began = self.context.clock.now();
             let to = gateway.profile.peer_address;
@@ -362,9 +362,9 @@
         if offer.is_empty() {
             return;
         }
-        let word = FirstByteTimes::from_millis(offer);
+        let first_byte = FirstByteTimes::from_millis(offer);
         self.dispatcher.with_scheduler(|scheduler, now| {
-            scheduler.note_region_word(region, service, word, now);
+            scheduler.note_region_word(region, service, first_byte, now);
         });
     }
 
@@ -411,12 +411,12 @@
     /// Returns a few of the preferred gateways in random order.
     fn pick_gateways(&self, region: &RegionName) -> Vec<GatewayRow> {
         let mut rows = self.preferred_gateways(region);
-        let mut drawn = Vec::new();
-        while drawn.len() < MAX_GATEWAYS_TRIED && !rows.is_empty() {
+        let mut picked = Vec::new();
+        while picked.len() < MAX_GATEWAYS_TRIED && !rows.is_empty() {
             let at = self.context.random.below(rows.len() as u64) as usize;
-            drawn.push(rows.swap_remove(at));
+            picked.push(rows.swap_remove(at));
         }
-        drawn
+        picked
     }
 
     /// Waits for the first frame of the reply, which confirms that the request has arrived. Returns
@@ -604,7 +604,7 @@
     let mut is_certain = true;
     for _ in 0..COMMAND_TRIES {
         match transport.call(gateway, method, body.clone(), limit).await {
-            Ok(answer) => match decode(&answer) {
+            Ok(reply) => match decode(&reply) {
                 Ok(false) if is_certain => return CommandOutcome::Rejected,
                 Ok(true) => return CommandOutcome::Acknowledged,
                 // An earlier call of this command may have been carried out.
--- a/crates/proxy/src/forward_server.rs
+++ b/crates/proxy/src/forward_server.rs
@@ -92,10 +92,10 @@
         let Some(token) = forward.reservation else {
             return self.attempt(&mut execution, found, reply).await;
         };
-        let (_reservation, used) = self.reservations.offer(token);
+        let (_reservation, commit_receiver) = self.reservations.offer(token);
         send_frame(reply, &ForwardFrame::Placed).await?;
         let clock = Rc::clone(&self.proxy.context().clock);
-        let committed = timeout(&*clock, RESERVATION_LIMIT, used).await;
+        let committed = timeout(&*clock, RESERVATION_LIMIT, commit_receiver).await;
         let may_begin = found.may_be_used() && execution.check_hold().is_ok();
         let Some(Ok(commitment)) = committed.filter(|_| may_begin) else {
             return send_frame(reply, &ForwardFrame::NotRun(NotRunReason::Revoked, None)).await;
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -196,7 +196,7 @@
 
     /// Records that the new run was cancelled and may have run.
     fn note_new_run_cancelled(&mut self, new: &RunMonitor, reason: KeptReason) {
-        self.log.record_kept(&new.target, reason);
+        self.log.record_run_kept(&new.target, reason);
         self.count_concurrent_attempt(&AttemptOutcome::Unknown(UnknownReason::Overdue));
     }
 
@@ -208,7 +208,7 @@
             AttemptTarget::Remote(_) => AttemptOutcome::Unknown(UnknownReason::LostAway),
         };
         self.record_attempt(new, &outcome);
-        self.log.record_kept(&new.target, KeptReason::NewNotBegun);
+        self.log.record_run_kept(&new.target, KeptReason::NewNotBegun);
         self.count_concurrent_attempt(&outcome);
     }
 
@@ -220,7 +220,7 @@
             outcome => outcome,
         };
         self.record_attempt(new, &outcome);
-        self.log.record_kept(&new.target, KeptReason::NewFailed);
+        self.log.record_run_kept(&new.target, KeptReason::NewFailed);
         self.count_concurrent_attempt(&outcome);
     }
 }
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -115,9 +115,9 @@
 
 /// Encodes `hints` into as many notices as are needed to stay within [`NOTICE_LIMIT`].
 fn encode_notices(hints: &[BackendHint]) -> Vec<Vec<u8>> {
-    let whole = encode_hints(hints);
-    if whole.len() <= NOTICE_LIMIT {
-        return vec![whole];
+    let body = encode_hints(hints);
+    if body.len() <= NOTICE_LIMIT {
+        return vec![body];
     }
     match hints {
         // The prompt has more parts than fit into a notice. The load of reading it matters more
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -48,7 +48,7 @@
 
 impl NotRunReason {
     /// Returns whether a backend server received the request and rejected it.
-    pub(crate) fn has_arrived(self) -> bool {
+    pub(crate) fn reached_backend(self) -> bool {
         matches!(self, Self::Shed | Self::Misdirected)
     }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -12,7 +12,7 @@
         notice::GatewayNotice,
         outcome::RequestError,
         quota::{QuotaEnforcer, QuotaParts},
-        unread_headers::UnreadHeaders,
+        unread_headers::UnreadHeaderReporter,
     },
     gullglade_dispatch::{STALL_CHECK_INTERVAL, Scheduler},
     gullglade_event::{EventDraft, EventSink, Level, MetricSet},
@@ -98,7 +98,7 @@
         let attempts = AttemptSender {
             client: Rc::clone(&parts.client),
             dialect: Rc::clone(&parts.dialect),
-            unread_headers: UnreadHeaders::new(Rc::clone(&parts.events)),
+            unread_headers: UnreadHeaderReporter::new(Rc::clone(&parts.events)),
         };
         let forwarder = Forwarder {
             transport: Rc::clone(&parts.transport),
--- a/crates/proxy/src/send_tracker.rs
+++ b/crates/proxy/src/send_tracker.rs
@@ -136,7 +136,7 @@
     fn from_outcome(outcome: &AttemptOutcome) -> Self {
         match outcome {
             AttemptOutcome::Response(_) => Self::Settled,
-            AttemptOutcome::NotRun(reason, _) if reason.has_arrived() => Self::Settled,
+            AttemptOutcome::NotRun(reason, _) if reason.reached_backend() => Self::Settled,
             AttemptOutcome::NotRun(..) => Self::Never,
             AttemptOutcome::Unknown(UnknownReason::Overdue | UnknownReason::LostAway) => {
                 Self::Unconfirmed
--- a/crates/proxy/src/unread_headers.rs
+++ b/crates/proxy/src/unread_headers.rs
@@ -46,12 +46,12 @@
 impl FieldValue for HeaderLabel {}
 
 /// Reports the names of unread headers in rejections, each once.
-pub(crate) struct UnreadHeaders {
+pub(crate) struct UnreadHeaderReporter {
     events: Rc<dyn EventSink>,
     reported: RefCell<BTreeSet<String>>,
 }
 
-impl UnreadHeaders {
+impl UnreadHeaderReporter {
     pub(crate) fn new(events: Rc<dyn EventSink>) -> Self {
         Self { events, reported: RefCell::default() }
     }
--- a/crates/proxy/tests/access.rs
+++ b/crates/proxy/tests/access.rs
@@ -1,4 +1,4 @@
-//! Callers with keys: who is served, for whom, and for how long without contact.
+//! Keys of callers: authorization, workspaces, and the time limit without contact.
 
 mod support;
 
@@ -7,7 +7,7 @@
     gullglade_traffic::{RawWorkspace, RequestKind},
     gullglade_units::TokenHash,
     std::time::Duration,
-    support::{BedSettings, Deed, Script, TestBed},
+    support::{BackendAction, BedSettings, ScriptedResponse, TestBed},
 };
 
 const REVOCATION: Duration = Duration::from_secs(5);
@@ -22,7 +22,7 @@
     }
 }
 
-/// With version 2 one key is taken away, another given to another workspace.
+/// In version 2 one key is revoked, and another one is moved to another workspace.
 fn workspaces(version: u64) -> Vec<RawWorkspace> {
     match version {
         1 => vec![
@@ -49,33 +49,34 @@
     }
 }
 
-fn keyed(bed: &TestBed, key: Option<&str>) -> CallerRequest {
-    CallerRequest { key: key.map(TokenHash::of), ..bed.call() }
+fn request_with_key(bed: &TestBed, key: Option<&str>) -> CallerRequest {
+    CallerRequest { key: key.map(TokenHash::of), ..bed.request() }
 }
 
-/// The status of a call, and the workspaces that backend servers of both regions were told.
+/// Serves a request. Returns its status and the workspaces in the requests to backend servers of
+/// both regions.
 fn serve(bed: &TestBed, key: Option<&str>) -> (u16, Vec<Option<String>>) {
     for region in 0..2 {
-        bed.backends(region).forget_deeds();
+        bed.backends(region).clear_actions();
         bed.backends(region).arrivals.borrow_mut().clear();
-        bed.script(region, &[Deed::Answer(Script::signed(200, &["done"]))]);
+        bed.script(region, &[BackendAction::Answer(ScriptedResponse::signed(200, &["done"]))]);
     }
-    let status = bed.serve(keyed(bed, key)).status;
+    let status = bed.serve(request_with_key(bed, key)).status;
     let arrivals = |region| bed.backends(region).arrivals.borrow().clone();
-    let told = (0..2).flat_map(arrivals).map(|arrival| {
+    let stated_workspaces = (0..2).flat_map(arrivals).map(|arrival| {
         arrival.headers.get("workspace").map(|value| value.to_str().expect("a name").to_owned())
     });
-    (status, told.collect())
+    (status, stated_workspaces.collect())
 }
 
 #[test]
-fn callers_are_served_for_the_workspace_that_holds_their_key() {
+fn requests_run_for_the_workspace_of_the_key() {
     struct Case {
         what: &'static str,
         key: Option<&'static str>,
         is_public: bool,
         status: u16,
-        told: &'static [Option<&'static str>],
+        stated_workspaces: &'static [Option<&'static str>],
     }
     let cases = [
         Case {
@@ -83,60 +84,90 @@
             key: Some("kept"),
             is_public: false,
             status: 200,
-            told: &[Some("clerks")],
+            stated_workspaces: &[Some("clerks")],
+        },
+        Case {
+            what: "unknown",
+            key: Some("guess"),
+            is_public: false,
+            status: 401,
+            stated_workspaces: &[],
+        },
+        Case {
+            what: "empty",
+            key: Some(""),
+            is_public: false,
+            status: 401,
+            stated_workspaces: &[],
+        },
+        Case { what: "none", key: None, is_public: false, status: 401, stated_workspaces: &[] },
+        Case {
+            what: "public",
+            key: None,
+            is_public: true,
+            status: 200,
+            stated_workspaces: &[None],
         },
-        Case { what: "unknown", key: Some("guess"), is_public: false, status: 401, told: &[] },
-        Case { what: "empty", key: Some(""), is_public: false, status: 401, told: &[] },
-        Case { what: "none", key: None, is_public: false, status: 401, told: &[] },
-        Case { what: "public", key: None, is_public: true, status: 200, told: &[None] },
         Case {
             what: "public, with a key",
             key: Some("guess"),
             is_public: true,
             status: 200,
-            told: &[None],
+            stated_workspaces: &[None],
         },
     ];
     for case in cases {
         let bed = TestBed::new(&BedSettings { is_public: case.is_public, ..settings() });
-        let (status, told) = serve(&bed, case.key);
-        let told: Vec<_> = told.iter().map(Option::as_deref).collect();
-        assert_eq!((status, &told[..]), (case.status, case.told), "{}", case.what);
+        let (status, stated_workspaces) = serve(&bed, case.key);
+        let stated_workspaces: Vec<_> = stated_workspaces.iter().map(Option::as_deref).collect();
+        assert_eq!(
+            (status, &stated_workspaces[..]),
+            (case.status, case.stated_workspaces),
+            "{}",
+            case.what
+        );
     }
 }
 
 #[test]
-fn work_that_leaves_its_region_is_done_for_the_same_workspace() {
+fn forwarded_request_keeps_its_workspace() {
     let bed = bed();
     assert_eq!(serve(&bed, Some("east-key")), (200, vec![Some("eastern".to_owned())]));
     assert!(bed.backends(0).arrivals.borrow().is_empty(), "its home is the other region");
 }
 
 #[test]
-fn a_key_that_was_taken_away_or_moved_counts_so_at_once_where_that_is_known() {
+fn revoked_or_moved_key_takes_effect_with_configuration() {
     let bed = bed();
     bed.configure(2);
     bed.world.run_for(Duration::from_secs(1));
     struct Case {
         key: &'static str,
         status: u16,
-        told: Option<&'static str>,
+        stated_workspaces: Option<&'static str>,
     }
     let cases = [
-        Case { key: "kept", status: 200, told: Some("clerks") },
-        Case { key: "taken", status: 401, told: None },
-        Case { key: "moved", status: 200, told: Some("eastern") },
+        Case { key: "kept", status: 200, stated_workspaces: Some("clerks") },
+        Case { key: "taken", status: 401, stated_workspaces: None },
+        Case { key: "moved", status: 200, stated_workspaces: Some("eastern") },
     ];
     for case in cases {
-        let (status, told) = serve(&bed, Some(case.key));
-        let told: Vec<_> = told.iter().flatten().map(String::as_str).collect();
-        assert_eq!((status, told), (case.status, Vec::from_iter(case.told)), "{}", case.key);
+        let (status, stated_workspaces) = serve(&bed, Some(case.key));
+        let stated_workspaces: Vec<_> =
+            stated_workspaces.iter().flatten().map(String::as_str).collect();
+        assert_eq!(
+            (status, stated_workspaces),
+            (case.status, Vec::from_iter(case.stated_workspaces)),
+            "{}",
+            case.key
+        );
     }
 }
 
-/// A gateway that control processes could not reach went on serving a key that had been taken away.
+/// Guards against a gateway that keeps accepting a revoked key while it has no contact to the
+/// control processes.
 #[test]
-fn keys_are_not_taken_for_longer_than_promised_without_contact() {
+fn keys_are_refused_after_revocation_bound_without_contact() {
     struct Case {
         what: &'static str,
         fault: fn(&TestBed),
@@ -156,7 +187,7 @@
         let bed = bed();
         (case.fault)(&bed);
         let began = bed.world.now();
-        // What is taken away now is not told here any more.
+        // A revocation from now on does not reach this gateway any more.
         bed.world.run_for(Duration::from_secs(2));
         assert_eq!(serve(&bed, Some("taken")).0, 200, "{}", case.what);
         bed.world.run_for(REVOCATION.saturating_sub(bed.world.now().since(began)));
@@ -166,10 +197,10 @@
     }
 }
 
-/// A VM was suspended while a key was taken away. Its monotonic clock stood still, so the gateway
-/// took what it knew for fresh and served the key.
+/// Guards against a gateway that accepts a key revoked while its VM was suspended. The monotonic
+/// clock stands still during a suspension, so old data looks fresh.
 #[test]
-fn a_suspension_counts_as_time_without_contact() {
+fn vm_suspension_counts_as_time_without_contact() {
     let bed = bed();
     bed.kill_control();
     bed.process(0).note_suspension(REVOCATION);
@@ -177,7 +208,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_steps_changes_nothing() {
+fn wall_clock_step_has_no_effect() {
     for millis in [-3_600_000, 3_600_000] {
         let bed = bed();
         bed.process(0).set_wall_offset(millis);
@@ -187,7 +218,7 @@
 }
 
 #[test]
-fn without_a_bound_a_gateway_without_contact_goes_on() {
+fn gateway_without_contact_accepts_keys_without_bound() {
     let bed = TestBed::new(&BedSettings { revocation: None, ..settings() });
     bed.kill_control();
     bed.world.run_for(REVOCATION * 3);
--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Repeats, counted over gateways and regions.
+//! Retry budget across gateways and regions.
 
 mod support;
 
@@ -8,94 +8,97 @@
     gullglade_traffic::RequestKind,
     gullglade_units::MonotonicTime,
     std::{collections::BTreeSet, time::Duration},
-    support::{BedSettings, Deed, OwnParts, Script, TestBed, take},
+    support::{BackendAction, BedSettings, Overrides, ScriptedResponse, TestBed, fetch},
 };
 
-/// What all gateways together may repeat, of the requests that callers sent and besides.
-const RATIO: f64 = 0.2;
-const SLACK: f64 = 50.0;
-const WINDOW: Duration = Duration::from_secs(10);
+/// The retries of all gateways together are limited to this share of the callers' requests plus a
+/// constant.
+const RETRY_RATIO: f64 = 0.2;
+const RETRY_SLACK: f64 = 50.0;
+const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 const IDEMPOTENT: RequestKind = RequestKind::Idempotent;
 
-/// A request counted again with each placement and handover, so that more repeats were allowed.
+/// Guards against counting a request again with each placement and handover, which would allow more
+/// retries.
 #[test]
-fn repeats_are_a_part_of_what_callers_sent_however_often_it_is_placed_or_handed_over() {
+fn retries_are_limited_to_a_share_of_callers_requests() {
     struct Case {
         what: &'static str,
-        /// The gateways that callers use in turn.
+        /// Gateways that callers use in turn.
         callers_use: &'static [usize],
-        /// What becomes of each send.
-        deeds: Vec<Deed>,
+        /// Outcome of each send.
+        actions: Vec<BackendAction>,
         backends: (u8, u8),
     }
     const REQUESTS: usize = 2_400;
     const PAUSE: Duration = Duration::from_millis(5);
-    let failure = Deed::Answer(Script::signed(500, &["sorry"]).without("id"));
+    let failure = BackendAction::Answer(ScriptedResponse::signed(500, &["sorry"]).without("id"));
     let cases = [
         Case {
             what: "every engine fails",
             callers_use: &[0],
-            deeds: vec![failure.clone()],
+            actions: vec![failure.clone()],
             backends: (150, 0),
         },
         Case {
             what: "every second engine cannot be reached",
             callers_use: &[0],
-            deeds: vec![Deed::Unreachable, failure.clone()],
+            actions: vec![BackendAction::Unreachable, failure.clone()],
             backends: (150, 0),
         },
         Case {
-            what: "half is handed over by the region without engines",
+            what: "half is forwarded by the region without engines",
             callers_use: &[0, 1],
-            deeds: vec![failure],
+            actions: vec![failure],
             backends: (150, 0),
         },
     ];
-    let mut broken = Vec::new();
-    for Case { what, callers_use, deeds, backends } in cases {
+    let mut exceeded = Vec::new();
+    for Case { what, callers_use, actions, backends } in cases {
         let bed = TestBed::new(&BedSettings { backends, ..BedSettings::of(IDEMPOTENT) });
-        let script: Vec<Deed> = deeds.into_iter().cycle().take(REQUESTS * 8).collect();
+        let script: Vec<BackendAction> = actions.into_iter().cycle().take(REQUESTS * 8).collect();
         (0..2).for_each(|region| bed.script(region, &script));
         let began = bed.world.now();
         let sent: Vec<_> =
             (0..REQUESTS).map(|n| began + PAUSE * u32::try_from(n).expect("few")).collect();
-        let calls = (0..REQUESTS).map(|number| {
+        let requests = (0..REQUESTS).map(|number| {
             let id = format!("call-{number}");
-            let call = CallerRequest {
+            let request = CallerRequest {
                 id: CallerRequestId::try_from(id.as_str()).expect("an id"),
                 key: None,
                 body: id.clone().into(),
-                ..bed.call()
+                ..bed.request()
             };
             let proxy = bed.gateway(callers_use[number % callers_use.len()]);
             let wait = sent[number].since(began);
             let clock = bed.clock();
             async move {
                 clock.sleep(wait).await;
-                take(proxy, call).await
+                fetch(proxy, request).await
             }
         });
-        bed.world.run_until(join_all(calls));
-        let repeats = repeats(&bed);
-        assert!(!repeats.is_empty(), "{what}: some are repeated");
+        bed.world.run_until(join_all(requests));
+        let retries = retries(&bed);
+        assert!(!retries.is_empty(), "{what}: some are retried");
         let mut worst = 0.0_f64;
-        for end in &repeats {
-            let count = within(&repeats, *end, Duration::ZERO);
-            let callers = [Duration::ZERO, WINDOW / 2, WINDOW].map(|ago| within(&sent, *end, ago));
+        for end in &retries {
+            let count = count_within_window(&retries, *end, Duration::ZERO);
+            let callers = [Duration::ZERO, BUDGET_WINDOW / 2, BUDGET_WINDOW]
+                .map(|ago| count_within_window(&sent, *end, ago));
             let most = callers.into_iter().max().unwrap_or_default();
-            let allowed = RATIO * most as f64 + SLACK;
+            let allowed = RETRY_RATIO * most as f64 + RETRY_SLACK;
             worst = worst.max(count as f64 / allowed);
         }
         if worst > 1.0 {
-            broken.push(format!("{what}: {worst:.2} of what is allowed in some window"));
+            exceeded.push(format!("{what}: {worst:.2} of what is allowed in some window"));
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(exceeded.is_empty(), "{exceeded:#?}");
 }
 
-/// When each arrival came beyond the first of its request.
-fn repeats(bed: &TestBed) -> Vec<MonotonicTime> {
+/// Returns the times of all arrivals beyond the first one of each request.
+fn retries(bed: &TestBed) -> Vec<MonotonicTime> {
     let of = |region| bed.backends(region).arrivals.borrow().clone();
     let mut arrivals: Vec<_> = (0..2).flat_map(of).collect();
     arrivals.sort_by_key(|arrival| arrival.at);
@@ -104,86 +107,97 @@
     arrivals.into_iter().map(|arrival| arrival.at).collect()
 }
 
-/// How many of `times` are in the window that ended `ago` before `end`.
-fn within(times: &[MonotonicTime], end: MonotonicTime, ago: Duration) -> usize {
+/// Returns how many of `times` are in the window that ends `ago` before `end`.
+fn count_within_window(times: &[MonotonicTime], end: MonotonicTime, ago: Duration) -> usize {
     let age = |at: &MonotonicTime| end.0.saturating_sub(ago).checked_sub(at.0);
-    times.iter().filter(|at| age(at).is_some_and(|age| age < WINDOW)).count()
+    times.iter().filter(|at| age(at).is_some_and(|age| age < BUDGET_WINDOW)).count()
 }
 
-/// Repeats that were granted while engines were full counted in the window of the grant, and
-/// arrived in the next one together with what that window granted.
+/// Guards against retries that are granted while engines are full, count in the window of the
+/// grant, and arrive in the next window together with that window's retries.
 #[test]
-fn a_repeat_that_waits_for_room_counts_when_it_is_sent() {
+fn queued_retry_counts_when_it_is_sent() {
     const PLACES: usize = 32;
     const BUSY: Duration = Duration::from_millis(500);
     let bed = TestBed::new(&BedSettings::of(RequestKind::AtMostOnce));
-    let shed = Script::signed(503, &[]).header("not-run", "1");
-    let slow = Script { after: BUSY, ..Script::signed(200, &["late"]) };
-    bed.script(0, &[Deed::Answer(shed)]);
-    bed.script(0, &vec![Deed::Answer(slow); 2 * PLACES]);
-    let calls = (0..PLACES + 1).map(|number| {
-        let call = CallerRequest { body: format!("question {number}").into(), ..bed.call() };
-        take(bed.proxy(), call)
+    let shed = ScriptedResponse::signed(503, &[]).header("not-run", "1");
+    let slow = ScriptedResponse { after: BUSY, ..ScriptedResponse::signed(200, &["late"]) };
+    bed.script(0, &[BackendAction::Answer(shed)]);
+    bed.script(0, &vec![BackendAction::Answer(slow); 2 * PLACES]);
+    let requests = (0..PLACES + 1).map(|number| {
+        let request = CallerRequest { body: format!("question {number}").into(), ..bed.request() };
+        fetch(bed.proxy(), request)
     });
-    bed.world.run_until(join_all(calls));
-    let repeats = repeats(&bed);
+    bed.world.run_until(join_all(requests));
+    let retries = retries(&bed);
     let first = bed.backends(0).arrivals.borrow()[0].at;
-    let waited = repeats.first().expect("the failed request is sent once more").since(first);
-    assert!(waited >= BUSY / 2, "it waits for room: {waited:?}");
-    let granted = granted_ages(&bed);
-    let [age] = granted[..] else { panic!("one repeat is granted: {granted:?}") };
+    let waited = retries.first().expect("the failed request is retried").since(first);
+    assert!(waited >= BUSY / 2, "it waits for a slot: {waited:?}");
+    let granted = grant_ages(&bed);
+    let [age] = granted[..] else { panic!("one retry is granted: {granted:?}") };
     let apart = waited.max(age) - waited.min(age);
     assert!(apart < BUSY / 10, "granted after {age:?}, sent after {waited:?}");
 }
 
-/// A send that nothing was heard of counted for its own window only, and arrived in a later one
-/// together with what that window granted.
+/// Guards against an unconfirmed send that counts only in its own window and arrives in a later one
+/// together with that window's retries.
 #[test]
-fn a_repeat_counts_until_all_sends_of_its_request_are_known_to_have_arrived() {
+fn retry_counts_until_all_sends_are_confirmed() {
     struct Case {
         what: &'static str,
         kind: RequestKind,
-        /// What becomes of the two sends of the first request.
-        deeds: [Deed; 2],
-        /// The repeats that are granted by a window after that, and by two.
+        /// Outcomes of the two sends of the first request.
+        actions: [BackendAction; 2],
+        /// Number of retries granted within one window after that, and within two.
         granted: [usize; 2],
     }
-    let shed = || Deed::Answer(Script::signed(503, &[]).header("not-run", "1"));
-    let whole = || Deed::Answer(Script::signed(200, &["whole"]));
+    let shed = || BackendAction::Answer(ScriptedResponse::signed(503, &[]).header("not-run", "1"));
+    let whole = || BackendAction::Answer(ScriptedResponse::signed(200, &["whole"]));
     let once = RequestKind::AtMostOnce;
     let cases = [
-        Case { what: "answered", kind: once, deeds: [shed(), whole()], granted: [2, 3] },
-        Case { what: "turned away", kind: once, deeds: [shed(), shed()], granted: [2, 3] },
-        Case { what: "broken", kind: once, deeds: [shed(), Deed::Close], granted: [2, 3] },
-        Case { what: "given up", kind: once, deeds: [shed(), Deed::Hang], granted: [1, 2] },
+        Case { what: "answered", kind: once, actions: [shed(), whole()], granted: [2, 3] },
+        Case { what: "rejected", kind: once, actions: [shed(), shed()], granted: [2, 3] },
         Case {
-            what: "the first send was given up",
+            what: "broken",
+            kind: once,
+            actions: [shed(), BackendAction::Close],
+            granted: [2, 3],
+        },
+        Case {
+            what: "abandoned",
+            kind: once,
+            actions: [shed(), BackendAction::Hang],
+            granted: [1, 2],
+        },
+        Case {
+            what: "the first send was abandoned",
             kind: IDEMPOTENT,
-            deeds: [Deed::Hang, whole()],
+            actions: [BackendAction::Hang, whole()],
             granted: [1, 2],
         },
     ];
-    for Case { what, kind, deeds, granted } in cases {
+    for Case { what, kind, actions, granted } in cases {
         let bed = TestBed::new(&BedSettings { repeat_slack: 3.0, ..BedSettings::of(kind) });
-        bed.world.run_for(WINDOW);
-        let ask = |deeds: &[Deed]| {
-            bed.backends(0).deeds.borrow_mut().clear();
-            bed.script(0, deeds);
+        bed.world.run_for(BUDGET_WINDOW);
+        let ask = |actions: &[BackendAction]| {
+            bed.backends(0).actions.borrow_mut().clear();
+            bed.script(0, actions);
             let caller_timeout = Some(Duration::from_secs(1));
-            bed.world.run_until(take(bed.proxy(), CallerRequest { caller_timeout, ..bed.call() }));
+            bed.world
+                .run_until(fetch(bed.proxy(), CallerRequest { caller_timeout, ..bed.request() }));
         };
-        ask(&deeds);
+        ask(&actions);
         let counts = [(); 2].map(|()| {
-            bed.world.run_for(WINDOW + WINDOW / 10);
+            bed.world.run_for(BUDGET_WINDOW + BUDGET_WINDOW / 10);
             ask(&[shed(), whole()]);
-            granted_ages(&bed).len()
+            grant_ages(&bed).len()
         });
         assert_eq!(counts, granted, "{what}: {:#?}", bed.events.lines());
     }
 }
 
-/// The ages of requests at which the budget granted them a repeat.
-fn granted_ages(bed: &TestBed) -> Vec<Duration> {
+/// Returns the ages of requests at which the budget granted them a retry.
+fn grant_ages(bed: &TestBed) -> Vec<Duration> {
     let lines = bed.events.lines();
     let granted = lines.iter().filter(|line| line.starts_with("request.repeat_granted "));
     let age = |line: &String| {
@@ -193,21 +207,21 @@
     granted.filter_map(age).collect()
 }
 
-/// Guards against a stream that is broken off for want of a repeat that comes in its time.
+/// Guards against breaking off a stream for lack of a retry that becomes available in time.
 #[test]
-fn a_stream_that_has_begun_waits_for_a_repeat_that_comes_in_time() {
+fn begun_stream_waits_for_retry_that_comes_in_time() {
     struct Case {
         what: &'static str,
         kind: RequestKind,
         caller_timeout: Duration,
-        lost: Deed,
-        /// Whether it is answered whole; it ends at once otherwise.
+        lost: BackendAction,
+        /// Whether the response is complete; it ends at once otherwise.
         is_whole: bool,
     }
     const STREAM: RequestKind = RequestKind::Stream { resumable: true };
     const FIRST: &str = "id: 1\ndata: a\n\n";
     const REST: &str = "id: 2\ndata: b\n\n";
-    let begun = || Deed::Answer(Script::events(&[FIRST]).broken());
+    let begun = || BackendAction::Answer(ScriptedResponse::events(&[FIRST]).incomplete());
     let case = |what, kind, caller_timeout, lost, is_whole| {
         let caller_timeout = Duration::from_secs(caller_timeout);
         Case { what, kind, caller_timeout, lost, is_whole }
@@ -215,54 +229,55 @@
     let cases = [
         case("a stream with time left", STREAM, 8, begun(), true),
         case("a stream with too little time", STREAM, 2, begun(), false),
-        case("a stream without an event", STREAM, 8, Deed::Close, false),
-        case("a plain request", IDEMPOTENT, 8, Deed::Close, false),
+        case("a stream without an event", STREAM, 8, BackendAction::Close, false),
+        case("a plain request", IDEMPOTENT, 8, BackendAction::Close, false),
     ];
     for Case { what, kind, caller_timeout, lost, is_whole } in cases {
         let bed = TestBed::new(&BedSettings {
             backends: (4, 0),
             timeout: Duration::from_secs(9),
-            // The part of one gateway of two is one repeat a window.
+            // The share of one of two gateways is one retry per window.
             repeat_slack: 2.4,
             ..BedSettings::of(kind)
         });
-        bed.script(0, &[Deed::Close, Deed::Close]);
-        assert_eq!(bed.serve(bed.call()).status, 502, "{what}: two sends");
-        bed.world.run_for(WINDOW - Duration::from_secs(3));
-        let again = Script::events(&[REST]);
-        bed.script(0, &[lost, Deed::Answer(again)]);
+        bed.script(0, &[BackendAction::Close, BackendAction::Close]);
+        assert_eq!(bed.serve(bed.request()).status, 502, "{what}: two sends");
+        bed.world.run_for(BUDGET_WINDOW - Duration::from_secs(3));
+        let again = ScriptedResponse::events(&[REST]);
+        bed.script(0, &[lost, BackendAction::Answer(again)]);
         let began = bed.world.now();
-        let call = CallerRequest {
+        let request = CallerRequest {
             caller_timeout: Some(caller_timeout),
             body: "another".into(),
-            ..bed.call()
+            ..bed.request()
         };
-        let served = bed.serve(call);
+        let response = bed.serve(request);
         let took = bed.world.now().since(began);
         let lines = bed.events.lines();
-        let got_whole = served.status == 200 && !served.is_broken && served.body.ends_with(REST);
-        assert_eq!(got_whole, is_whole, "{what}: {served:?}, {lines:#?}");
+        let got_whole =
+            response.status == 200 && !response.is_incomplete && response.body.ends_with(REST);
+        assert_eq!(got_whole, is_whole, "{what}: {response:?}, {lines:#?}");
         assert!(is_whole || took < Duration::from_millis(100), "{what}: {took:?}, {lines:#?}");
         let awaited = lines.iter().filter(|line| line.starts_with("request.repeat_awaited"));
         assert_eq!(awaited.count(), usize::from(is_whole), "{what}: {lines:#?}");
     }
 }
 
-/// Guards against a stream that waits for a repeat which its service has, on a clock that moves
-/// while a gateway works.
+/// Guards against a stream that waits for a retry although the budget has one, with a clock that
+/// advances while the gateway works.
 #[test]
-fn a_stream_that_breaks_off_is_resumed_at_once_where_there_is_a_repeat() {
+fn broken_stream_is_resumed_at_once_when_retry_is_available() {
     let bed = TestBed::new(&BedSettings {
-        own: OwnParts { has_running_clock: true, ..OwnParts::default() },
+        overrides: Overrides { has_advancing_clock: true, ..Overrides::default() },
         ..BedSettings::of(RequestKind::Stream { resumable: true })
     });
     let [first, rest] = ["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"];
-    bed.script(0, &[Deed::Answer(Script::events(&[first]).broken())]);
-    bed.script(0, &[Deed::Answer(Script::events(&[rest]))]);
+    bed.script(0, &[BackendAction::Answer(ScriptedResponse::events(&[first]).incomplete())]);
+    bed.script(0, &[BackendAction::Answer(ScriptedResponse::events(&[rest]))]);
     let began = bed.world.now();
-    let served = bed.serve(bed.call());
+    let response = bed.serve(bed.request());
     let took = bed.world.now().since(began);
-    let got = (served.status, served.is_broken, served.body);
+    let got = (response.status, response.is_incomplete, response.body);
     assert_eq!(got, (200, false, format!("{first}{rest}")), "{:#?}", bed.events.lines());
     assert!(took < Duration::from_millis(100), "resumed after {took:?}");
 }
--- a/crates/proxy/tests/journey.rs
+++ b/crates/proxy/tests/execution.rs
@@ -1,4 +1,4 @@
-//! Requests on their way: what is sent again, what callers get, and what they never get.
+//! Execution of requests: which are retried, and which responses reach callers.
 
 mod support;
 
@@ -6,7 +6,7 @@
     futures::future::join,
     gullglade_traffic::RequestKind,
     std::time::Duration,
-    support::{BedSettings, Deed, Script, TestBed},
+    support::{BackendAction, BedSettings, ScriptedResponse, TestBed},
 };
 
 const IDEMPOTENT: RequestKind = RequestKind::Idempotent;
@@ -14,155 +14,182 @@
 const RESUMABLE: RequestKind = RequestKind::Stream { resumable: true };
 const STREAM: RequestKind = RequestKind::Stream { resumable: false };
 
-fn answer(status: u16, body: &'static str) -> Deed {
-    Deed::Answer(Script::signed(status, &[body]))
+fn response(status: u16, body: &'static str) -> BackendAction {
+    BackendAction::Answer(ScriptedResponse::signed(status, &[body]))
 }
 
 #[test]
-fn plain_requests_are_sent_again_only_where_that_does_no_harm() {
+fn plain_requests_are_retried_only_when_safe() {
     struct Case {
         what: &'static str,
         kind: RequestKind,
-        deeds: Vec<Deed>,
+        actions: Vec<BackendAction>,
         status: u16,
         body: Option<&'static str>,
     }
-    let good = || answer(200, "good");
-    let shed = || Deed::Answer(Script::signed(503, &[]).header("not-run", "1"));
-    let other = || Deed::Answer(Script::signed(421, &[]).header("other-run", "1"));
-    let late = || Deed::Answer(Script::signed(200, &["other's"]).header("id", "call-0"));
-    let unsigned = || Deed::Answer(Script::signed(200, &["made up"]).without("signed"));
-    let encoded = || Deed::Answer(Script::signed(200, &["zip"]).header("content-encoding", "gzip"));
-    let broken = || Deed::Answer(Script::signed(200, &["go"]).broken());
-    let busy = || Deed::Answer(Script::signed(503, &["busy"]).without("signed"));
-    let signed_busy = || answer(503, "busy");
+    let good = || response(200, "good");
+    let shed = || BackendAction::Answer(ScriptedResponse::signed(503, &[]).header("not-run", "1"));
+    let other =
+        || BackendAction::Answer(ScriptedResponse::signed(421, &[]).header("other-run", "1"));
+    let late = || {
+        BackendAction::Answer(ScriptedResponse::signed(200, &["other's"]).header("id", "call-0"))
+    };
+    let unsigned =
+        || BackendAction::Answer(ScriptedResponse::signed(200, &["made up"]).without("signed"));
+    let encoded = || {
+        BackendAction::Answer(
+            ScriptedResponse::signed(200, &["zip"]).header("content-encoding", "gzip"),
+        )
+    };
+    let incomplete = || BackendAction::Answer(ScriptedResponse::signed(200, &["go"]).incomplete());
+    let busy = || BackendAction::Answer(ScriptedResponse::signed(503, &["busy"]).without("signed"));
+    let signed_busy = || response(503, "busy");
     let cases = vec![
-        Case { what: "good", kind: ONCE, deeds: vec![good()], status: 200, body: Some("good") },
+        Case { what: "good", kind: ONCE, actions: vec![good()], status: 200, body: Some("good") },
         Case {
             what: "shed, then good",
             kind: ONCE,
-            deeds: vec![shed(), good()],
+            actions: vec![shed(), good()],
             status: 200,
             body: Some("good"),
         },
         Case {
-            what: "another run, then good",
+            what: "another instance, then good",
             kind: ONCE,
-            deeds: vec![other(), good()],
+            actions: vec![other(), good()],
             status: 200,
             body: Some("good"),
         },
         Case {
             what: "unreachable, then good",
             kind: ONCE,
-            deeds: vec![Deed::Unreachable, good()],
+            actions: vec![BackendAction::Unreachable, good()],
             status: 200,
             body: Some("good"),
         },
-        Case { what: "closed", kind: ONCE, deeds: vec![Deed::Close], status: 502, body: None },
+        Case {
+            what: "closed",
+            kind: ONCE,
+            actions: vec![BackendAction::Close],
+            status: 502,
+            body: None,
+        },
         Case {
             what: "closed, then good",
             kind: IDEMPOTENT,
-            deeds: vec![Deed::Close, good()],
+            actions: vec![BackendAction::Close, good()],
             status: 200,
             body: Some("good"),
         },
-        Case { what: "another's", kind: ONCE, deeds: vec![late()], status: 502, body: None },
         Case {
-            what: "another's, then good",
+            what: "response to another request",
+            kind: ONCE,
+            actions: vec![late()],
+            status: 502,
+            body: None,
+        },
+        Case {
+            what: "response to another request, then good",
             kind: IDEMPOTENT,
-            deeds: vec![late(), good()],
+            actions: vec![late(), good()],
             status: 200,
             body: Some("good"),
         },
-        Case { what: "unsigned", kind: ONCE, deeds: vec![unsigned()], status: 502, body: None },
-        Case { what: "encoded", kind: ONCE, deeds: vec![encoded()], status: 502, body: None },
-        Case { what: "half", kind: ONCE, deeds: vec![broken()], status: 502, body: None },
+        Case { what: "unsigned", kind: ONCE, actions: vec![unsigned()], status: 502, body: None },
+        Case { what: "encoded", kind: ONCE, actions: vec![encoded()], status: 502, body: None },
+        Case {
+            what: "incomplete",
+            kind: ONCE,
+            actions: vec![incomplete()],
+            status: 502,
+            body: None,
+        },
         Case {
-            what: "half, then good",
+            what: "incomplete, then good",
             kind: IDEMPOTENT,
-            deeds: vec![broken(), good()],
+            actions: vec![incomplete(), good()],
             status: 200,
             body: Some("good"),
         },
         Case {
-            what: "its own failure",
+            what: "backend error",
             kind: ONCE,
-            deeds: vec![answer(500, "sorry")],
+            actions: vec![response(500, "sorry")],
             status: 500,
             body: Some("sorry"),
         },
         Case {
-            what: "its own failure, then good",
+            what: "backend error, then good",
             kind: IDEMPOTENT,
-            deeds: vec![answer(500, "sorry"), good()],
+            actions: vec![response(500, "sorry"), good()],
             status: 200,
             body: Some("good"),
         },
         Case {
-            what: "its own failure twice",
+            what: "backend error twice",
             kind: IDEMPOTENT,
-            deeds: vec![answer(500, "sorry"), answer(500, "again")],
+            actions: vec![response(500, "sorry"), response(500, "again")],
             status: 500,
             body: Some("again"),
         },
         Case {
-            what: "its own failure, then closed",
+            what: "backend error, then closed",
             kind: IDEMPOTENT,
-            deeds: vec![answer(500, "sorry"), Deed::Close],
+            actions: vec![response(500, "sorry"), BackendAction::Close],
             status: 500,
             body: Some("sorry"),
         },
         Case {
-            what: "a status that promises what it did not say",
+            what: "a status that implies not run without stating it",
             kind: ONCE,
-            deeds: vec![signed_busy()],
+            actions: vec![signed_busy()],
             status: 502,
             body: None,
         },
         Case {
-            what: "the same unsigned",
+            what: "the same, unsigned",
             kind: ONCE,
-            deeds: vec![busy()],
+            actions: vec![busy()],
             status: 502,
             body: None,
         },
         Case {
-            what: "a refusal of its own",
+            what: "client error of the backend",
             kind: ONCE,
-            deeds: vec![answer(404, "no such order")],
+            actions: vec![response(404, "no such order")],
             status: 404,
             body: Some("no such order"),
         },
         Case {
             what: "shed by all",
             kind: ONCE,
-            deeds: vec![shed(), shed(), shed(), shed()],
+            actions: vec![shed(), shed(), shed(), shed()],
             status: 503,
             body: None,
         },
     ];
     for case in cases {
         let bed = TestBed::new(&BedSettings::of(case.kind));
-        bed.script(0, &case.deeds);
-        let served = bed.serve(bed.call());
-        assert_eq!(served.status, case.status, "{}: {served:?}", case.what);
-        assert!(!served.is_broken, "{}", case.what);
+        bed.script(0, &case.actions);
+        let response = bed.serve(bed.request());
+        assert_eq!(response.status, case.status, "{}: {response:?}", case.what);
+        assert!(!response.is_incomplete, "{}", case.what);
         if let Some(body) = case.body {
-            assert_eq!(served.body, body, "{}", case.what);
+            assert_eq!(response.body, body, "{}", case.what);
         }
-        let promises = matches!(served.status, 429 | 503);
-        assert_eq!(served.headers.contains_key("retry-after"), promises, "{}", case.what);
-        let reachable = case.deeds.iter().filter(|d| !matches!(d, Deed::Unreachable)).count();
+        let promises = matches!(response.status, 429 | 503);
+        assert_eq!(response.headers.contains_key("retry-after"), promises, "{}", case.what);
+        let reachable =
+            case.actions.iter().filter(|d| !matches!(d, BackendAction::Unreachable)).count();
         assert_eq!(bed.backends(0).arrivals.borrow().len(), reachable, "{}: sends", case.what);
     }
 }
 
 #[test]
-fn a_request_passes_through_unchanged() {
+fn request_is_sent_unchanged() {
     let bed = TestBed::new(&BedSettings::of(ONCE));
-    bed.script(0, &[answer(200, "good")]);
-    bed.serve(bed.call());
+    bed.script(0, &[response(200, "good")]);
+    bed.serve(bed.request());
     let arrivals = bed.backends(0).arrivals.borrow();
     let arrival = &arrivals[0];
     assert_eq!((arrival.target.as_str(), &arrival.body[..]), ("/a/b?c=d", &b"question"[..]));
@@ -173,47 +200,47 @@
 }
 
 #[test]
-fn what_no_route_covers_is_told_so() {
+fn unmatched_route_gets_404() {
     let bed = TestBed::new(&BedSettings::of(ONCE));
-    let mut call = bed.call();
-    call.target = "/other".to_owned();
-    assert_eq!(bed.serve(call).status, 404);
+    let mut request = bed.request();
+    request.target = "/other".to_owned();
+    assert_eq!(bed.serve(request).status, 404);
 }
 
-/// Guards against callers who wait for longer than their route allows.
+/// Guards against callers that wait for longer than the timeout of their route.
 #[test]
-fn the_routes_timeout_ends_what_hangs() {
+fn hung_request_ends_at_route_timeout() {
     let settings = BedSettings { timeout: Duration::from_secs(2), ..BedSettings::of(ONCE) };
     let bed = TestBed::new(&settings);
-    bed.script(0, &[Deed::Hang]);
+    bed.script(0, &[BackendAction::Hang]);
     let began = bed.world.now();
-    assert_eq!(bed.serve(bed.call()).status, 504);
+    assert_eq!(bed.serve(bed.request()).status, 504);
     let took = bed.world.now().since(began);
     assert!(took >= Duration::from_secs(2) && took < Duration::from_millis(2_100), "{took:?}");
-    assert_eq!(bed.backends(0).cancelled.get(), 1, "nobody works on it any more");
+    assert_eq!(bed.backends(0).cancelled.get(), 1, "the run is cancelled");
 }
 
 #[test]
-fn a_repeatable_request_that_hangs_is_asked_for_elsewhere() {
+fn hung_repeatable_request_is_retried_elsewhere() {
     let bed = TestBed::new(&BedSettings::of(IDEMPOTENT));
-    bed.script(0, &[Deed::Hang, answer(200, "good")]);
+    bed.script(0, &[BackendAction::Hang, response(200, "good")]);
     let began = bed.world.now();
-    assert_eq!(bed.serve(bed.call()).status, 200);
+    assert_eq!(bed.serve(bed.request()).status, 200);
     assert!(bed.world.now().since(began) < Duration::from_millis(500));
     let arrivals = bed.backends(0).arrivals.borrow();
     assert_ne!(arrivals[0].address, arrivals[1].address);
     assert_eq!(bed.backends(0).cancelled.get(), 1);
 }
 
-/// Guards against backend servers that work for callers who have hung up, in any region.
+/// Guards against runs that continue in any region after their caller has disconnected.
 #[test]
-fn a_caller_who_leaves_cancels_the_work() {
+fn caller_disconnect_cancels_run() {
     for backends in [(2, 0), (0, 2)] {
         let bed = TestBed::new(&BedSettings { backends, ..BedSettings::of(ONCE) });
         let there = usize::from(backends.0 == 0);
-        bed.script(there, &[Deed::Hang]);
+        bed.script(there, &[BackendAction::Hang]);
         let proxy = bed.proxy().clone();
-        let mut serving = Box::pin(proxy.serve(bed.call()));
+        let mut serving = Box::pin(proxy.serve(bed.request()));
         bed.world.run_until(futures::future::poll_fn(|context| {
             assert!(serving.as_mut().poll(context).is_pending());
             std::task::Poll::Ready(())
@@ -232,137 +259,145 @@
 }
 
 #[test]
-fn streams_reach_the_caller_in_whole_events_and_in_order() {
+fn streams_are_relayed_in_complete_ordered_events() {
     struct Case {
         what: &'static str,
         kind: RequestKind,
-        deeds: Vec<Deed>,
+        actions: Vec<BackendAction>,
         body: &'static str,
-        is_broken: bool,
+        is_incomplete: bool,
         resumed_after: Option<&'static str>,
     }
-    let events = |pieces: &[&'static str]| Deed::Answer(Script::events(pieces));
-    let cut = |pieces: &[&'static str]| Deed::Answer(Script::events(pieces).broken());
+    let events = |pieces: &[&'static str]| BackendAction::Answer(ScriptedResponse::events(pieces));
+    let cut = |pieces: &[&'static str]| {
+        BackendAction::Answer(ScriptedResponse::events(pieces).incomplete())
+    };
     let all = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
     let cases = vec![
         Case {
             what: "whole",
             kind: STREAM,
-            deeds: vec![events(&[
+            actions: vec![events(&[
                 "id: 1\ndata: a\n\nid: 2\nda",
                 "ta: b\n\n",
                 "id: 3\ndata: c\n\n",
             ])],
             body: all,
-            is_broken: false,
+            is_incomplete: false,
             resumed_after: None,
         },
         Case {
-            what: "broken inside an event, resumed",
+            what: "cut off inside an event, resumed",
             kind: RESUMABLE,
-            deeds: vec![
+            actions: vec![
                 cut(&["id: 1\ndata: a\n\nid: 2\ndata"]),
                 events(&["id: 2\ndata: b\n\nid: 3\ndata: c\n\n"]),
             ],
             body: all,
-            is_broken: false,
+            is_incomplete: false,
             resumed_after: Some("1"),
         },
         Case {
             what: "ended inside an event, resumed",
             kind: RESUMABLE,
-            deeds: vec![
+            actions: vec![
                 events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3"]),
                 events(&["id: 3\ndata: c\n\n"]),
             ],
             body: all,
-            is_broken: false,
+            is_incomplete: false,
             resumed_after: Some("2"),
         },
         Case {
-            what: "broken before its first event, asked for again",
+            what: "cut off before its first event, retried",
             kind: RESUMABLE,
-            deeds: vec![cut(&[]), events(&[all])],
+            actions: vec![cut(&[]), events(&[all])],
             body: all,
-            is_broken: false,
+            is_incomplete: false,
             resumed_after: None,
         },
         Case {
             what: "the second run repeats an event",
             kind: RESUMABLE,
-            deeds: vec![cut(&["id: 1\ndata: a\n\n"]), events(&["id: 1\ndata: a\n\n"])],
+            actions: vec![cut(&["id: 1\ndata: a\n\n"]), events(&["id: 1\ndata: a\n\n"])],
             body: "id: 1\ndata: a\n\n",
-            is_broken: true,
+            is_incomplete: true,
             resumed_after: Some("1"),
         },
         Case {
-            what: "broken, may not be resumed",
+            what: "cut off, may not be resumed",
             kind: STREAM,
-            deeds: vec![cut(&["id: 1\ndata: a\n\nid: 2\ndata"])],
+            actions: vec![cut(&["id: 1\ndata: a\n\nid: 2\ndata"])],
             body: "id: 1\ndata: a\n\n",
-            is_broken: true,
+            is_incomplete: true,
             resumed_after: None,
         },
         Case {
-            what: "broken twice",
+            what: "cut off twice",
             kind: RESUMABLE,
-            deeds: vec![cut(&["id: 1\ndata: a\n\n"]), cut(&["id: 2\ndata: b\n\n"])],
+            actions: vec![cut(&["id: 1\ndata: a\n\n"]), cut(&["id: 2\ndata: b\n\n"])],
             body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
-            is_broken: true,
+            is_incomplete: true,
             resumed_after: Some("1"),
         },
     ];
     for case in cases {
         let bed = TestBed::new(&BedSettings::of(case.kind));
-        bed.script(0, &case.deeds);
-        let served = bed.serve(bed.call());
-        assert_eq!(served.status, 200, "{}", case.what);
-        assert_eq!(served.body, case.body, "{}", case.what);
-        assert_eq!(served.is_broken, case.is_broken, "{}", case.what);
+        bed.script(0, &case.actions);
+        let response = bed.serve(bed.request());
+        assert_eq!(response.status, 200, "{}", case.what);
+        assert_eq!(response.body, case.body, "{}", case.what);
+        assert_eq!(response.is_incomplete, case.is_incomplete, "{}", case.what);
         let arrivals = bed.backends(0).arrivals.borrow();
-        assert_eq!(arrivals.len(), case.deeds.len(), "{}", case.what);
+        assert_eq!(arrivals.len(), case.actions.len(), "{}", case.what);
         let after = arrivals.last().and_then(|a| a.headers.get("after")?.to_str().ok());
         assert_eq!(after, case.resumed_after, "{}", case.what);
     }
 }
 
 #[test]
-fn a_region_without_backend_servers_has_its_requests_served_by_the_other() {
+fn region_without_backends_uses_other_region() {
     struct Case {
         what: &'static str,
         kind: RequestKind,
         homes: &'static [&'static str],
-        deeds: Vec<Deed>,
+        actions: Vec<BackendAction>,
         status: u16,
     }
     let cases = [
         Case {
-            what: "served there",
+            what: "served in the other region",
             kind: ONCE,
             homes: &[],
-            deeds: vec![answer(200, "good")],
+            actions: vec![response(200, "good")],
             status: 200,
         },
         Case {
-            what: "its home is there",
+            what: "home region is the other one",
             kind: ONCE,
             homes: &["east"],
-            deeds: vec![answer(200, "good")],
+            actions: vec![response(200, "good")],
             status: 200,
         },
-        Case { what: "its home is here", kind: ONCE, homes: &["west"], deeds: vec![], status: 503 },
         Case {
-            what: "closed there",
+            what: "home region is this one",
+            kind: ONCE,
+            homes: &["west"],
+            actions: vec![],
+            status: 503,
+        },
+        Case {
+            what: "closed in the other region",
             kind: ONCE,
             homes: &[],
-            deeds: vec![Deed::Close],
+            actions: vec![BackendAction::Close],
             status: 502,
         },
         Case {
-            what: "closed there, then good",
+            what: "closed in the other region, then good",
             kind: IDEMPOTENT,
             homes: &[],
-            deeds: vec![Deed::Close, answer(200, "good")],
+            actions: vec![BackendAction::Close, response(200, "good")],
             status: 200,
         },
     ];
@@ -370,61 +405,62 @@
         let settings =
             BedSettings { homes: case.homes, backends: (0, 2), ..BedSettings::of(case.kind) };
         let bed = TestBed::new(&settings);
-        bed.script(1, &case.deeds);
-        let served = bed.serve(bed.call());
-        assert_eq!(served.status, case.status, "{}: {served:?}", case.what);
-        assert_eq!(bed.backends(1).arrivals.borrow().len(), case.deeds.len(), "{}", case.what);
+        bed.script(1, &case.actions);
+        let response = bed.serve(bed.request());
+        assert_eq!(response.status, case.status, "{}: {response:?}", case.what);
+        assert_eq!(bed.backends(1).arrivals.borrow().len(), case.actions.len(), "{}", case.what);
     }
 }
 
-/// Guards against a stop that waits for its own callers only and cuts those of other regions.
+/// Guards against a shutdown that waits only for its own callers and cuts off forwarded requests.
 #[test]
-fn a_stop_waits_for_answers_to_other_regions() {
+fn shutdown_waits_for_forwarded_requests() {
     const ANSWER: Duration = Duration::from_millis(900);
     let bed = TestBed::new(&BedSettings { backends: (0, 2), ..BedSettings::of(STREAM) });
-    let script = Script { after: ANSWER, ..Script::events(&["id: 1\ndata: a\n\n"]) };
-    bed.script(1, &[Deed::Answer(script)]);
+    let script =
+        ScriptedResponse { after: ANSWER, ..ScriptedResponse::events(&["id: 1\ndata: a\n\n"]) };
+    bed.script(1, &[BackendAction::Answer(script)]);
     let began = bed.world.now();
     let stop = async {
         bed.other_proxy().wait_for_forwards().await;
         let idle = bed.world.now().since(began);
-        assert!(idle < Duration::from_millis(200), "nothing to wait for, but {idle:?}");
+        assert!(idle < Duration::from_millis(200), "nothing to wait for, but it took {idle:?}");
         bed.other_proxy().wait_for_forwards().await;
         bed.world.now().since(began)
     };
     let caller = async {
         let pause = Duration::from_millis(110);
         bed.world.process().context().clock.sleep(pause).await;
-        support::take(bed.proxy(), bed.call()).await
+        support::fetch(bed.proxy(), bed.request()).await
     };
-    let (stopped, served) = bed.world.run_until(join(stop, caller));
-    assert_eq!((served.status, served.is_broken), (200, false), "{served:?}");
-    assert!(stopped >= ANSWER, "the stop waited only {stopped:?}");
+    let (stopped, response) = bed.world.run_until(join(stop, caller));
+    assert_eq!((response.status, response.is_incomplete), (200, false), "{response:?}");
+    assert!(stopped >= ANSWER, "the shutdown waited only {stopped:?}");
 }
 
-/// Guards against requests that wait to their end for a region that is cut off.
+/// Guards against requests that wait until their deadline for a region that cannot be reached.
 #[test]
-fn a_forward_into_a_broken_link_is_given_up_soon() {
+fn forward_over_broken_link_fails_fast() {
     for (kind, status) in [(IDEMPOTENT, 503), (ONCE, 504)] {
         let bed = TestBed::new(&BedSettings { backends: (0, 2), ..BedSettings::of(kind) });
         bed.link.isolate(support::address(3), &[support::address(2)]);
         let began = bed.world.now();
-        let served = bed.serve(bed.call());
+        let response = bed.serve(bed.request());
         let took = bed.world.now().since(began);
-        assert_ne!(served.status, 200);
+        assert_ne!(response.status, 200);
         if kind == IDEMPOTENT {
             assert!(took < Duration::from_millis(1_000), "{took:?}");
         }
-        // What may have arrived there is never told as not run, unless it may be repeated.
-        assert!(kind == IDEMPOTENT || served.status != 503, "{served:?}, expected {status}");
+        // A request that may have arrived is never reported as not run, unless it may be repeated.
+        assert!(kind == IDEMPOTENT || response.status != 503, "{response:?}, expected {status}");
     }
 }
 
 #[test]
-fn a_failure_is_told_with_its_id_and_reason() {
+fn failure_is_logged_with_id_and_reason() {
     let bed = TestBed::new(&BedSettings::of(ONCE));
-    bed.script(0, &[Deed::Close]);
-    bed.serve(bed.call());
+    bed.script(0, &[BackendAction::Close]);
+    bed.serve(bed.request());
     let lines = bed.events.lines();
     let has = |kind: &str, part: &str| {
         lines
@@ -436,30 +472,30 @@
     assert!(has("request.unknown", "reason=broken"), "{lines:#?}");
 }
 
-/// Guards against refusals by gateways that start and will have a configuration in a moment.
+/// Guards against refusals by gateways that are starting and will soon have a configuration.
 #[test]
-fn what_comes_before_the_configuration_waits_for_it() {
+fn request_waits_for_first_configuration() {
     struct Case {
         what: &'static str,
-        /// How long after the request the control process is there, milliseconds.
+        /// Time in milliseconds after the request at which the control process starts.
         control_ms: u64,
-        patience_ms: u64,
+        caller_timeout_ms: u64,
         status: u16,
-        /// The longest that the caller may be kept, milliseconds.
+        /// Longest time to the response, in milliseconds.
         within_ms: u64,
     }
-    let case = |what, control_ms, patience_ms, status, within_ms| Case {
+    let case = |what, control_ms, caller_timeout_ms, status, within_ms| Case {
         what,
         control_ms,
-        patience_ms,
+        caller_timeout_ms,
         status,
         within_ms,
     };
     let cases = [
         case("the configuration is there", 0, 4_000, 200, 50),
-        case("it comes in time", 400, 4_000, 200, 800),
-        case("it comes too late for anyone", 3_000, 9_000, 503, 1_050),
-        case("it comes too late for this one", 900, 1_200, 503, 450),
+        case("the configuration comes in time", 400, 4_000, 200, 800),
+        case("the configuration comes too late for any request", 3_000, 9_000, 503, 1_050),
+        case("the configuration comes too late for this request", 900, 1_200, 503, 450),
     ];
     for case in cases {
         let settings = BedSettings {
@@ -467,15 +503,15 @@
             ..BedSettings::of(ONCE)
         };
         let bed = TestBed::new(&settings);
-        bed.script(0, &[answer(200, "good")]);
-        let mut call = bed.call();
-        call.caller_timeout = Some(Duration::from_millis(case.patience_ms));
+        bed.script(0, &[response(200, "good")]);
+        let mut request = bed.request();
+        request.caller_timeout = Some(Duration::from_millis(case.caller_timeout_ms));
         let began = bed.world.now();
-        let served = bed.serve(call);
+        let response = bed.serve(request);
         let took = bed.world.now().since(began);
-        assert_eq!(served.status, case.status, "{}: {served:?}", case.what);
+        assert_eq!(response.status, case.status, "{}: {response:?}", case.what);
         assert!(took <= Duration::from_millis(case.within_ms), "{}: {took:?}", case.what);
-        let is_told = served.headers.contains_key("retry-after");
-        assert_eq!(is_told, case.status == 503, "{}", case.what);
+        let has_retry_after = response.headers.contains_key("retry-after");
+        assert_eq!(has_retry_after, case.status == 503, "{}", case.what);
     }
 }
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -1,4 +1,4 @@
-//! What gateways of a region tell each other of their placements.
+//! Hints between the gateways of a region about sent requests.
 
 mod support;
 
@@ -8,7 +8,7 @@
     gullglade_proxy::CallerRequest,
     gullglade_traffic::RequestKind,
     std::time::Duration,
-    support::{BedSettings, Deed, Script, TestBed, address},
+    support::{BackendAction, BedSettings, ScriptedResponse, TestBed, address},
 };
 
 fn bed() -> TestBed {
@@ -16,84 +16,88 @@
     TestBed::new(&BedSettings { has_neighbour: true, ..BedSettings::of(kind) })
 }
 
-/// A call with a prompt of `parts` parts.
-fn prompted(bed: &TestBed, parts: u64) -> CallerRequest {
+/// Returns a request with a prompt of `parts` parts.
+fn request_with_prompt(bed: &TestBed, parts: u64) -> CallerRequest {
     let parts: Vec<_> = (0..parts).map(|id| PromptPart { id, tokens: 500 }).collect();
     let prompt_tokens = parts.iter().map(|part| part.tokens).sum();
     let prompt = PromptShape { parts, prompt_tokens, answer_tokens: 10 };
-    CallerRequest { prompt: Some(prompt), ..bed.call() }
+    CallerRequest { prompt: Some(prompt), ..bed.request() }
 }
 
-/// An answer whose first byte comes after the hint of its send has gone out.
-fn late_answer() -> Deed {
+/// A response whose first byte comes after the hint about its request was sent.
+fn late_response() -> BackendAction {
     let after = Duration::from_millis(60);
-    Deed::Answer(Script { after, ..Script::events(&["id: 1\ndata: x\n\n"]) })
+    BackendAction::Answer(ScriptedResponse {
+        after,
+        ..ScriptedResponse::events(&["id: 1\ndata: x\n\n"])
+    })
 }
 
-/// Serves a call at the first gateway, and lets its hints go out.
-fn serve(bed: &TestBed, call: CallerRequest) {
-    bed.script(0, &[late_answer()]);
-    bed.serve(call);
+/// Serves a request at the first gateway, and lets its hints go out.
+fn serve(bed: &TestBed, request: CallerRequest) {
+    bed.script(0, &[late_response()]);
+    bed.serve(request);
     bed.world.run_for(Duration::from_millis(100));
 }
 
 #[test]
-fn only_the_gateways_of_the_region_are_told() {
+fn hints_go_only_to_gateways_of_the_region() {
     let bed = bed();
-    serve(&bed, prompted(&bed, 3));
+    serve(&bed, request_with_prompt(&bed, 3));
     let notices = bed.notices(0);
-    let told: Vec<_> = notices.iter().map(|(to, _)| to.clone()).collect();
-    // Of the send, and of the first byte.
-    assert_eq!(told, [vec![address(4)], vec![address(4)]]);
+    let recipients: Vec<_> = notices.iter().map(|(to, _)| to.clone()).collect();
+    // One hint for the send and one for the first byte.
+    assert_eq!(recipients, [vec![address(4)], vec![address(4)]]);
 }
 
 #[test]
-fn a_prompt_of_more_parts_than_fit_into_a_notice_is_told_without_them() {
+fn oversized_prompt_hint_is_sent_without_parts() {
     let bed = bed();
-    serve(&bed, prompted(&bed, 2_000));
+    serve(&bed, request_with_prompt(&bed, 2_000));
     let notices = bed.notices(0);
-    // Of the send, and of the first byte.
+    // One hint for the send and one for the first byte.
     assert_eq!(notices.len(), 2);
     let sizes: Vec<_> = notices.iter().map(|(_, body)| body.len()).collect();
     assert!(sizes.iter().all(|size| *size <= NOTICE_LIMIT), "{sizes:?} bytes");
 }
 
 #[test]
-fn a_neighbour_that_is_told_uses_another_backend_server() {
-    // Both gateways would send their first long prompt to the same of two idle backend servers. The
-    // first one is still read when the second comes.
+fn hinted_gateway_uses_another_backend() {
+    // Without hints both gateways would send their first long prompt to the same one of two idle
+    // backend servers. The first prompt is still being read when the second one arrives.
     let bed = bed();
-    serve(&bed, prompted(&bed, 20));
+    serve(&bed, request_with_prompt(&bed, 20));
     let first = bed.backends(0).arrivals.borrow()[0].address;
     let (_, body) = bed.notices(0).remove(0);
-    bed.tell(2, &body);
-    bed.script(2, &[Deed::Answer(Script::events(&["id: 1\ndata: x\n\n"]))]);
-    let call = prompted(&bed, 2);
-    bed.world.run_until(support::take(bed.gateway(2), call));
+    bed.deliver_notice(2, &body);
+    bed.script(2, &[BackendAction::Answer(ScriptedResponse::events(&["id: 1\ndata: x\n\n"]))]);
+    let request = request_with_prompt(&bed, 2);
+    bed.world.run_until(support::fetch(bed.gateway(2), request));
     let second = bed.backends(2).arrivals.borrow()[0].address;
     assert_ne!(first, second);
 }
 
-/// Guards against gateways that avoid a backend server whose prompts have long been read.
+/// Guards against gateways that avoid a backend server although it has finished reading its
+/// prompts.
 #[test]
-fn a_neighbour_is_told_when_an_answer_begins() {
+fn hint_reports_begun_response() {
     let bed = bed();
-    serve(&bed, prompted(&bed, 20));
+    serve(&bed, request_with_prompt(&bed, 20));
     let first = bed.backends(0).arrivals.borrow()[0].address;
     for (_, body) in bed.notices(0) {
-        bed.tell(2, &body);
+        bed.deliver_notice(2, &body);
     }
-    bed.script(2, &[Deed::Answer(Script::events(&["id: 1\ndata: x\n\n"]))]);
-    let call = prompted(&bed, 20);
-    bed.world.run_until(support::take(bed.gateway(2), call));
+    bed.script(2, &[BackendAction::Answer(ScriptedResponse::events(&["id: 1\ndata: x\n\n"]))]);
+    let request = request_with_prompt(&bed, 20);
+    bed.world.run_until(support::fetch(bed.gateway(2), request));
     let second = bed.backends(2).arrivals.borrow()[0].address;
     assert_eq!(first, second, "it holds the shared parts and has nothing to read");
 }
 
 #[test]
-fn a_notice_that_cannot_be_read_is_told_of_and_changes_nothing() {
+fn unreadable_notice_is_logged_and_ignored() {
     let bed = bed();
-    bed.tell(2, b"\xff\xff\xff");
+    bed.deliver_notice(2, b"\xff\xff\xff");
     let lines = bed.events.lines();
     assert!(lines.iter().any(|l| l.starts_with("gateway.notice_unreadable")), "{lines:#?}");
 }
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -1,38 +1,41 @@
-//! Limits that backend servers state with their answers.
+//! Rate limits that backend servers state in responses.
 
 mod support;
 
 use {
     gullglade_traffic::RequestKind,
     std::time::Duration,
-    support::{BedSettings, Deed, Script, TestBed},
+    support::{BackendAction, BedSettings, ScriptedResponse, TestBed},
 };
 
-/// The statement of a backend server in need was passed on to the caller and not acted on.
+/// Guards against a stated limit that is relayed to the caller but not applied.
 #[test]
-fn a_limit_that_an_answer_states_holds_until_an_answer_states_none() {
+fn stated_limit_holds_until_withdrawn() {
     const PAUSE: Duration = Duration::from_millis(100);
     const ROUNDS: usize = 40;
-    // More than one of the two backend servers has places for.
-    const TOGETHER: usize = 24;
+    // More requests than one of the two backend servers has slots for.
+    const CONCURRENT_REQUESTS: usize = 24;
     let bed = TestBed::new(&BedSettings::of(RequestKind::AtMostOnce));
-    let good = Script::signed(200, &["yes"]);
-    bed.script(0, &[Deed::Answer(good.clone().header("limit", "0.5"))]);
-    bed.script(0, &vec![Deed::Answer(good); ROUNDS * TOGETHER]);
-    assert_eq!(bed.serve(bed.call()).status, 200);
+    let good = ScriptedResponse::signed(200, &["yes"]);
+    bed.script(0, &[BackendAction::Answer(good.clone().header("limit", "0.5"))]);
+    bed.script(0, &vec![BackendAction::Answer(good); ROUNDS * CONCURRENT_REQUESTS]);
+    assert_eq!(bed.serve(bed.request()).status, 200);
     for _ in 0..ROUNDS {
-        let served = bed.serve_together(0, TOGETHER);
-        assert!(served.iter().all(|served| served.status == 200));
+        let response = bed.serve_concurrently(0, CONCURRENT_REQUESTS);
+        assert!(response.iter().all(|response| response.status == 200));
         bed.world.run_for(PAUSE);
     }
     let lines = bed.events.lines();
-    let tells = |kind| lines.iter().filter(|line| line.starts_with(kind)).count();
-    assert_eq!((tells("backend.limited "), tells("backend.unlimited ")), (1, 1));
+    let count = |kind| lines.iter().filter(|line| line.starts_with(kind)).count();
+    assert_eq!((count("backend.limited "), count("backend.unlimited ")), (1, 1));
     let arrivals = bed.backends(0).arrivals.borrow();
     let (limited, began) = (arrivals[0].address, arrivals[0].at);
     let there = arrivals.iter().filter(|arrival| arrival.address == limited);
     let sent_there: Vec<_> = there.map(|arrival| arrival.at.since(began)).collect();
-    let pause = sent_there.get(1).expect("its part of the work");
-    assert!(*pause >= Duration::from_secs(2), "one in two seconds: {sent_there:?}");
-    assert!(sent_there.len() >= ROUNDS, "work as before once it states none: {sent_there:?}");
+    let pause = sent_there.get(1).expect("its share of the requests");
+    assert!(*pause >= Duration::from_secs(2), "one request in two seconds: {sent_there:?}");
+    assert!(
+        sent_there.len() >= ROUNDS,
+        "requests as before once no limit is stated: {sent_there:?}"
+    );
 }
--- a/crates/proxy/tests/poison.rs
+++ b/crates/proxy/tests/poison.rs
@@ -7,19 +7,18 @@
     gullglade_traffic::RequestKind,
     gullglade_units::MonotonicTime,
     std::{collections::BTreeSet, time::Duration},
-    support::{BedSettings, Deed, Script, TestBed, take},
+    support::{BackendAction, BedSettings, ScriptedResponse, TestBed, fetch},
 };
 
-/// The gateways of a bed that has a neighbour: two of one region, and one of another region that
-/// has no backend server of its own.
+/// Gateways of a test bed with a neighbour: two in one region, and one in a region without backend
+/// servers.
 const GATEWAYS: usize = 3;
 
-/// Has the backend servers do `deed` with the next request, whichever gateway sends it, and with
-/// its repeat.
-fn script_all(bed: &TestBed, deed: &Deed) {
+/// Has the backend servers of all gateways perform `action` with the next request and its retry.
+fn script_all(bed: &TestBed, action: &BackendAction) {
     for index in 0..GATEWAYS {
-        bed.backends(index).forget_deeds();
-        bed.script(index, &[deed.clone(), deed.clone()]);
+        bed.backends(index).clear_actions();
+        bed.script(index, &[action.clone(), action.clone()]);
     }
 }
 
@@ -28,16 +27,16 @@
     TestBed::new(&BedSettings { backends: (40, 0), has_neighbour: true, ..BedSettings::of(kind) })
 }
 
-/// The request that ends backend servers; each attempt has an id of its own.
-fn poison(bed: &TestBed, attempt: usize) -> CallerRequest {
+/// Returns the request that ends backend servers; each attempt has its own id.
+fn poison_request(bed: &TestBed, attempt: usize) -> CallerRequest {
     let id = CallerRequestId::try_from(format!("attempt-{attempt}").as_str()).expect("an id");
-    CallerRequest { id, body: "a body that ends whoever reads it".into(), ..bed.call() }
+    CallerRequest { id, body: "a body that ends whoever reads it".into(), ..bed.request() }
 }
 
-/// What a backend server does with it: its answer begins, and the process ends.
-fn end_of_process(attempt: usize) -> Deed {
+/// The backend server's process ends after the head of its response.
+fn backend_crash(attempt: usize) -> BackendAction {
     let id = format!("attempt-{attempt}");
-    Deed::Answer(Script::events(&[]).header("id", &id).broken())
+    BackendAction::Answer(ScriptedResponse::events(&[]).header("id", &id).incomplete())
 }
 
 fn arrivals_of(bed: &TestBed, body: &[u8]) -> Vec<String> {
@@ -46,23 +45,13 @@
     all.map(|a| a.headers["run"].to_str().expect("a name").to_owned()).collect()
 }
 
-/// Callers lost a fifth of their quotes while one engine after the other ended, 15 to 18 of them
-/// in a quarter of a minute, each back after some seconds and ended again. One caller's request
-/// crashed every engine that began to run it. Its route allows one attempt, so each gateway told
-/// the caller 502 and forgot it; the caller sent the same body again under a new id, to another
-/// gateway, for which it was a new request. Nothing counted over ids and gateways.
-///
-/// What settled it were the lines of 18 engines, each with one `request.cut_off` of the same
-/// fingerprint, `sends=1` and an id of its own, at eight of nine gateways:
-///
-///     kind=request.placed request=00e0b7db06c763f7 backend=i-fca8ac10aa version=36 send=1
-///     kind=request.unknown request=00e0b7db06c763f7 age_ms=379.766 sends=1 reason=incomplete
-///
-/// while the engine's own record says of the same moment that its run began 79 ms before it ended,
-/// and that three engines had ended under this request more than 5 s earlier.
+/// Guards against a request that ends one backend server after another. Its route allows one
+/// attempt, so each gateway reports the failure and forgets the request; the caller sends the same
+/// body again with a new id to another gateway, which treats it as a new request. The ends must
+/// therefore be counted across ids and gateways.
 #[test]
-fn a_request_under_which_three_backend_servers_ended_is_sent_three_times_more_at_most() {
-    /// How long after the third end gateways in touch with each other have to know of it.
+fn request_that_ended_three_backends_is_sent_at_most_three_more_times() {
+    /// Time after the third end by which connected gateways must know of it.
     const WINDOW: Duration = Duration::from_secs(5);
     const PAUSE: Duration = Duration::from_millis(800);
     let bed = bed();
@@ -70,11 +59,11 @@
     let mut before_window = 0;
     for attempt in 0..20 {
         let index = attempt % GATEWAYS;
-        script_all(&bed, &end_of_process(attempt));
-        let call = poison(&bed, attempt);
-        let body = call.body.clone();
-        let served = bed.world.run_until(take(bed.gateway(index), call));
-        assert_ne!(served.status, 200, "attempt {attempt}: {served:?}");
+        script_all(&bed, &backend_crash(attempt));
+        let request = poison_request(&bed, attempt);
+        let body = request.body.clone();
+        let response = bed.world.run_until(fetch(bed.gateway(index), request));
+        assert_ne!(response.status, 200, "attempt {attempt}: {response:?}");
         let now = bed.world.now();
         let ended = arrivals_of(&bed, &body);
         if third_end.is_none() && ended.iter().collect::<BTreeSet<_>>().len() >= 3 {
@@ -83,36 +72,36 @@
         if third_end.is_none_or(|at| now.since(at) < WINDOW) {
             before_window = ended.len();
         }
-        // A bystander of the same caller and path is served all the while.
+        // Another request of the same caller and path is served all the time.
         let id = format!("other-{attempt}");
-        let answer = Script::events(&["id: 1\n\n"]).header("id", &id);
-        script_all(&bed, &Deed::Answer(answer));
+        let answer = ScriptedResponse::events(&["id: 1\n\n"]).header("id", &id);
+        script_all(&bed, &BackendAction::Answer(answer));
         let id = CallerRequestId::try_from(id.as_str()).expect("an id");
-        let other = CallerRequest { id, ..bed.call() };
-        let served = bed.world.run_until(take(bed.gateway(index), other));
-        assert_eq!((served.status, served.is_broken), (200, false), "attempt {attempt}");
+        let other = CallerRequest { id, ..bed.request() };
+        let response = bed.world.run_until(fetch(bed.gateway(index), other));
+        assert_eq!((response.status, response.is_incomplete), (200, false), "attempt {attempt}");
         bed.world.run_for(PAUSE);
     }
-    let body = poison(&bed, 0).body;
+    let body = poison_request(&bed, 0).body;
     let more = arrivals_of(&bed, &body).len() - before_window;
     assert!(more <= 3, "sent {more} times more, later than {WINDOW:?} after three had ended");
 }
 
-/// Ends three backend servers, each time through the first gateway, and waits until all know.
-fn end_three(bed: &TestBed) {
+/// Ends three backend servers through the first gateway, and waits until all gateways know.
+fn end_three_backends(bed: &TestBed) {
     for attempt in 0..3 {
-        script_all(bed, &end_of_process(attempt));
-        bed.world.run_until(take(bed.gateway(0), poison(bed, attempt)));
+        script_all(bed, &backend_crash(attempt));
+        bed.world.run_until(fetch(bed.gateway(0), poison_request(bed, attempt)));
         bed.world.run_for(Duration::from_secs(1));
     }
     bed.world.run_for(Duration::from_secs(2));
-    script_all(bed, &Deed::Answer(Script::events(&["id: 1\n\n"]).without("id")));
+    script_all(bed, &BackendAction::Answer(ScriptedResponse::events(&["id: 1\n\n"]).without("id")));
 }
 
-/// Callers read 503 and 429 as the promise that a request has not run, and repeat at once what
-/// failed without a word. This one has run three times, and repeating it ends another engine.
+/// Callers take 503 and 429 for a guarantee that a request has not run, and retry at once a failure
+/// without a status. This request has run three times, and retrying it would end another engine.
 #[test]
-fn a_request_that_is_held_back_is_told_so_at_every_gateway() {
+fn held_back_request_is_reported_at_every_gateway() {
     struct Case {
         what: &'static str,
         kind: RequestKind,
@@ -127,54 +116,57 @@
         let settings =
             BedSettings { backends: (40, 0), has_neighbour: true, ..BedSettings::of(kind) };
         let bed = TestBed::new(&settings);
-        end_three(&bed);
+        end_three_backends(&bed);
         let lines_before = bed.events.count("request.held_back");
         for index in 0..GATEWAYS {
-            let before = arrivals_of(&bed, &poison(&bed, 0).body).len();
-            let served = bed.world.run_until(take(bed.gateway(index), poison(&bed, 9)));
-            let told = format!("{what}, gateway {index}: {served:?}");
-            assert_eq!(served.status, 502, "{told}");
-            assert_eq!(served.headers["gullglade-run"], "run", "{told}");
+            let before = arrivals_of(&bed, &poison_request(&bed, 0).body).len();
+            let response = bed.world.run_until(fetch(bed.gateway(index), poison_request(&bed, 9)));
+            let context = format!("{what}, gateway {index}: {response:?}");
+            assert_eq!(response.status, 502, "{context}");
+            assert_eq!(response.headers["gullglade-run"], "run", "{context}");
             let after: f64 =
-                served.headers["retry-after"].to_str().expect("text").parse().expect("s");
-            assert!(after > 60.0, "{told}");
-            assert!(served.body.contains("fingerprint"), "{told}");
-            assert_eq!(arrivals_of(&bed, &poison(&bed, 0).body).len(), before, "{told}");
+                response.headers["retry-after"].to_str().expect("text").parse().expect("s");
+            assert!(after > 60.0, "{context}");
+            assert!(response.body.contains("fingerprint"), "{context}");
+            assert_eq!(arrivals_of(&bed, &poison_request(&bed, 0).body).len(), before, "{context}");
         }
         let lines = bed.events.count("request.held_back") - lines_before;
         assert_eq!(lines, GATEWAYS, "{what}: one line for each");
     }
 }
 
-/// A stream that broke was resumed at another engine, which ended as well, while the count of the
-/// first gateway already stood at three.
+/// Guards against resuming a broken stream at another engine, which ends as well, when three ends
+/// are already known.
 #[test]
-fn a_stream_under_which_the_third_backend_server_ends_breaks_off_and_is_not_resumed() {
+fn stream_is_not_resumed_after_third_backend_end() {
     let kind = RequestKind::Stream { resumable: true };
     let bed = TestBed::new(&BedSettings { backends: (40, 0), ..BedSettings::of(kind) });
-    let breaks = |id: &str, event| Deed::Answer(Script::events(&[event]).header("id", id).broken());
-    // Both attempts of the first call end a backend server, and the first one of the second.
-    for (call, sends) in [(1, 2), (2, 1)] {
-        let id = format!("attempt-{call}");
-        bed.backends(0).forget_deeds();
+    let breaks = |id: &str, event| {
+        BackendAction::Answer(ScriptedResponse::events(&[event]).header("id", id).incomplete())
+    };
+    // Both attempts of the first request end a backend server, and so does the first attempt of the
+    // second.
+    for (request, sends) in [(1, 2), (2, 1)] {
+        let id = format!("attempt-{request}");
+        bed.backends(0).clear_actions();
         bed.script(0, &[breaks(&id, "id: 1\n\n"), breaks(&id, "id: 2\n\n")]);
         let before = bed.backends(0).arrivals.borrow().len();
-        let served = bed.world.run_until(take(bed.gateway(0), poison(&bed, call)));
-        assert!(served.is_broken, "call {call}: {served:?}");
+        let response = bed.world.run_until(fetch(bed.gateway(0), poison_request(&bed, request)));
+        assert!(response.is_incomplete, "request {request}: {response:?}");
         let arrivals = bed.backends(0).arrivals.borrow().len() - before;
-        assert_eq!(arrivals, sends, "call {call}: {served:?}");
+        assert_eq!(arrivals, sends, "request {request}: {response:?}");
         bed.world.run_for(Duration::from_secs(1));
     }
 }
 
-/// The control process was started again with nothing, and a gateway that was just started had
-/// only it to ask. What gateways know they tell again.
+/// Guards against a hold that is lost when the control process restarts without data, while a newly
+/// started gateway can only ask the control process. The gateways must report it again.
 #[test]
-fn what_is_held_back_outlives_the_control_processes() {
+fn holds_survive_control_process_restart() {
     let mut bed = bed();
-    end_three(&bed);
+    end_three_backends(&bed);
     bed.restart_control();
     bed.world.run_for(Duration::from_secs(4));
-    let news = bed.control_crashes().news_after(0, gullglade_poison::NewsScope::Suspects);
+    let news = bed.control_crash_ledger().news_after(0, gullglade_poison::NewsScope::Suspects);
     assert_eq!(news.reports.len(), 1, "{news:?}");
 }
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of workspaces: who is refused, and what is charged for.
+//! Quotas of workspaces: refusals, charges, and usage shared between gateways.
 
 mod support;
 
@@ -7,10 +7,10 @@
     gullglade_traffic::{QuotaUnit, RawQuota, RawWorkspace, RequestKind},
     gullglade_units::TokenHash,
     std::time::Duration,
-    support::{BedSettings, Deed, Script, Served, TestBed, take},
+    support::{BackendAction, BedSettings, CallerResponse, ScriptedResponse, TestBed, fetch},
 };
 
-/// Requests a second of the limited workspace.
+/// Rate of the limited workspace in requests per second.
 const RATE: f64 = 2.0;
 
 fn workspace(name: &str, quota: Option<RawQuota>) -> RawWorkspace {
@@ -33,82 +33,83 @@
     let settings =
         BedSettings { workspaces, has_neighbour: true, backends: (2, 2), ..BedSettings::of(kind) };
     let bed = TestBed::new(&settings);
-    // Long enough for a bucket to fill.
+    // Long enough for the token bucket to fill.
     bed.run_with_notices(Duration::from_secs(10));
     bed
 }
 
-fn call(bed: &TestBed, workspace: &str) -> CallerRequest {
-    CallerRequest { key: Some(TokenHash::of(&format!("{workspace}-key"))), ..bed.call() }
+fn request(bed: &TestBed, workspace: &str) -> CallerRequest {
+    CallerRequest { key: Some(TokenHash::of(&format!("{workspace}-key"))), ..bed.request() }
 }
 
-/// Serves a call at a gateway, with backend servers that do `deed` with it.
-fn serve(bed: &TestBed, gateway: usize, workspace: &str, deed: &Deed) -> Served {
+/// Serves a request at a gateway whose backend servers perform `action`.
+fn serve(bed: &TestBed, gateway: usize, workspace: &str, action: &BackendAction) -> CallerResponse {
     for index in 0..3 {
-        bed.backends(index).forget_deeds();
-        bed.script(index, &vec![deed.clone(); 8]);
+        bed.backends(index).clear_actions();
+        bed.script(index, &vec![action.clone(); 8]);
     }
-    bed.world.run_until(take(bed.gateway(gateway), call(bed, workspace)))
+    bed.world.run_until(fetch(bed.gateway(gateway), request(bed, workspace)))
 }
 
-fn answer() -> Deed {
-    Deed::Answer(Script::signed(200, &["done"]))
+fn response() -> BackendAction {
+    BackendAction::Answer(ScriptedResponse::signed(200, &["done"]))
 }
 
-/// How many of `count` calls at once are served.
-fn served(bed: &TestBed, count: usize, workspace: &str, deed: &Deed) -> usize {
-    (0..count).filter(|_| serve(bed, 0, workspace, deed).status == 200).count()
+/// Returns how many of `count` requests are served.
+fn count_served(bed: &TestBed, count: usize, workspace: &str, action: &BackendAction) -> usize {
+    (0..count).filter(|_| serve(bed, 0, workspace, action).status == 200).count()
 }
 
 #[test]
-fn a_workspace_over_its_quota_is_told_when_to_come_back_and_others_are_served() {
+fn workspace_over_quota_gets_retry_after_and_others_are_served() {
     let bed = bed();
-    let count = served(&bed, 30, "limited", &answer());
+    let count = count_served(&bed, 30, "limited", &response());
     assert!((5..=12).contains(&count), "{count} served of a burst of 10");
-    let refused = serve(&bed, 0, "limited", &answer());
+    let refused = serve(&bed, 0, "limited", &response());
     assert_eq!(refused.status, 429);
     let wait: f64 = refused.headers["retry-after"].to_str().expect("text").parse().expect("one");
     assert!((0.25..=2.0).contains(&wait), "{wait}");
-    assert_eq!(served(&bed, 30, "free", &answer()), 30);
+    assert_eq!(count_served(&bed, 30, "free", &response()), 30);
     bed.run_with_notices(Duration::from_secs_f64(wait));
-    assert_eq!(serve(&bed, 0, "limited", &answer()).status, 200);
+    assert_eq!(serve(&bed, 0, "limited", &response()).status, 200);
 }
 
-/// Each gateway counted for itself, so a workspace had its quota once at each of them.
+/// Guards against gateways that count separately, so that a workspace has its quota once per
+/// gateway.
 #[test]
-fn what_is_spent_at_one_gateway_is_spent_at_all() {
+fn usage_counts_at_all_gateways() {
     let bed = bed();
-    served(&bed, 30, "limited", &answer());
+    count_served(&bed, 30, "limited", &response());
     bed.run_with_notices(Duration::from_millis(100));
-    assert_eq!(serve(&bed, 2, "limited", &answer()).status, 429, "the neighbour");
+    assert_eq!(serve(&bed, 2, "limited", &response()).status, 429, "the neighbour");
     bed.run_with_notices(Duration::from_millis(100));
-    assert_eq!(serve(&bed, 1, "limited", &answer()).status, 429, "the other region");
+    assert_eq!(serve(&bed, 1, "limited", &response()).status, 429, "the other region");
 }
 
 #[test]
-fn what_has_not_run_is_not_charged() {
+fn requests_that_did_not_run_are_not_charged() {
     struct Case {
         what: &'static str,
-        deed: Deed,
+        action: BackendAction,
         is_charged: bool,
     }
-    let shed = Script::signed(503, &[]).header("not-run", "1");
+    let shed = ScriptedResponse::signed(503, &[]).header("not-run", "1");
     let cases = [
-        Case { what: "refused by all", deed: Deed::Answer(shed), is_charged: false },
-        Case { what: "unreachable", deed: Deed::Unreachable, is_charged: false },
-        Case { what: "broken off", deed: Deed::Close, is_charged: true },
+        Case { what: "refused by all", action: BackendAction::Answer(shed), is_charged: false },
+        Case { what: "unreachable", action: BackendAction::Unreachable, is_charged: false },
+        Case { what: "broken off", action: BackendAction::Close, is_charged: true },
         Case {
             what: "failed",
-            deed: Deed::Answer(Script::signed(500, &["sorry"])),
+            action: BackendAction::Answer(ScriptedResponse::signed(500, &["sorry"])),
             is_charged: true,
         },
     ];
     for case in cases {
         let bed = bed();
         for _ in 0..30 {
-            serve(&bed, 0, "limited", &case.deed);
+            serve(&bed, 0, "limited", &case.action);
         }
-        let is_left = serve(&bed, 0, "limited", &answer()).status != 429;
+        let is_left = serve(&bed, 0, "limited", &response()).status != 429;
         assert_eq!(is_left, !case.is_charged, "{}", case.what);
     }
 }
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -1,4 +1,4 @@
-//! Runs that are silent, replaced or out of time: what else may end or blame one that is at work.
+//! Replacement of silent runs, and limits on searches for another place.
 
 mod support;
 
@@ -11,7 +11,7 @@
         BackendName, FailureDomain, Incarnation, MonotonicTime, RegionName, ServiceName, VmName,
     },
     std::{collections::BTreeSet, rc::Rc, time::Duration},
-    support::{BedSettings, Deed, Script, TestBed, take},
+    support::{BackendAction, BedSettings, ScriptedResponse, TestBed, fetch},
 };
 
 const IDEMPOTENT: RequestKind = RequestKind::Idempotent;
@@ -27,115 +27,127 @@
     Duration::from_millis(millis)
 }
 
-fn numbered(bed: &TestBed, id: &str) -> CallerRequest {
-    CallerRequest { id: CallerRequestId::try_from(id).expect("an id"), ..bed.call() }
+fn request_with_id(bed: &TestBed, id: &str) -> CallerRequest {
+    CallerRequest { id: CallerRequestId::try_from(id).expect("an id"), ..bed.request() }
 }
 
-/// Many events, a millisecond apart.
-fn steady(count: usize) -> Script {
+/// A stream of many events, a millisecond apart.
+fn steady_stream(count: usize) -> ScriptedResponse {
     let pieces: Vec<&'static str> =
         (1..=count).map(|id| &*format!("id: {id}\ndata: a\n\n").leak()).collect();
-    Script::events(&pieces)
+    ScriptedResponse::events(&pieces)
 }
 
 #[test]
-fn a_stream_that_reaches_its_deadline_blames_no_backend_server() {
-    // A backend server that sent an event a millisecond before was left alone as if it hung.
+fn stream_deadline_does_not_mark_backend_suspect() {
+    // Guards against a backend server that is treated as hung although it sent an event just before
+    // the deadline of a stream.
     let bed = TestBed::new(&BedSettings { backends: (1, 0), ..BedSettings::of(RESUMABLE) });
-    bed.script(0, &[Deed::Answer(steady(500)), Deed::Answer(Script::events(&[ALL]))]);
-    let short = CallerRequest { caller_timeout: Some(ms(60)), ..bed.call() };
+    bed.script(
+        0,
+        &[
+            BackendAction::Answer(steady_stream(500)),
+            BackendAction::Answer(ScriptedResponse::events(&[ALL])),
+        ],
+    );
+    let short = CallerRequest { caller_timeout: Some(ms(60)), ..bed.request() };
     let cut = bed.serve(short);
-    assert!(cut.is_broken && cut.body.len() > 100, "{cut:?}");
+    assert!(cut.is_incomplete && cut.body.len() > 100, "{cut:?}");
     let began = bed.world.now();
-    let next = bed.serve(bed.call());
+    let next = bed.serve(bed.request());
     assert_eq!((next.status, next.body.as_str()), (200, ALL), "{:?}", bed.events.lines());
     let took = bed.world.now().since(began);
-    assert!(took < ms(100), "the next request waited {took:?} for a suspect");
+    assert!(took < ms(100), "the next request waited {took:?} for a suspect backend server");
 }
 
 #[test]
-fn a_search_sends_nothing_that_is_held_back() {
-    // A request under which three backend servers had ended was sent to another one.
+fn search_does_not_send_held_back_request() {
+    // Guards against a search that sends a request under which three backend servers have ended to
+    // another one.
     let bed = TestBed::new(&BedSettings { backends: (40, 0), ..BedSettings::of(RESUMABLE) });
-    let poison = |id: &str| CallerRequest { body: "ends engines".into(), ..numbered(&bed, id) };
-    let silent = Script::events(&[FIRST, REST]).paused(1, MINUTE);
-    bed.script(0, &[Deed::Answer(silent.header("id", "silent"))]);
+    let poison_request =
+        |id: &str| CallerRequest { body: "ends engines".into(), ..request_with_id(&bed, id) };
+    let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, MINUTE);
+    bed.script(0, &[BackendAction::Answer(silent.header("id", "silent"))]);
     let clock = bed.clock();
     let ends = async {
         clock.sleep(ms(100)).await;
         // Two attempts each.
         for id in ["one", "two"] {
-            let deed = Deed::Answer(Script::events(&[]).header("id", id).broken());
-            bed.script(0, &[deed.clone(), deed]);
-            take(bed.proxy(), poison(id)).await;
+            let action =
+                BackendAction::Answer(ScriptedResponse::events(&[]).header("id", id).incomplete());
+            bed.script(0, &[action.clone(), action]);
+            fetch(bed.proxy(), poison_request(id)).await;
         }
         clock.sleep(ms(300)).await;
         let sent = bed.backends(0).arrivals.borrow().len();
-        bed.script(0, &[Deed::Hang, Deed::Hang]);
-        let held = take(bed.proxy(), poison("three")).await;
+        bed.script(0, &[BackendAction::Hang, BackendAction::Hang]);
+        let held = fetch(bed.proxy(), poison_request("three")).await;
         assert_eq!(held.status, 502, "{held:?}");
         assert_eq!(bed.backends(0).arrivals.borrow().len(), sent, "held back");
         sent
     };
-    let (_, sent) = bed.world.run_until(join(take(bed.proxy(), poison("silent")), ends));
+    let (_, sent) = bed.world.run_until(join(fetch(bed.proxy(), poison_request("silent")), ends));
     assert_eq!(bed.backends(0).arrivals.borrow().len(), sent, "sent by the search");
 }
 
 #[test]
-fn a_search_does_not_outlast_the_time_of_its_request() {
-    // A stream ended long after the caller's deadline: its search waited for another region.
+fn search_ends_with_request_deadline() {
+    // Guards against a stream that outlasts its deadline while its search waits for another region.
     for delay in [55, 250, 2_000] {
         let bed = TestBed::new(&BedSettings { backends: (1, 1), ..BedSettings::of(RESUMABLE) });
-        let silent = Script::events(&[FIRST, REST]).paused(1, MINUTE);
-        bed.script(0, &[Deed::Answer(silent)]);
-        bed.script(1, &[Deed::Hang, Deed::Hang]);
+        let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, MINUTE);
+        bed.script(0, &[BackendAction::Answer(silent)]);
+        bed.script(1, &[BackendAction::Hang, BackendAction::Hang]);
         let began = bed.world.now();
         bed.link.set_delay(ms(delay));
-        let call = CallerRequest { caller_timeout: Some(ms(1_500)), ..bed.call() };
-        bed.serve(call);
+        let request = CallerRequest { caller_timeout: Some(ms(1_500)), ..bed.request() };
+        bed.serve(request);
         let took = bed.world.now().since(began);
         assert!(took <= ms(1_550), "link of {delay} ms: ended after {took:?}");
     }
 }
 
 #[test]
-fn a_run_that_hangs_alone_is_replaced() {
-    // A run that hung at a backend server that answers others was waited for to the deadline.
+fn single_hung_run_is_replaced() {
+    // Guards against waiting until the deadline for a run that hangs at a backend server that
+    // responds to others.
     let bed = TestBed::new(&BedSettings { backends: (2, 0), ..BedSettings::of(RESUMABLE) });
-    let silent = Script::events(&[FIRST, REST]).paused(1, MINUTE);
-    bed.script(0, &[Deed::Answer(silent.header("id", "hung"))]);
+    let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, MINUTE);
+    bed.script(0, &[BackendAction::Answer(silent.header("id", "hung"))]);
     let clock = bed.clock();
     let others = async {
         clock.sleep(ms(50)).await;
-        // The hung run's replacement is one of them.
-        let deed = |id: &str| Deed::Answer(Script::events(&[ALL]).header("id", id));
+        // The replacement of the hung run is one of these actions.
+        let action =
+            |id: &str| BackendAction::Answer(ScriptedResponse::events(&[ALL]).header("id", id));
         for round in 0..18 {
             let ids: Vec<String> = (0..4).map(|n| format!("other-{round}-{n}")).collect();
-            bed.backends(0).forget_deeds();
-            bed.script(0, &ids.iter().map(|id| deed(id)).collect::<Vec<_>>());
-            join_all(ids.iter().map(|id| take(bed.proxy(), numbered(&bed, id)))).await;
-            let rest = Script::events(&[REST]).header("id", "hung");
-            bed.script(0, &[Deed::Answer(rest)]);
+            bed.backends(0).clear_actions();
+            bed.script(0, &ids.iter().map(|id| action(id)).collect::<Vec<_>>());
+            join_all(ids.iter().map(|id| fetch(bed.proxy(), request_with_id(&bed, id)))).await;
+            let rest = ScriptedResponse::events(&[REST]).header("id", "hung");
+            bed.script(0, &[BackendAction::Answer(rest)]);
             clock.sleep(ms(200)).await;
         }
     };
-    let hung = take(bed.proxy(), numbered(&bed, "hung"));
-    let (served, ()) = bed.world.run_until(join(hung, others));
-    assert!(!served.is_broken && served.body.contains("id: 3"), "{served:?}");
+    let hung = fetch(bed.proxy(), request_with_id(&bed, "hung"));
+    let (response, ()) = bed.world.run_until(join(hung, others));
+    assert!(!response.is_incomplete && response.body.contains("id: 3"), "{response:?}");
 }
 
 #[test]
-fn a_backend_server_that_hung_gets_no_work_at_once_again() {
-    // The next request went to the backend server from which nothing had come.
+fn hung_backend_gets_no_immediate_work() {
+    // Guards against sending the next request to a backend server that has just hung.
     for (backends, there) in [((2, 0), 0), ((0, 2), 1)] {
         let bed = TestBed::new(&BedSettings { backends, ..BedSettings::of(IDEMPOTENT) });
-        let good = Deed::Answer(Script::signed(200, &["good"]));
-        bed.script(there, &[Deed::Hang, good.clone()]);
-        let served = bed.serve(bed.call());
-        assert_eq!((served.status, served.body.as_str()), (200, "good"), "{backends:?}");
+        let good = BackendAction::Answer(ScriptedResponse::signed(200, &["good"]));
+        bed.script(there, &[BackendAction::Hang, good.clone()]);
+        let response = bed.serve(bed.request());
+        assert_eq!((response.status, response.body.as_str()), (200, "good"), "{backends:?}");
         bed.script(there, &vec![good; 4]);
-        let served = bed.serve_together(0, 4);
-        assert!(served.iter().all(|served| served.status == 200));
+        let response = bed.serve_concurrently(0, 4);
+        assert!(response.iter().all(|response| response.status == 200));
         let arrivals = bed.backends(there).arrivals.borrow();
         let again = arrivals[1..].iter().filter(|a| a.address == arrivals[0].address).count();
         assert_eq!(again, 0, "{backends:?}");
@@ -143,119 +155,132 @@
 }
 
 #[test]
-fn a_request_in_the_queue_of_another_region_is_no_silent_run() {
-    // A request that waited for its turn in another region was taken for one that hung there.
+fn request_queued_in_other_region_is_not_a_silent_run() {
+    // Guards against a request that is queued in another region and taken for a hung one.
     let bed = TestBed::new(&BedSettings {
         backends: (0, 1),
         objective: Duration::from_secs(2),
         ..BedSettings::of(IDEMPOTENT)
     });
-    let busy = Script::signed(200, &["busy"]).header("id", "busy").after(ms(1_800));
-    let good = Script::signed(200, &["good"]).after(ms(300));
-    bed.script(1, &vec![Deed::Answer(busy); 16]);
-    bed.script(1, &vec![Deed::Answer(good); 2]);
-    let fill = join_all((0..16).map(|_| take(bed.gateway(1), numbered(&bed, "busy"))));
+    let busy = ScriptedResponse::signed(200, &["busy"]).header("id", "busy").after(ms(1_800));
+    let good = ScriptedResponse::signed(200, &["good"]).after(ms(300));
+    bed.script(1, &vec![BackendAction::Answer(busy); 16]);
+    bed.script(1, &vec![BackendAction::Answer(good); 2]);
+    let fill = join_all((0..16).map(|_| fetch(bed.gateway(1), request_with_id(&bed, "busy"))));
     let clock = bed.clock();
     let own = async {
         clock.sleep(ms(50)).await;
-        take(bed.proxy(), bed.call()).await
+        fetch(bed.proxy(), bed.request()).await
     };
-    let (_, served) = bed.world.run_until(join(fill, own));
-    assert_eq!((served.status, served.body.as_str()), (200, "good"), "{served:?}");
+    let (_, response) = bed.world.run_until(join(fill, own));
+    assert_eq!((response.status, response.body.as_str()), (200, "good"), "{response:?}");
     let lines = bed.events.lines();
     let own = || lines.iter().filter(|line| line.contains("request=call-1"));
-    let repeats = own().filter(|line| line.starts_with("request.repeat_granted")).count();
+    let retries = own().filter(|line| line.starts_with("request.repeat_granted")).count();
     let arrivals = bed.backends(1).arrivals.borrow().len();
-    let told: Vec<_> = own().collect();
-    assert_eq!((arrivals, repeats), (17, 0), "arrivals and repeats: {told:#?}");
+    let logged: Vec<_> = own().collect();
+    assert_eq!((arrivals, retries), (17, 0), "arrivals and retries: {logged:#?}");
 }
 
 #[test]
-fn a_place_that_is_held_is_not_used_at_a_backend_server_that_leaves() {
-    // A request was sent to a backend server that had said that it leaves.
+fn reserved_place_at_leaving_backend_is_not_used() {
+    // Guards against sending a request to a place whose backend server has announced meanwhile that
+    // it leaves.
     for after in [260, 280, 300, 320, 340, 360] {
         let bed = TestBed::new(&BedSettings {
             backends: (1, 1),
             east_names: "e-",
             ..BedSettings::of(RESUMABLE)
         });
-        let silent = Script::events(&[FIRST, REST]).paused(1, ms(2_000));
-        bed.script(0, &[Deed::Answer(silent)]);
-        let leaving = Script::events(&[ALL]).header("id", "other").header("leaving", "1");
-        bed.script(1, &[Deed::Answer(leaving.after(ms(after))), Deed::Hang]);
+        let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, ms(2_000));
+        bed.script(0, &[BackendAction::Answer(silent)]);
+        let leaving = ScriptedResponse::events(&[ALL]).header("id", "other").header("leaving", "1");
+        bed.script(1, &[BackendAction::Answer(leaving.after(ms(after))), BackendAction::Hang]);
         let clock = bed.clock();
         let other = async {
             clock.sleep(ms(1_000)).await;
-            take(bed.other_proxy(), numbered(&bed, "other")).await
+            fetch(bed.other_proxy(), request_with_id(&bed, "other")).await
         };
-        let (_, other) = bed.world.run_until(join(take(bed.proxy(), bed.call()), other));
+        let (_, other) = bed.world.run_until(join(fetch(bed.proxy(), bed.request()), other));
         assert_eq!(other.status, 200);
         let arrivals = bed.backends(1).arrivals.borrow().len();
-        assert_eq!(arrivals, 1, "said {after} ms after the second: {:#?}", bed.events.lines());
+        assert_eq!(
+            arrivals,
+            1,
+            "announced {after} ms after the second request: {:#?}",
+            bed.events.lines()
+        );
     }
 }
 
 #[test]
-fn a_run_whose_backend_server_is_at_work_again_is_not_replaced() {
-    // The backend server answered others again before the place was found.
+fn run_is_not_replaced_when_backend_responds_again() {
+    // The backend server responds to others again before the place is found.
     let bed = TestBed::new(&BedSettings {
         backends: (1, 1),
         east_names: "e-",
         ..BedSettings::of(RESUMABLE)
     });
-    let silent = Script::events(&[FIRST, REST]).paused(1, ms(2_000));
-    let other = Script::events(&[ALL]).header("id", "other").after(ms(265));
-    bed.script(0, &[Deed::Answer(silent), Deed::Answer(other)]);
-    bed.script(1, &[Deed::Hang]);
+    let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, ms(2_000));
+    let other = ScriptedResponse::events(&[ALL]).header("id", "other").after(ms(265));
+    bed.script(0, &[BackendAction::Answer(silent), BackendAction::Answer(other)]);
+    bed.script(1, &[BackendAction::Hang]);
     let clock = bed.clock();
     let other = async {
         clock.sleep(ms(1_000)).await;
-        take(bed.proxy(), numbered(&bed, "other")).await
+        fetch(bed.proxy(), request_with_id(&bed, "other")).await
     };
-    let (served, other) = bed.world.run_until(join(take(bed.proxy(), bed.call()), other));
+    let (response, other) = bed.world.run_until(join(fetch(bed.proxy(), bed.request()), other));
     assert_eq!(other.body, ALL);
-    assert_eq!((served.is_broken, served.body.as_str()), (false, ALL), "{:#?}", bed.events.lines());
+    assert_eq!(
+        (response.is_incomplete, response.body.as_str()),
+        (false, ALL),
+        "{:#?}",
+        bed.events.lines()
+    );
 }
 
 #[test]
-fn a_stream_survives_a_link_that_breaks_while_its_run_is_replaced() {
-    // The old run was ended, and the word that the new one may begin was lost.
+fn stream_survives_link_failure_during_replacement() {
+    // Guards against cancelling the old run when the command to start the new one is lost.
     for cut_after in [1_300, 1_320, 1_340, 1_360, 1_380] {
         let bed = TestBed::new(&BedSettings {
             backends: (1, 1),
             east_names: "e-",
             ..BedSettings::of(RESUMABLE)
         });
-        let silent = Script::events(&[FIRST, REST]).paused(1, ms(2_000));
-        bed.script(0, &[Deed::Answer(silent)]);
-        bed.script(1, &[Deed::Hang, Deed::Hang]);
+        let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, ms(2_000));
+        bed.script(0, &[BackendAction::Answer(silent)]);
+        bed.script(1, &[BackendAction::Hang, BackendAction::Hang]);
         let clock = bed.clock();
         let cut = async {
             clock.sleep(ms(cut_after)).await;
             bed.link.cut(support::address(2), support::address(3));
         };
-        let (served, ()) = bed.world.run_until(join(take(bed.proxy(), bed.call()), cut));
-        let got = (served.is_broken, served.body.as_str());
+        let (response, ()) = bed.world.run_until(join(fetch(bed.proxy(), bed.request()), cut));
+        let got = (response.is_incomplete, response.body.as_str());
         assert_eq!(got, (false, ALL), "cut after {cut_after} ms: {:#?}", bed.events.lines());
     }
 }
 
 #[test]
-fn a_long_answer_ends_with_the_time_of_its_request() {
-    // A plain answer of more than a megabyte that stopped half way was waited for without end.
+fn long_response_ends_at_request_deadline() {
+    // Guards against waiting without limit for a plain response of more than 1 MiB that stalls
+    // half-way.
     let bed = TestBed::new(&BedSettings::of(IDEMPOTENT));
     let long: &'static str = "x".repeat(3 << 20).leak();
-    let script = Script::signed(200, &[long, "rest"]).paused(1, ms(10_000));
-    bed.script(0, &[Deed::Answer(script)]);
+    let script = ScriptedResponse::signed(200, &[long, "rest"]).paused(1, ms(10_000));
+    bed.script(0, &[BackendAction::Answer(script)]);
     let began = bed.world.now();
-    bed.serve(bed.call());
+    bed.serve(bed.request());
     let took = bed.world.now().since(began);
-    assert!(took <= ms(4_500), "ended {took:?} after it came, with 4 s to live");
+    assert!(took <= ms(4_500), "ended after {took:?} with a timeout of 4 s");
 }
 
 #[test]
-fn a_backend_server_that_is_announced_no_more_is_at_work_while_it_answers() {
-    // A stream of a backend server that leaves was taken for silent at its first pause.
+fn unannounced_backend_is_at_work_while_it_responds() {
+    // Guards against a stream of a leaving backend server that is taken for silent at its first
+    // pause.
     let now = |millis: u64| MonotonicTime::default() + ms(1_000 + millis);
     let service = ServiceName::try_from("pool").expect("a name");
     let region = RegionName::try_from("west").expect("a name");
@@ -296,7 +321,7 @@
     assert!(scheduler.is_at_work(ticket, now(20)));
     scheduler.set_backends([], now(30));
     scheduler.begin(ticket, now(40));
-    assert!(scheduler.is_at_work(ticket, now(50)), "a piece came 10 ms ago");
+    assert!(scheduler.is_at_work(ticket, now(50)), "a chunk came 10 ms ago");
 }
 
 fn item(service: &ServiceName, now: MonotonicTime) -> WorkItem {
--- a/crates/proxy/tests/silent_plays.rs
+++ b/crates/proxy/tests/silent_plays.rs
@@ -1,13 +1,14 @@
-//! Random plays with runs that go silent: nothing at work is given up for what is not secured.
+//! Random simulations with silent runs: a run that is at work is not abandoned for one that is not
+//! secured.
 //!
-//! `GULLGLADE_SCHEDULES` sets how many are played, ten times as many as plays; `GULLGLADE_SEED`
-//! plays one alone.
+//! `GULLGLADE_SCHEDULES` sets the number of schedules, ten times the number of simulations;
+//! `GULLGLADE_SEED` runs the simulation of a single seed.
 
-mod plays;
+mod simulation;
 mod support;
 
 use {
-    plays::{Breach, PlayReport, Rule},
+    simulation::{Invariant, SimulationReport, Violation},
     std::{
         collections::{BTreeMap, BTreeSet},
         env,
@@ -18,58 +19,59 @@
 
 const THREADS: u64 = 3;
 
-/// Plays without `GULLGLADE_SCHEDULES`.
-const DEFAULT_PLAYS: u64 = 100;
+/// Number of simulations if `GULLGLADE_SCHEDULES` is not set.
+const DEFAULT_SIMULATIONS: u64 = 100;
 
-/// Breaches that are printed in full.
-const MOST_PRINTED: usize = 12;
+/// Most violations that are printed in full.
+const MAX_PRINTED: usize = 12;
 
-/// A play, the rules that it broke as text; a panic breaks the rule `None`.
-struct PlayedSeed {
+/// Result of one seed, with the violated invariants as text; `None` stands for a panic.
+struct SeedResult {
     seed: u64,
-    found: Vec<(Option<Rule>, String)>,
-    report: PlayReport,
+    found: Vec<(Option<Invariant>, String)>,
+    report: SimulationReport,
 }
 
-impl PlayedSeed {
+impl SeedResult {
     fn new(seed: u64, gateways: usize) -> Self {
-        match catch_unwind(AssertUnwindSafe(|| plays::play(seed, gateways))) {
+        match catch_unwind(AssertUnwindSafe(|| simulation::run_seed(seed, gateways))) {
             Ok(report) => {
-                let text = |breach: &Breach| (Some(breach.rule), breach.to_string());
-                Self { seed, found: report.breaches.iter().map(text).collect(), report }
+                let text =
+                    |violation: &Violation| (Some(violation.invariant), violation.to_string());
+                Self { seed, found: report.violations.iter().map(text).collect(), report }
             }
             Err(_) => {
                 let found = vec![(None, "panicked".to_owned())];
-                Self { seed, found, report: PlayReport::default() }
+                Self { seed, found, report: SimulationReport::default() }
             }
         }
     }
 }
 
-fn setting(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     env::var(name).ok().map(|text| text.parse().expect("a number"))
 }
 
-/// Plays the seeds in some threads.
-fn play_all(seeds: &[u64], gateways: usize) -> Vec<PlayedSeed> {
+/// Runs the seeds on several threads.
+fn run_seeds(seeds: &[u64], gateways: usize) -> Vec<SeedResult> {
     let thread_of = |thread: u64| {
         let seeds: Vec<u64> = seeds.iter().copied().filter(|s| s % THREADS == thread).collect();
         thread::spawn(move || {
-            seeds.into_iter().map(|seed| PlayedSeed::new(seed, gateways)).collect::<Vec<_>>()
+            seeds.into_iter().map(|seed| SeedResult::new(seed, gateways)).collect::<Vec<_>>()
         })
     };
     let threads: Vec<_> = (0..THREADS).map(thread_of).collect();
     threads.into_iter().flat_map(|thread| thread.join().expect("plays")).collect()
 }
 
-/// Prints what all plays came to.
-fn print_sums(played: &[PlayedSeed], gateways: usize) {
-    let sum = |part: fn(&PlayReport) -> usize| -> usize {
-        played.iter().map(|played| part(&played.report)).sum()
+/// Prints the totals of all simulations.
+fn print_totals(results: &[SeedResult], gateways: usize) {
+    let sum = |part: fn(&SimulationReport) -> usize| -> usize {
+        results.iter().map(|result| part(&result.report)).sum()
     };
     println!(
         "{} plays of {gateways} gateways: {} of {} requests answered whole, {} arrivals, {} silent",
-        played.len(),
+        results.len(),
         sum(|report| report.whole),
         sum(|report| report.requests),
         sum(|report| report.arrivals),
@@ -77,51 +79,55 @@
     );
 }
 
-/// Prints the seeds that broke each rule.
-fn print_rules(played: &[PlayedSeed]) {
-    let mut seeds: BTreeMap<Option<Rule>, BTreeSet<u64>> = BTreeMap::new();
-    for PlayedSeed { seed, found, .. } in played {
-        for (rule, _) in found {
-            seeds.entry(*rule).or_default().insert(*seed);
+/// Prints the seeds that violated each invariant.
+fn print_violations(results: &[SeedResult]) {
+    let mut seeds: BTreeMap<Option<Invariant>, BTreeSet<u64>> = BTreeMap::new();
+    for SeedResult { seed, found, .. } in results {
+        for (invariant, _) in found {
+            seeds.entry(*invariant).or_default().insert(*seed);
         }
     }
-    for (rule, seeds) in &seeds {
-        println!("{rule:?}: {} of {} plays, seeds {seeds:?}", seeds.len(), played.len());
+    for (invariant, seeds) in &seeds {
+        println!("{invariant:?}: {} of {} plays, seeds {seeds:?}", seeds.len(), results.len());
     }
 }
 
-/// Plays `count` seeds.
+/// Runs the simulations of `count` seeds.
 fn check(count: u64, gateways: usize) {
-    let seeds: Vec<u64> = match setting("GULLGLADE_SEED") {
+    let seeds: Vec<u64> = match env_number("GULLGLADE_SEED") {
         Some(seed) => vec![seed],
         None => (0..count).collect(),
     };
-    let played = play_all(&seeds, gateways);
-    print_sums(&played, gateways);
-    print_rules(&played);
-    let found = |played: PlayedSeed| played.found.into_iter().map(move |f| (played.seed, f));
-    let mut found: Vec<_> = played.into_iter().flat_map(found).collect();
+    let results = run_seeds(&seeds, gateways);
+    print_totals(&results, gateways);
+    print_violations(&results);
+    let found = |result: SeedResult| result.found.into_iter().map(move |f| (result.seed, f));
+    let mut found: Vec<_> = results.into_iter().flat_map(found).collect();
     found.sort();
-    for (seed, (_, what)) in found.iter().take(MOST_PRINTED) {
+    for (seed, (_, what)) in found.iter().take(MAX_PRINTED) {
         println!("GULLGLADE_SEED={seed}, {gateways} gateways: {what}");
     }
     assert!(found.is_empty(), "{} breaches with {gateways} gateways", found.len());
 }
 
 #[test]
-fn no_play_of_two_gateways_ends_a_run_at_work() {
-    // Streams were broken off while their backend servers were at work on them.
-    check(setting("GULLGLADE_SCHEDULES").map_or(DEFAULT_PLAYS, |count| count / 10), 2);
+fn two_gateways_never_end_a_run_at_work() {
+    // Guards against breaking off streams while their backend servers are at work on them.
+    check(env_number("GULLGLADE_SCHEDULES").map_or(DEFAULT_SIMULATIONS, |count| count / 10), 2);
 }
 
 #[test]
-fn no_play_of_three_gateways_ends_a_run_at_work() {
-    // Gateways that share backend servers took each other's places while a run was silent.
-    check(setting("GULLGLADE_SCHEDULES").map_or(DEFAULT_PLAYS / 4, |count| (count / 40).max(1)), 3);
+fn three_gateways_never_end_a_run_at_work() {
+    // Gateways that share backend servers may take each other's places while a run is silent.
+    check(
+        env_number("GULLGLADE_SCHEDULES")
+            .map_or(DEFAULT_SIMULATIONS / 4, |count| (count / 40).max(1)),
+        3,
+    );
 }
 
 #[test]
-fn no_play_of_sixty_gateways_ends_a_run_at_work() {
-    // Searches for a place grew with the number of gateways.
-    check(setting("GULLGLADE_SCHEDULES").map_or(2, |count| (count / 2_000).max(1)), 60);
+fn sixty_gateways_never_end_a_run_at_work() {
+    // Guards against a number of searches that grows with the number of gateways.
+    check(env_number("GULLGLADE_SCHEDULES").map_or(2, |count| (count / 2_000).max(1)), 60);
 }
--- a/crates/proxy/tests/plays/engines.rs
+++ b/crates/proxy/tests/simulation/engines.rs
@@ -1,5 +1,5 @@
-//! Backend servers that work, pause, fall silent, die or turn work away by a plan, and keep a
-//! record of each run.
+//! Simulated engines that work, pause, fall silent, end or reject requests by a schedule, and
+//! record each run.
 
 use {
     super::{START, Window},
@@ -15,22 +15,22 @@
     std::{cell::RefCell, collections::VecDeque, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// What will become of an engine.
+/// Faults of an engine over time.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EngineFate {
-    /// It does nothing in them, and goes on afterwards. In order, none overlaps the next one.
+pub(crate) struct EngineSchedule {
+    /// Stalls, after which the engine continues; ordered and without overlaps.
     pub(crate) stalls: Vec<Window>,
-    /// It takes work from then on and says nothing more.
-    pub(crate) dark_from: Option<MonotonicTime>,
-    /// It ends with all runs, and is back afterwards.
+    /// Time from which the engine accepts requests but sends nothing.
+    pub(crate) silent_from: Option<MonotonicTime>,
+    /// Time during which the engine is down. All its runs end at the beginning.
     pub(crate) death: Option<Window>,
-    /// It turns work away.
+    /// Time during which the engine rejects requests.
     pub(crate) full: Option<Window>,
     pub(crate) slots: usize,
 }
 
-impl EngineFate {
-    /// When so much work is done that begins at `from`; `None` for never.
+impl EngineSchedule {
+    /// Returns the time at which `work` that begins at `from` is done; `None` for never.
     fn done_at(&self, from: MonotonicTime, work: Duration) -> Option<MonotonicTime> {
         let (mut at, mut left) = (from, work);
         for stall in self.stalls.iter().filter(|stall| stall.end > from) {
@@ -42,41 +42,41 @@
             at = stall.end.max(at);
         }
         let done = at + left;
-        self.dark_from.is_none_or(|dark| done < dark).then_some(done)
+        self.silent_from.is_none_or(|silent| done < silent).then_some(done)
     }
 }
 
-/// How often runs have a trouble of their own, of 1,000.
+/// Frequency of faults of single runs, per 1,000.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RunTroubles {
+pub(crate) struct RunFaults {
     pub(crate) pauses: u64,
     pub(crate) silences: u64,
     pub(crate) breaks: u64,
 }
 
-/// A request as its caller and the engines know it.
+/// A request as known to its caller and to the engines.
 #[derive(Clone, Debug)]
-pub(crate) struct PlayRequest {
-    /// The events of its answer; `None` for a plain one.
+pub(crate) struct SimulatedRequest {
+    /// Number of events of the response; `None` for a plain response.
     pub(crate) events: Option<u64>,
     pub(crate) first: Duration,
     pub(crate) gap: Duration,
 }
 
-/// How a run ended.
+/// End of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
     Running,
     /// Nothing was sent.
     Unreachable,
-    /// The engine did not run it.
+    /// The engine rejected the request.
     TurnedAway,
     Whole,
-    /// The engine died.
+    /// The engine ended.
     Died,
-    /// Its connection broke.
+    /// The connection broke.
     Broke,
-    /// The gateway let it go; when the engine would have sent the next piece.
+    /// The gateway cancelled the run; the time at which the engine would have sent the next chunk.
     Cancelled(Option<MonotonicTime>),
 }
 
@@ -90,25 +90,25 @@
     pub(crate) begin: MonotonicTime,
     pub(crate) finish: Option<MonotonicTime>,
     pub(crate) end: RunEnd,
-    /// The last event that its caller had before.
-    #[allow(dead_code)] // Printed with a breach.
+    /// Last event that the caller had before.
+    #[allow(dead_code)] // Printed with a violation.
     pub(crate) after: u64,
-    /// The events that it has sent.
+    /// Number of events sent.
     pub(crate) made: u64,
-    /// Whether it says nothing for a second and more at some time.
+    /// Whether the run is silent for a second or more at some time.
     pub(crate) is_silent: bool,
 }
 
-/// The engines of both regions.
-pub(crate) struct EngineFloor {
-    pub(crate) engines: [Vec<EngineFate>; 2],
-    pub(crate) troubles: RunTroubles,
-    pub(crate) requests: Vec<PlayRequest>,
+/// Engines of both regions.
+pub(crate) struct EnginePool {
+    pub(crate) engines: [Vec<EngineSchedule>; 2],
+    pub(crate) faults: RunFaults,
+    pub(crate) requests: Vec<SimulatedRequest>,
     pub(crate) runs: RefCell<Vec<RunRecord>>,
     pub(crate) random: SeededRandom,
 }
 
-/// What an engine will send of a run.
+/// Planned output of a run.
 struct RunPlan {
     head: Option<MonotonicTime>,
     pieces: VecDeque<(MonotonicTime, Bytes)>,
@@ -121,7 +121,7 @@
     Never,
 }
 
-/// A pause of a length that is near one at which a gateway may go over, or of any length.
+/// Returns a pause that is close to a silence limit of the gateways, or of any length.
 pub(crate) fn pause(random: &SeededRandom) -> Duration {
     let millis = match random.below(5) {
         0 | 1 => 1_150 + random.below(400),
@@ -135,28 +135,34 @@
     Bytes::from(format!("id: {event}\ndata: {request}-{event}\n\n"))
 }
 
-/// The whole answer to a plain request.
+/// The complete response to a plain request.
 pub(crate) fn plain_answer(request: usize) -> Bytes {
     Bytes::from(format!("answer {request}"))
 }
 
-impl EngineFloor {
+impl EnginePool {
     fn chance(&self, per_mille: u64) -> bool {
         self.random.below(1_000) < per_mille
     }
 
-    /// The plan of a run that begins now, after so many events.
-    fn plan(&self, fate: &EngineFate, request: usize, after: u64, now: MonotonicTime) -> RunPlan {
-        let PlayRequest { events, first, gap } = self.requests[request].clone();
+    /// Plans a run that begins at `now`, after the event `after`.
+    fn plan(
+        &self,
+        fate: &EngineSchedule,
+        request: usize,
+        after: u64,
+        now: MonotonicTime,
+    ) -> RunPlan {
+        let SimulatedRequest { events, first, gap } = self.requests[request].clone();
         let pieces: Vec<Bytes> = match events {
             Some(last) => (after + 1..=last).map(|event| piece(request, event)).collect(),
             None => vec![plain_answer(request)],
         };
         let count = pieces.len() as u64;
         let at = |is_there: bool| is_there.then(|| self.random.below(count + 1));
-        let pauses = at(self.chance(self.troubles.pauses));
-        let silent = at(self.chance(self.troubles.silences));
-        let breaks = at(self.chance(self.troubles.breaks));
+        let pauses = at(self.chance(self.faults.pauses));
+        let silent = at(self.chance(self.faults.silences));
+        let breaks = at(self.chance(self.faults.breaks));
         let mut plan = RunPlan { head: None, pieces: VecDeque::new(), end: PlannedEnd::Never };
         let mut time = Some(now);
         for (number, piece) in (0_u64..).zip(pieces) {
@@ -197,7 +203,7 @@
 }
 
 impl RunPlan {
-    /// Leaves what comes before the engine's death.
+    /// Removes the output after the engine's end.
     fn cut_by(&mut self, death: Option<MonotonicTime>) {
         let Some(death) = death else { return };
         self.pieces.retain(|(time, _)| *time < death);
@@ -208,7 +214,7 @@
         };
     }
 
-    /// When something comes next.
+    /// Returns the time of the next output.
     fn next_due(&self) -> Option<MonotonicTime> {
         let end = match self.end {
             PlannedEnd::At(time, RunEnd::Whole) => Some(time),
@@ -217,7 +223,7 @@
         self.pieces.front().map(|(time, _)| *time).or(end)
     }
 
-    /// Whether it pauses for a second or more.
+    /// Returns whether the run pauses for a second or more.
     fn is_silent(&self, begin: MonotonicTime) -> bool {
         let mut last = begin;
         let end = match self.end {
@@ -231,19 +237,19 @@
     }
 }
 
-/// A run in progress; its drop before its end is the gateway's doing.
+/// A run in progress. Dropping it before its end means that the gateway cancelled it.
 struct LiveRun {
-    floor: Rc<EngineFloor>,
+    pool: Rc<EnginePool>,
     clock: Rc<dyn Clock>,
     at: usize,
     plan: RunPlan,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl LiveRun {
     fn finish(&mut self, end: RunEnd) {
-        self.is_over = true;
-        let record = &mut self.floor.runs.borrow_mut()[self.at];
+        self.is_finished = true;
+        let record = &mut self.pool.runs.borrow_mut()[self.at];
         record.finish = Some(self.clock.now());
         record.end = end;
     }
@@ -255,15 +261,15 @@
         }
     }
 
-    /// The next piece, at its time.
+    /// Returns the next chunk at its planned time.
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
-        if self.is_over {
+        if self.is_finished {
             return None;
         }
         if let Some((time, _)) = self.plan.pieces.front() {
             self.wait_until(*time).await;
             let (_, piece) = self.plan.pieces.pop_front()?;
-            self.floor.runs.borrow_mut()[self.at].made += 1;
+            self.pool.runs.borrow_mut()[self.at].made += 1;
             return Some(Ok(piece));
         }
         let PlannedEnd::At(time, end) = self.plan.end else { std::future::pending().await };
@@ -278,30 +284,30 @@
 
 impl Drop for LiveRun {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             let due = self.plan.next_due().map(|due| due.max(self.clock.now()));
             self.finish(RunEnd::Cancelled(due));
         }
     }
 }
 
-/// How one gateway reaches the engines of its region.
-pub(crate) struct FloorClient {
-    pub(crate) floor: Rc<EngineFloor>,
+/// Client of one gateway for the engines of its region.
+pub(crate) struct EngineClient {
+    pub(crate) pool: Rc<EnginePool>,
     pub(crate) gateway: usize,
     pub(crate) context: ProcessContext,
 }
 
-/// The first address of backend servers in the bed.
+/// Last octet of the address of the first backend server.
 const FIRST_HOST: u8 = 100;
 
-impl FloorClient {
+impl EngineClient {
     async fn act(
         &self,
         address: SocketAddr,
         request: Request<Bytes>,
     ) -> Result<ClientReply, ClientError> {
-        let SocketAddr::V4(v4) = address else { unreachable!("the bed uses v4") };
+        let SocketAddr::V4(v4) = address else { unreachable!("the test bed uses IPv4") };
         let engine = usize::from(v4.ip().octets()[3] - FIRST_HOST);
         let region = self.gateway % 2;
         let clock = &self.context.clock;
@@ -323,10 +329,10 @@
             is_silent: false,
         };
         let ended = |end| RunRecord { finish: Some(begin), end, ..record.clone() };
-        let fate = &self.floor.engines[region][engine];
+        let fate = &self.pool.engines[region][engine];
         let is_in = |window: &Option<Window>| window.as_ref().is_some_and(|w| w.contains(&begin));
         if is_in(&fate.death) {
-            self.floor.note(ended(RunEnd::Unreachable));
+            self.pool.note(ended(RunEnd::Unreachable));
             return Err(ClientError::Connect { address, reason: "refused".to_owned() });
         }
         if request.extensions().get::<SendPermit>().is_some_and(|permit| !permit.begin()) {
@@ -334,20 +340,20 @@
         }
         let is_here = |run: &&RunRecord| (run.region, run.engine) == (region, engine);
         let is_running = |run: &&RunRecord| run.end == RunEnd::Running;
-        let running = self.floor.runs.borrow().iter().filter(is_here).filter(is_running).count();
+        let running = self.pool.runs.borrow().iter().filter(is_here).filter(is_running).count();
         if is_in(&fate.full) || running >= fate.slots {
-            self.floor.note(ended(RunEnd::TurnedAway));
+            self.pool.note(ended(RunEnd::TurnedAway));
             clock.sleep(Duration::from_millis(3)).await;
             let body = ClientBody::from_bytes(Bytes::new());
             let mut head = head(&id, StatusCode::SERVICE_UNAVAILABLE);
             head.headers_mut().insert("not-run", HeaderValue::from_static("1"));
             return Ok(ClientReply { head: head.into_parts().0, body });
         }
-        let plan = self.floor.plan(fate, number, after, begin);
+        let plan = self.pool.plan(fate, number, after, begin);
         let is_silent = plan.is_silent(begin);
-        let at = self.floor.note(RunRecord { is_silent, ..record });
-        let (floor, clock) = (Rc::clone(&self.floor), Rc::clone(clock));
-        let mut run = LiveRun { floor, clock, at, plan, is_over: false };
+        let at = self.pool.note(RunRecord { is_silent, ..record });
+        let (pool, clock) = (Rc::clone(&self.pool), Rc::clone(clock));
+        let mut run = LiveRun { pool, clock, at, plan, is_finished: false };
         let Some(time) = run.plan.head else {
             let PlannedEnd::At(time, end) = run.plan.end else { std::future::pending().await };
             run.wait_until(time).await;
@@ -356,7 +362,7 @@
         };
         run.wait_until(time).await;
         let mut head = head(&id, StatusCode::OK);
-        if self.floor.requests[number].events.is_some() {
+        if self.pool.requests[number].events.is_some() {
             let kind = HeaderValue::from_static("text/event-stream");
             head.headers_mut().insert("content-type", kind);
         }
@@ -374,7 +380,7 @@
     response
 }
 
-impl HttpClient for FloorClient {
+impl HttpClient for EngineClient {
     fn send<'a>(
         &'a self,
         address: SocketAddr,
@@ -389,7 +395,7 @@
     }
 }
 
-/// So many milliseconds after the play's begin.
+/// Returns the time `millis` milliseconds after the beginning of the simulation.
 pub(crate) fn at(millis: u64) -> MonotonicTime {
     START + Duration::from_millis(millis)
 }
--- a/crates/proxy/tests/support/configuration.rs
+++ b/crates/proxy/tests/support/configuration.rs
@@ -1,4 +1,4 @@
-//! The one configuration of these tests, and a control process that holds it.
+//! The configuration of these tests, and a control process that serves it.
 
 use {
     super::address,
@@ -12,20 +12,20 @@
     std::{cell::Cell, collections::BTreeSet, net::SocketAddr, time::Duration},
 };
 
-/// The one configuration of these tests.
+/// Format with a fixed configuration; the text is the version.
 pub(super) struct FixedFormat {
     pub(super) kind: RequestKind,
     pub(super) timeout: Duration,
     pub(super) objective: Duration,
     pub(super) event_patience: Option<Duration>,
-    /// The timeout of versions after the first.
+    /// Timeout in versions after the first.
     pub(super) later_timeout: Option<Duration>,
     pub(super) homes: Vec<String>,
     pub(super) is_public: bool,
-    /// The workspaces of each version.
+    /// Workspaces of each version.
     pub(super) workspaces: fn(u64) -> Vec<RawWorkspace>,
     pub(super) max_attempts: u32,
-    /// Where a second route begins, of idempotent requests.
+    /// Path prefix of a second route with idempotent requests.
     pub(super) plain_prefix: Option<&'static str>,
 }
 
@@ -81,11 +81,11 @@
     }
 }
 
-/// A control process that holds one configuration at a time.
+/// A control process that serves one configuration at a time.
 pub(crate) struct FixedSource {
-    /// The version and place in the log of the configuration.
+    /// Version and log index of the configuration.
     pub(super) version: Cell<u64>,
-    /// How long ago it was last known to be the newest.
+    /// Time since the configuration was last confirmed as the newest.
     pub(super) confirmed_ago: Cell<Option<Duration>>,
 }
 
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,16 +1,16 @@
-//! Two regions with a gateway each, one control process, and backend servers that answer by
-//! script.
+//! A test bed of two regions with one gateway each, one control process, and backend servers with
+//! scripted responses.
 
 #![allow(dead_code)] // Each test program uses a part of it.
 
 mod configuration;
-mod own_parts;
+mod overrides;
 mod servers;
 
 #[allow(unused_imports)] // Each test program uses a part of them.
 pub(crate) use {
-    own_parts::OwnParts,
-    servers::{Deed, Script, ScriptedBackends},
+    overrides::Overrides,
+    servers::{BackendAction, ScriptedBackends, ScriptedResponse},
 };
 
 use {
@@ -49,16 +49,17 @@
     },
 };
 
-/// After this a bed has its configuration and its part of common allowances, and the test begins.
-const SETTLED: Duration = Duration::from_secs(11);
+/// Time after which the test bed has its configuration and its share of the common limits, and the
+/// test begins.
+const SETTLING_TIME: Duration = Duration::from_secs(11);
 
-/// How often notices are delivered.
-const DELIVERY: Duration = Duration::from_millis(10);
+/// Interval of notice delivery.
+const NOTICE_DELIVERY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One way between the two regions.
-const LINK: Duration = Duration::from_millis(55);
+/// One-way delay between the two regions.
+const LINK_DELAY: Duration = Duration::from_millis(55);
 
-/// The address of a gateway, by the order in which it was added.
+/// Returns the address of a gateway by its index in the order of creation.
 fn gateway_address(index: usize) -> SocketAddr {
     address(2 + index as u8)
 }
@@ -71,35 +72,35 @@
     RegionName::try_from(name).expect("a name")
 }
 
-/// How a test bed is set up.
+/// Settings of a test bed.
 pub(crate) struct BedSettings {
     pub(crate) kind: RequestKind,
     pub(crate) timeout: Duration,
     pub(crate) objective: Duration,
-    /// How long callers wait for an event of a stream.
+    /// Time that callers wait for an event of a stream.
     pub(crate) event_patience: Option<Duration>,
-    /// The timeout of every version of the configuration after the first.
+    /// Timeout in every configuration version after the first.
     pub(crate) later_timeout: Option<Duration>,
     pub(crate) homes: &'static [&'static str],
-    /// Backend servers in the first and in the second region.
+    /// Number of backend servers in the first and in the second region.
     pub(crate) backends: (u8, u8),
-    /// What the names of the second region's backend servers begin with.
+    /// Prefix of the names of the second region's backend servers.
     pub(crate) east_names: &'static str,
-    /// The backend servers that the second region is said to have, where it has others.
+    /// Number of backend servers that the second region is reported to have, if it differs.
     pub(crate) offered: Option<u8>,
-    /// What all gateways together may repeat beyond a part of their requests.
+    /// Constant part of the retry budget of all gateways together.
     pub(crate) repeat_slack: f64,
     /// Whether the first region has a second gateway.
     pub(crate) has_neighbour: bool,
-    /// How long after the test's begin the control process is there.
+    /// Time after the beginning of the test at which the control process starts.
     pub(crate) control_after: Duration,
     /// Whether requests need no key.
     pub(crate) is_public: bool,
-    /// The workspaces of each version of the configuration.
+    /// Workspaces of each configuration version.
     pub(crate) workspaces: fn(u64) -> Vec<RawWorkspace>,
     pub(crate) revocation: Option<Duration>,
-    /// What a test puts in place of parts of the bed.
-    pub(crate) own: OwnParts,
+    /// Parts of the test bed that are replaced by the test.
+    pub(crate) overrides: Overrides,
 }
 
 impl BedSettings {
@@ -120,15 +121,15 @@
             is_public: false,
             workspaces: |_| Vec::new(),
             revocation: None,
-            own: OwnParts::default(),
+            overrides: Overrides::default(),
         }
     }
 }
 
-/// A notice: who was told, and what.
+/// A notice: receivers and body.
 pub(crate) type SentNotice = (Vec<SocketAddr>, Vec<u8>);
 
-/// Keeps the notices that a gateway sends.
+/// Records the notices that a gateway sends.
 #[derive(Default)]
 pub(crate) struct RecordedNotices(RefCell<Vec<SentNotice>>);
 
@@ -142,12 +143,12 @@
     proxy: Proxy,
     backends: Rc<ScriptedBackends>,
     notices: Rc<RecordedNotices>,
-    /// How many of the notices were delivered.
+    /// Number of notices that were delivered.
     delivered: Cell<usize>,
     process: FakeProcess,
 }
 
-/// The two regions.
+/// A test bed of two regions.
 pub(crate) struct TestBed {
     pub(crate) world: FakeWorld,
     pub(crate) events: Rc<MemorySink>,
@@ -156,7 +157,7 @@
     gateways: Vec<BedGateway>,
     control: FakeProcess,
     source: Rc<FixedSource>,
-    control_crashes: Rc<CrashLedger>,
+    control_crash_ledger: Rc<CrashLedger>,
 }
 
 fn start_control(
@@ -211,17 +212,17 @@
 
 impl TestBed {
     pub(crate) fn new(settings: &BedSettings) -> Self {
-        let (world, _) = FakeWorld::new(settings.own.seed);
-        let link = Rc::new(FakeLink::new(LINK));
-        let network = Rc::new(FakeNetwork::new(settings.own.policy(&link)));
+        let (world, _) = FakeWorld::new(settings.overrides.seed);
+        let link = Rc::new(FakeLink::new(LINK_DELAY));
+        let network = Rc::new(FakeNetwork::new(settings.overrides.policy(&link)));
         let events: Rc<MemorySink> = Rc::default();
         let control = world.process();
         let wait = match settings.control_after {
             Duration::ZERO => Duration::ZERO,
-            after => SETTLED + after,
+            after => SETTLING_TIME + after,
         };
         let source: Rc<FixedSource> = Rc::default();
-        let control_crashes = start_control(&network, &control, &source, &events, wait);
+        let control_crash_ledger = start_control(&network, &control, &source, &events, wait);
         let mut bed = Self {
             world,
             events,
@@ -230,7 +231,7 @@
             gateways: Vec::new(),
             control,
             source,
-            control_crashes,
+            control_crash_ledger,
         };
         let (west, east) = settings.backends;
         let offered = settings.offered.unwrap_or(east);
@@ -239,13 +240,13 @@
         if settings.has_neighbour {
             bed.add_gateway(&network, settings, 4, "west", west, offered);
         }
-        for host in settings.own.more_hosts(bed.gateways.len()) {
-            match OwnParts::is_west(host) {
+        for host in settings.overrides.additional_hosts(bed.gateways.len()) {
+            match Overrides::is_west(host) {
                 true => bed.add_gateway(&network, settings, host, "west", west, offered),
                 false => bed.add_gateway(&network, settings, host, "east", east, west),
             }
         }
-        bed.world.run_for(SETTLED);
+        bed.world.run_for(SETTLING_TIME);
         bed
     }
 
@@ -259,7 +260,7 @@
         others: u8,
     ) {
         let process = self.world.process();
-        let context = settings.own.context(process.context());
+        let context = settings.overrides.context(process.context());
         let (transport, handlers) = join(network, &process, host, place);
         let transport = Rc::new(transport);
         let vm = VmName::try_from(format!("vm-{host}")).expect("a name");
@@ -280,8 +281,8 @@
             homes: settings.homes.iter().map(|home| (*home).to_owned()).collect(),
             is_public: settings.is_public,
             workspaces: settings.workspaces,
-            max_attempts: settings.own.max_attempts,
-            plain_prefix: settings.own.plain_prefix,
+            max_attempts: settings.overrides.max_attempts,
+            plain_prefix: settings.overrides.plain_prefix,
         };
         let events = Rc::clone(&self.events) as Rc<dyn EventSink>;
         let crashes = new_ledger(&context, &events);
@@ -299,9 +300,9 @@
         fleet.start();
         fleet.set_phase(GatewayPhase::Ready);
         let dispatcher = new_dispatcher(&context, vm, place, (own, others), settings);
-        settings.own.tell_total(&dispatcher);
+        settings.overrides.announce_gateway_total(&dispatcher);
         let backends = ScriptedBackends::new(&context);
-        let client = settings.own.client(host, &context);
+        let client = settings.overrides.client(host, &context);
         let notices: Rc<RecordedNotices> = Rc::default();
         let proxy = Proxy::new(ProxyParts {
             context,
@@ -329,21 +330,20 @@
         });
     }
 
-    /// Starts the control process again, with nothing that it knew.
+    /// Restarts the control process without its data.
     pub(crate) fn restart_control(&mut self) {
         self.control.kill();
         self.control = self.world.process();
-        self.control_crashes =
+        self.control_crash_ledger =
             start_control(&self.network, &self.control, &self.source, &self.events, Duration::ZERO);
     }
 
-    /// Has the control process take up another version of the configuration.
+    /// Switches the control process to another version of the configuration.
     pub(crate) fn configure(&self, version: u64) {
         self.source.version.set(version);
     }
 
-    /// Has the control process say that its configuration was last known to be the newest so long
-    /// ago.
+    /// Sets how long ago the configuration was last confirmed as the newest.
     pub(crate) fn set_confirmed_ago(&self, ago: Option<Duration>) {
         self.source.confirmed_ago.set(ago);
     }
@@ -353,54 +353,54 @@
         self.control.kill();
     }
 
-    /// The process of a gateway, by the order in which it was added.
+    /// Returns the process of a gateway by its index in the order of creation.
     pub(crate) fn process(&self, gateway: usize) -> &FakeProcess {
         &self.gateways[gateway].process
     }
 
-    /// What the control process knows of requests that end backend servers.
-    pub(crate) fn control_crashes(&self) -> &CrashLedger {
-        &self.control_crashes
+    /// Returns the control process's ledger of requests that end backend servers.
+    pub(crate) fn control_crash_ledger(&self) -> &CrashLedger {
+        &self.control_crash_ledger
     }
 
-    /// The notices that a gateway has sent, by the order in which it was added.
+    /// Returns the notices that a gateway has sent.
     pub(crate) fn notices(&self, gateway: usize) -> Vec<SentNotice> {
         self.gateways[gateway].notices.0.borrow().clone()
     }
 
-    /// Runs the world, and delivers the notices that gateways send.
+    /// Runs the simulated world, and delivers the notices that gateways send.
     pub(crate) fn run_with_notices(&self, duration: Duration) {
         let end = self.world.now() + duration;
         while self.world.now() < end {
-            self.world.run_for(DELIVERY);
+            self.world.run_for(NOTICE_DELIVERY_INTERVAL);
             for index in 0..self.gateways.len() {
                 let notices = self.notices(index);
                 let from = self.gateways[index].delivered.replace(notices.len());
                 for (to, body) in &notices[from..] {
                     let hosts =
                         (0..self.gateways.len()).filter(|i| to.contains(&gateway_address(*i)));
-                    hosts.for_each(|host| self.tell(host, body));
+                    hosts.for_each(|host| self.deliver_notice(host, body));
                 }
             }
         }
     }
 
-    /// Hands a notice to a gateway.
-    pub(crate) fn tell(&self, gateway: usize, body: &[u8]) {
+    /// Delivers a notice to a gateway.
+    pub(crate) fn deliver_notice(&self, gateway: usize, body: &[u8]) {
         self.gateways[gateway].proxy.handle_notice(body);
     }
 
-    /// The backend servers of the first (0) or second (1) region.
+    /// Returns the backend servers of the first (0) or second (1) region.
     pub(crate) fn backends(&self, region: usize) -> &Rc<ScriptedBackends> {
         &self.gateways[region].backends
     }
 
-    /// What the backend servers of a region will do, in the order of arrival.
-    pub(crate) fn script(&self, region: usize, deeds: &[Deed]) {
-        self.backends(region).deeds.borrow_mut().extend(deeds.iter().cloned());
+    /// Appends actions of the backend servers of a region, in the order of arrival.
+    pub(crate) fn script(&self, region: usize, actions: &[BackendAction]) {
+        self.backends(region).actions.borrow_mut().extend(actions.iter().cloned());
     }
 
-    pub(crate) fn call(&self) -> CallerRequest {
+    pub(crate) fn request(&self) -> CallerRequest {
         CallerRequest {
             id: CallerRequestId::try_from("call-1").expect("an id"),
             key: None,
@@ -418,66 +418,66 @@
         }
     }
 
-    /// The clock of all gateways.
+    /// Returns the clock of all gateways.
     pub(crate) fn clock(&self) -> Rc<dyn Clock> {
         Rc::clone(&self.control.context().clock)
     }
 
-    /// The proxy of the first region.
+    /// Returns the proxy of the first region.
     pub(crate) fn proxy(&self) -> &Proxy {
         &self.gateways[0].proxy
     }
 
-    /// Serves a call at the first region: status, whole body, and whether the body broke off.
-    pub(crate) fn serve(&self, call: CallerRequest) -> Served {
-        self.world.run_until(take(self.proxy(), call))
+    /// Serves a request at the first region.
+    pub(crate) fn serve(&self, request: CallerRequest) -> CallerResponse {
+        self.world.run_until(fetch(self.proxy(), request))
     }
 
-    /// Serves so many calls at a gateway at the same time.
-    pub(crate) fn serve_together(&self, gateway: usize, count: usize) -> Vec<Served> {
-        let calls = (0..count).map(|_| take(self.gateway(gateway), self.call()));
-        self.world.run_until(join_all(calls))
+    /// Serves `count` requests at a gateway concurrently.
+    pub(crate) fn serve_concurrently(&self, gateway: usize, count: usize) -> Vec<CallerResponse> {
+        let requests = (0..count).map(|_| fetch(self.gateway(gateway), self.request()));
+        self.world.run_until(join_all(requests))
     }
 
-    /// The proxy of the second region.
+    /// Returns the proxy of the second region.
     pub(crate) fn other_proxy(&self) -> &Proxy {
         self.gateway(1)
     }
 
-    /// The proxy of a gateway, by the order in which it was added.
+    /// Returns the proxy of a gateway by its index in the order of creation.
     pub(crate) fn gateway(&self, index: usize) -> &Proxy {
         &self.gateways[index].proxy
     }
 }
 
-/// What a caller gets of `proxy`.
-pub(crate) async fn take(proxy: &Proxy, call: CallerRequest) -> Served {
-    let response = proxy.serve(call).await;
+/// Serves a request by `proxy` and reads the response.
+pub(crate) async fn fetch(proxy: &Proxy, request: CallerRequest) -> CallerResponse {
+    let response = proxy.serve(request).await;
     let (head, body) = response.into_parts();
     let mut bytes = Vec::new();
-    let mut is_broken = false;
+    let mut is_incomplete = false;
     match body {
         ReplyBody::Full(whole) => bytes.extend_from_slice(&whole),
         ReplyBody::Stream(mut stream) => {
             while let Some(piece) = stream.next().await {
                 match piece {
                     Ok(piece) => bytes.extend_from_slice(&piece),
-                    Err(_) => is_broken = true,
+                    Err(_) => is_incomplete = true,
                 }
             }
         }
     }
     let body = String::from_utf8_lossy(&bytes).into_owned();
-    Served { status: head.status.as_u16(), headers: head.headers, body, is_broken }
+    CallerResponse { status: head.status.as_u16(), headers: head.headers, body, is_incomplete }
 }
 
-/// What a caller got.
+/// The response that a caller got.
 #[derive(Debug)]
-pub(crate) struct Served {
+pub(crate) struct CallerResponse {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: String,
-    pub(crate) is_broken: bool,
+    pub(crate) is_incomplete: bool,
 }
 
 fn new_ledger(context: &ProcessContext, events: &Rc<dyn EventSink>) -> Rc<CrashLedger> {
--- a/crates/proxy/tests/support/own_parts.rs
+++ b/crates/proxy/tests/support/overrides.rs
@@ -1,4 +1,4 @@
-//! What a test puts in place of parts of the bed: its own backend servers, network and gateways.
+//! Parts of the test bed that a test replaces: backend servers, network and gateways.
 
 use {
     gullglade_http::HttpClient,
@@ -8,26 +8,26 @@
     std::{cell::Cell, ops::Range, rc::Rc, time::Duration},
 };
 
-/// Makes what a gateway reaches its backend servers with; gateways are counted as they are added.
-pub(crate) type ClientMaker = Rc<dyn Fn(usize, &ProcessContext) -> Rc<dyn HttpClient>>;
+/// Creates the backend client of a gateway, given the gateway's index in the order of creation.
+pub(crate) type ClientFactory = Rc<dyn Fn(usize, &ProcessContext) -> Rc<dyn HttpClient>>;
 
-/// A test's own parts of a bed.
-pub(crate) struct OwnParts {
+/// Replaced parts of a test bed.
+pub(crate) struct Overrides {
     pub(crate) seed: u64,
-    /// Decides for each message between processes, in place of the bed's link.
+    /// Delivery policy for messages between processes, instead of the link of the test bed.
     pub(crate) policy: Option<Rc<dyn FakePolicy>>,
-    pub(crate) clients: Option<ClientMaker>,
-    /// The gateways of both regions, where there are more than the bed has by itself: the first
-    /// one is in the first region, the next one in the second, and so on.
+    pub(crate) clients: Option<ClientFactory>,
+    /// Total number of gateways, if more than the test bed has by default; they belong to the first
+    /// and second region alternately.
     pub(crate) gateways: usize,
     pub(crate) max_attempts: u32,
-    /// Where a second route begins, of idempotent requests.
+    /// Path prefix of a second route with idempotent requests.
     pub(crate) plain_prefix: Option<&'static str>,
-    /// Whether time passes while a gateway works, as on a real machine.
-    pub(crate) has_running_clock: bool,
+    /// Whether the clock advances while a gateway works, as on a real machine.
+    pub(crate) has_advancing_clock: bool,
 }
 
-impl Default for OwnParts {
+impl Default for Overrides {
     fn default() -> Self {
         Self {
             seed: 1,
@@ -36,21 +36,21 @@
             gateways: 0,
             max_attempts: 2,
             plain_prefix: None,
-            has_running_clock: false,
+            has_advancing_clock: false,
         }
     }
 }
 
-/// A clock that moves on a microsecond with each look.
-struct LookedClock {
+/// A clock that advances by a microsecond with each read.
+struct AdvancingClock {
     inner: Rc<dyn Clock>,
-    looks: Cell<u64>,
+    reads: Cell<u64>,
 }
 
-impl Clock for LookedClock {
+impl Clock for AdvancingClock {
     fn now(&self) -> MonotonicTime {
-        self.looks.set(self.looks.get() + 1);
-        self.inner.now() + Duration::from_micros(self.looks.get())
+        self.reads.set(self.reads.get() + 1);
+        self.inner.now() + Duration::from_micros(self.reads.get())
     }
 
     fn wall(&self) -> WallMillis {
@@ -62,13 +62,13 @@
     }
 }
 
-impl OwnParts {
-    /// What a gateway runs on.
+impl Overrides {
+    /// Returns the process context of a gateway.
     pub(super) fn context(&self, context: &ProcessContext) -> ProcessContext {
         let mut context = context.clone();
-        if self.has_running_clock {
+        if self.has_advancing_clock {
             let inner = Rc::clone(&context.clock);
-            context.clock = Rc::new(LookedClock { inner, looks: Cell::default() });
+            context.clock = Rc::new(AdvancingClock { inner, reads: Cell::default() });
         }
         context
     }
@@ -77,8 +77,8 @@
         self.policy.clone().unwrap_or_else(|| Rc::clone(link) as _)
     }
 
-    /// The hosts of the gateways that are still to be added to `present` ones.
-    pub(super) fn more_hosts(&self, present: usize) -> Range<u8> {
+    /// Returns the hosts of the gateways to be added to the `present` ones.
+    pub(super) fn additional_hosts(&self, present: usize) -> Range<u8> {
         let host = |index: usize| u8::try_from(index + 2).expect("few gateways");
         host(present)..host(self.gateways.max(present))
     }
@@ -91,8 +91,8 @@
         self.clients.as_ref().map(|make| make(usize::from(host) - 2, context))
     }
 
-    /// Tells a gateway how many share common limits with it.
-    pub(super) fn tell_total(&self, dispatcher: &Rc<Dispatcher>) {
+    /// Sets the number of gateways that share common limits.
+    pub(super) fn announce_gateway_total(&self, dispatcher: &Rc<Dispatcher>) {
         if self.gateways > 0 {
             dispatcher
                 .update_scheduler(|scheduler, now| scheduler.set_gateway_total(self.gateways, now));
--- a/crates/proxy/tests/support/servers.rs
+++ b/crates/proxy/tests/support/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers that answer by script, and how they are spoken to.
+//! Backend servers with scripted responses, and their dialect.
 
 use {
     bytes::Bytes,
@@ -17,38 +17,38 @@
     },
 };
 
-/// What a backend server does with one request.
+/// Action of a backend server on one request.
 #[derive(Clone, Debug)]
-pub(crate) enum Deed {
+pub(crate) enum BackendAction {
     /// Refuses the connection.
     Unreachable,
     /// Closes the connection after the request was sent.
     Close,
-    /// Says nothing.
+    /// Sends nothing.
     Hang,
-    /// Says nothing, and closes the connection after a while.
+    /// Sends nothing, and closes the connection after this time.
     HangUp(Duration),
-    /// Answers, after a while.
-    Answer(Script),
-    /// Takes so long to accept the connection, and answers then.
-    Accept(Duration, Script),
+    /// Sends a response.
+    Answer(ScriptedResponse),
+    /// Accepts the connection after this time, and sends a response.
+    Accept(Duration, ScriptedResponse),
 }
 
-/// An answer.
+/// A scripted response.
 #[derive(Clone, Debug)]
-pub(crate) struct Script {
+pub(crate) struct ScriptedResponse {
     pub(crate) after: Duration,
     pub(crate) status: u16,
     pub(crate) headers: Vec<(&'static str, String)>,
-    /// Pieces of the body, a millisecond apart.
+    /// Chunks of the body, a millisecond apart.
     pub(crate) pieces: Vec<&'static str>,
-    /// A pause before the piece of that place, in place of the millisecond.
+    /// Index of a chunk and the pause before it, instead of the millisecond.
     pub(crate) pause: Option<(usize, Duration)>,
-    pub(crate) is_broken: bool,
+    pub(crate) is_incomplete: bool,
 }
 
-impl Script {
-    /// A signed answer to the request `call`.
+impl ScriptedResponse {
+    /// A signed response to the request `call-1`.
     pub(crate) fn signed(status: u16, pieces: &[&'static str]) -> Self {
         Self {
             after: Duration::from_millis(5),
@@ -56,7 +56,7 @@
             headers: vec![("id", "call-1".to_owned()), ("signed", "yes".to_owned())],
             pieces: pieces.to_vec(),
             pause: None,
-            is_broken: false,
+            is_incomplete: false,
         }
     }
 
@@ -71,20 +71,20 @@
         self
     }
 
-    /// Nothing comes for so long before the piece of that place.
+    /// Adds a pause before the chunk at index `at`.
     pub(crate) fn paused(mut self, at: usize, pause: Duration) -> Self {
         self.pause = Some((at, pause));
         self
     }
 
-    /// The head comes after so long.
+    /// Sets the time until the head is sent.
     pub(crate) fn after(mut self, after: Duration) -> Self {
         self.after = after;
         self
     }
 
-    pub(crate) fn broken(mut self) -> Self {
-        self.is_broken = true;
+    pub(crate) fn incomplete(mut self) -> Self {
+        self.is_incomplete = true;
         self
     }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// A request as a backend server got it.
+/// A request as received by a backend server.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: MonotonicTime,
@@ -103,35 +103,35 @@
     pub(crate) body: Bytes,
 }
 
-/// Backend servers that do what they are told, in the order of arrival.
+/// Backend servers that perform scripted actions in the order of arrival.
 pub(crate) struct ScriptedBackends {
     context: ProcessContext,
-    pub(crate) deeds: RefCell<VecDeque<Deed>>,
+    pub(crate) actions: RefCell<VecDeque<BackendAction>>,
     pub(crate) arrivals: RefCell<Vec<Arrival>>,
-    /// Requests whose answer was dropped before its end.
+    /// Number of requests whose response was dropped before its end.
     pub(crate) cancelled: Rc<Cell<usize>>,
-    /// When that was.
+    /// Times of these cancellations.
     pub(crate) cancelled_at: Rc<RefCell<Vec<MonotonicTime>>>,
 }
 
-/// Counts what is dropped before it is over.
-struct DropCount {
-    is_over: bool,
+/// Counts requests that are dropped before their end.
+struct CancellationCounter {
+    is_finished: bool,
     count: Rc<Cell<usize>>,
     times: Rc<RefCell<Vec<MonotonicTime>>>,
     clock: Rc<dyn Clock>,
 }
 
-impl DropCount {
-    /// It is over; its drop counts nothing.
+impl CancellationCounter {
+    /// Marks the request as finished, so that its drop is not counted.
     fn finish(mut self) {
-        self.is_over = true;
+        self.is_finished = true;
     }
 }
 
-impl Drop for DropCount {
+impl Drop for CancellationCounter {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             self.count.set(self.count.get() + 1);
             self.times.borrow_mut().push(self.clock.now());
         }
@@ -139,20 +139,20 @@
 }
 
 impl ScriptedBackends {
-    /// Backend servers that have been told nothing yet.
+    /// Creates backend servers without scripted actions.
     pub(super) fn new(context: &ProcessContext) -> Rc<Self> {
         Rc::new(Self {
             context: context.clone(),
-            deeds: RefCell::default(),
+            actions: RefCell::default(),
             arrivals: RefCell::default(),
             cancelled: Rc::default(),
             cancelled_at: Rc::default(),
         })
     }
 
-    /// Drops the deeds that no request came for.
-    pub(crate) fn forget_deeds(&self) {
-        self.deeds.borrow_mut().clear();
+    /// Discards the actions that no request has used.
+    pub(crate) fn clear_actions(&self) {
+        self.actions.borrow_mut().clear();
     }
 
     async fn act(
@@ -160,11 +160,11 @@
         address: SocketAddr,
         request: Request<Bytes>,
     ) -> Result<ClientReply, ClientError> {
-        let deed = self.deeds.borrow_mut().pop_front().expect("a deed for each request");
-        if matches!(deed, Deed::Unreachable) {
+        let action = self.actions.borrow_mut().pop_front().expect("a deed for each request");
+        if matches!(action, BackendAction::Unreachable) {
             return Err(ClientError::Connect { address, reason: "refused".to_owned() });
         }
-        if let Deed::Accept(after, _) = &deed {
+        if let BackendAction::Accept(after, _) = &action {
             self.context.clock.sleep(*after).await;
         }
         if request.extensions().get::<SendPermit>().is_some_and(|permit| !permit.begin()) {
@@ -175,25 +175,25 @@
         let (at, headers) = (self.context.clock.now(), head.headers);
         self.arrivals.borrow_mut().push(Arrival { at, address, headers, target, body });
         let clock = Rc::clone(&self.context.clock);
-        let guard = DropCount {
-            is_over: false,
+        let guard = CancellationCounter {
+            is_finished: false,
             count: Rc::clone(&self.cancelled),
             times: Rc::clone(&self.cancelled_at),
             clock: Rc::clone(&clock),
         };
-        let script = match deed {
-            Deed::Hang => std::future::pending().await,
-            Deed::HangUp(after) => {
+        let script = match action {
+            BackendAction::Hang => std::future::pending().await,
+            BackendAction::HangUp(after) => {
                 clock.sleep(after).await;
                 guard.finish();
                 return Err(ClientError::Sent { address, reason: "closed".to_owned() });
             }
-            Deed::Close => {
+            BackendAction::Close => {
                 guard.finish();
                 return Err(ClientError::Sent { address, reason: "closed".to_owned() });
             }
-            Deed::Unreachable => unreachable!("handled above"),
-            Deed::Answer(script) | Deed::Accept(_, script) => script,
+            BackendAction::Unreachable => unreachable!("handled above"),
+            BackendAction::Answer(script) | BackendAction::Accept(_, script) => script,
         };
         clock.sleep(script.after).await;
         let mut response = Response::new(());
@@ -205,7 +205,7 @@
         }
         let mut pieces: Vec<Result<Bytes, BodyError>> =
             script.pieces.iter().map(|piece| Ok(Bytes::from_static(piece.as_bytes()))).collect();
-        if script.is_broken {
+        if script.is_incomplete {
             pieces.push(Err(BodyError::Incomplete { reason: "reset".to_owned() }));
         }
         let state = (pieces.into_iter().enumerate(), guard, clock);
@@ -236,7 +236,7 @@
     }
 }
 
-/// Headers with plain names.
+/// A dialect with plain header names.
 pub(super) struct PlainDialect;
 
 impl BackendDialect for PlainDialect {
