--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -36,14 +36,14 @@
     pub(crate) request: Rc<CallerRequest>,
     pub(crate) backend: BackendName,
     pub(crate) address: SocketAddr,
-    /// Time until nobody waits for the response any more.
+    /// Remaining time to the deadline of the request.
     pub(crate) left: Duration,
     pub(crate) priority: u8,
     pub(crate) workspace: Option<Rc<TrafficWorkspace>>,
     pub(crate) resume_after: Option<u64>,
     /// Engine that holds the shared parts of the prompt.
     pub(crate) copy_from: Option<SocketAddr>,
-    /// Whether the request must run at most once.
+    /// True if the request must run at most once.
     pub(crate) is_non_repeatable: bool,
 }
 
@@ -147,7 +147,7 @@
         }))
     }
 
-    /// Returns whether the response belongs to this request. A backend server may send a late
+    /// Returns `true` if the response belongs to this request. A backend server may send a late
     /// response to another request in its place, which must not reach the caller.
     fn is_reply_to(
         &self,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Returns whether callers take this status as a guarantee that the request did not run.
+/// Returns `true` if callers take this status as a guarantee that the request did not run.
 pub(crate) fn implies_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -13,7 +13,7 @@
 pub struct RequestMetadata<'a> {
     /// The backend server instance that is addressed; any other instance must refuse the request.
     pub backend: &'a BackendName,
-    /// Time until nobody waits for the response any more.
+    /// Remaining time to the deadline of the request.
     pub left: Duration,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
@@ -47,14 +47,15 @@
     /// Reads the head of a response.
     fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Returns whether the response header `name` is read by this dialect or known to be
+    /// Returns `true` if the response header `name` is read by this dialect or known to be
     /// irrelevant.
     fn recognizes_header(&self, name: &HeaderName) -> bool;
 
     /// Returns the value of the `retry-after` header for callers.
     fn retry_after(&self, wait: Duration) -> HeaderValue;
 
-    /// Returns whether `repeated`, the id in a backend server's response, denotes the request `id`.
+    /// Returns `true` if `repeated`, the id in a backend server's response, denotes the request
+    /// `id`.
     fn is_same_id(&self, id: &CallerRequestId, repeated: &str) -> bool {
         id.as_str() == repeated
     }
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns whether sending the request to its place has begun.
+    /// Returns `true` if sending the request to its place has begun.
     pub(crate) fn has_begun(&self, ticket: TicketId) -> bool {
         self.permits.borrow().get(&ticket).is_some_and(|(permit, _)| permit.has_begun())
     }
@@ -214,7 +214,7 @@
         changes
     }
 
-    /// Returns whether the place may still be used.
+    /// Returns `true` if the place may still be used.
     pub(crate) fn may_be_used(&self) -> bool {
         self.dispatcher.with_scheduler(|scheduler, now| scheduler.may_use_place(self.ticket, now))
     }
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -44,7 +44,7 @@
     total_limit: WaitLimit,
     /// Limit that ended the last wait for a run.
     limit: Option<WaitLimit>,
-    /// Whether the backend server was at work when its run was abandoned for another one; `None`
+    /// True if the backend server was at work when its run was abandoned for another one; `None`
     /// once output has come since.
     replaced_at_work: Option<bool>,
     /// Last decision of the retry budget.
@@ -250,8 +250,8 @@
         self.events.emit(event.optional("after", after));
     }
 
-    /// Logs and counts a stream that ended before its last event. `is_at_work` is whether the
-    /// backend server of its run has responded to any request lately, if known.
+    /// Logs and counts a stream that ended before its last event. `is_at_work` is true if the
+    /// backend server of its run has responded to any request lately; `None` if unknown.
     pub(crate) fn record_broke_off(
         &mut self,
         reason: UnknownReason,
--- a/crates/proxy/src/execution.rs
+++ b/crates/proxy/src/execution.rs
@@ -1,4 +1,4 @@
-//! Execution of one request: it is placed, sent, and sent again where that is safe.
+//! Execution of one request: placement, sends and safe retries.
 
 mod placement;
 mod retries;
@@ -63,7 +63,7 @@
     sends: SendTracker,
     /// The next attempt, if its place is already secured.
     secured: Option<SecuredRun>,
-    /// Whether a run was abandoned for another one that has not begun yet.
+    /// True if a run was abandoned for another one that has not begun yet.
     must_replace_run: bool,
     /// Id of the last event that the caller has received.
     pub(crate) last_event: Option<u64>,
@@ -79,7 +79,7 @@
     /// Time left for the request.
     left: Duration,
     total_limit: WaitLimit,
-    /// Whether the request came from a caller, not from another gateway.
+    /// True if the request came from a caller, not from another gateway.
     is_from_caller: bool,
 }
 
@@ -91,7 +91,7 @@
     pub(crate) workspace: Option<WorkspaceName>,
     /// Time since the caller sent the request.
     pub(crate) waited: Duration,
-    /// Time until nobody waits for the response any more.
+    /// Remaining time to the deadline of the request.
     pub(crate) left: Duration,
     /// Backend servers that were tried and must not be tried again.
     pub(crate) tried: Vec<BackendName>,
@@ -232,8 +232,8 @@
         self.proxy.context().clock.now()
     }
 
-    /// Returns the time until nobody waits for the response any more, or for its beginning if it
-    /// has not begun.
+    /// Returns the remaining time to the deadline: that of the first event until the response has
+    /// begun, that of the request afterwards.
     pub(crate) fn left(&self) -> Duration {
         self.item.begins_by.since(self.now())
     }
@@ -309,7 +309,7 @@
         Ok(())
     }
 
-    /// Updates whether the charged quota may have been used.
+    /// Notes that the charged quota has not been used, if the request has not run in any attempt.
     fn update_charge(&mut self, outcome: &AttemptOutcome) {
         let has_run = self.ledger.has_run() || !matches!(outcome, AttemptOutcome::NotRun(..));
         if let Some(charge) = self.charge.as_mut().filter(|_| !has_run) {
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Returns whether the response has a status that callers take for "not run" although the
+    /// Returns `true` if the response has a status that callers take for "not run" although the
     /// backend server did not state so. For a non-repeatable request such a response must not be
     /// relayed.
     fn is_misleading_not_run(&self, response: &AttemptResponse) -> bool {
@@ -388,7 +388,7 @@
         }
     }
 
-    /// Decides whether to retry a request that certainly did not run.
+    /// Plans a retry of a request that certainly did not run, if one is allowed.
     ///
     /// # Errors
     ///
@@ -417,7 +417,7 @@
         }
     }
 
-    /// Decides whether to retry a request that may have run.
+    /// Plans a retry of a request that may have run, if one is allowed.
     ///
     /// # Errors
     ///
@@ -431,22 +431,22 @@
         }
     }
 
-    /// Decides whether to retry a request to which a backend server responded with an error.
-    /// Without a retry the caller gets that response.
+    /// Plans a retry of a request to which a backend server responded with an error. Returns
+    /// `false` if there is no retry; the caller then gets that response.
     pub(crate) fn handle_failure(&mut self) -> bool {
         self.ledger.note_ended();
         let error = self.unknown(UnknownReason::Incomplete);
         self.may_run_again() && self.plan_retry(RetryReason::Failed, error).is_ok()
     }
 
-    /// Returns whether another run is allowed, regardless of the retry budget.
+    /// Returns `true` if another run is allowed, regardless of the retry budget.
     pub(crate) fn may_run_again(&self) -> bool {
         let route = &self.item.route;
         route.kind.may_repeat() && self.ledger.next_target().is_some() && !self.left().is_zero()
     }
 
-    /// Returns whether the run in progress may be replaced by another one, regardless of the retry
-    /// budget.
+    /// Returns `true` if the run in progress may be replaced by another one, regardless of the
+    /// retry budget.
     pub(crate) fn may_be_replaced(&self) -> bool {
         let route = &self.item.route;
         route.kind.may_repeat() && self.ledger.may_be_replaced() && !self.left().is_zero()
--- a/crates/proxy/src/execution/retries.rs
+++ b/crates/proxy/src/execution/retries.rs
@@ -38,9 +38,9 @@
         Ok(())
     }
 
-    /// Returns whether to wait for a retry that the budget does not have now: the caller has
-    /// received a part of the response, or a run was abandoned that may still respond, and a retry
-    /// is expected in time.
+    /// Returns `true` if it is worth waiting for a retry that the budget does not have now: the
+    /// caller has received a part of the response, or a run was abandoned that may still respond,
+    /// and a retry is expected in time.
     fn may_await_retry(&self) -> bool {
         let has_begun = self.last_event.is_some() || self.ledger.has_given_up();
         has_begun && self.retry_wait().is_some_and(|wait| wait < self.left())
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns whether the budget of the service has a retry left.
+    /// Returns `true` if the budget of the service has a retry left.
     pub(crate) fn has_retry_left(&mut self, reason: RetryReason) -> bool {
         if self.sends.has_retry() {
             return true;
@@ -98,7 +98,7 @@
         if self.take_from_budget(reason) { Ok(()) } else { Err(fallback) }
     }
 
-    /// Takes a retry from the budget of the service. Returns whether there was one.
+    /// Takes a retry from the budget of the service. Returns `true` if there was one.
     pub(crate) fn take_from_budget(&mut self, reason: RetryReason) -> bool {
         // A granted retry whose send never arrived is still unused.
         if self.sends.has_retry() {
--- a/crates/proxy/src/execution/sending.rs
+++ b/crates/proxy/src/execution/sending.rs
@@ -146,8 +146,7 @@
         }
     }
 
-    /// Returns how long a run may be silent before the head of its response, until another place is
-    /// sought.
+    /// Returns the longest silence before the head of the response until another place is sought.
     fn head_silence_limit(&self, expected_ms: f64) -> Duration {
         let kind = self.item.route.kind;
         let least = if kind.is_stream() { MIN_STREAM_HEAD_DELAY } else { MIN_PLAIN_HEAD_DELAY };
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -88,7 +88,7 @@
     pub(crate) workspace: Option<WorkspaceName>,
     /// Time since the caller sent the request.
     pub(crate) waited: Duration,
-    /// Time until nobody waits for the response any more.
+    /// Remaining time to the deadline of the request.
     pub(crate) left: Duration,
     pub(crate) prompt: Option<PromptShape>,
     pub(crate) resume_after: Option<u64>,
@@ -124,13 +124,13 @@
     /// The backend server has sent nothing for some time.
     Waiting {
         backend: BackendName,
-        /// Whether the backend server has responded to any request lately, or is not overdue yet.
+        /// True if the backend server has responded to any request lately, or is not overdue yet.
         is_at_work: bool,
     },
 }
 
 impl ForwardFrame {
-    /// Returns whether the frame only reports that the request is in progress.
+    /// Returns `true` if the frame only reports that the request is in progress.
     fn is_progress(&self) -> bool {
         matches!(self, Self::Accepted(_) | Self::Queued | Self::Waiting { .. })
     }
@@ -271,13 +271,13 @@
     ) -> AttemptOutcome {
         let ReservedForward { region, gateway, token, stream, .. } = reserved;
         let mut frames = FrameStream { stream, liveness };
-        let (method, body, limit, words) = match times {
+        let (method, body, limit, commands) = match times {
             Some(times) => (LEASE, encode(&(token, times.lease)), times.word_limit, times.words),
             None => (COMMIT, encode(&token), self.accept_timeout(&region), 1),
         };
         let body = Bytes::from(body);
         let command = async {
-            for _ in 0..words {
+            for _ in 0..commands {
                 match send_command(&*self.transport, gateway, method, &body, limit.min(left)).await
                 {
                     CommandOutcome::Acknowledged => {}
@@ -344,7 +344,7 @@
         OpenedForward::NotSent
     }
 
-    /// Returns how long the confirmation of arrival may take.
+    /// Returns the time limit for the confirmation of arrival.
     pub(crate) fn accept_timeout(&self, region: &RegionName) -> Duration {
         MIN_ACCEPT_TIMEOUT.max(self.round_trip(region) * ACCEPT_FACTOR)
     }
--- a/crates/proxy/src/forward_server.rs
+++ b/crates/proxy/src/forward_server.rs
@@ -23,7 +23,8 @@
     std::{pin::pin, rc::Rc, time::Duration},
 };
 
-/// Time for which a place is reserved until it is committed. Nobody else gets it in this time.
+/// Time for which a place is reserved until it is committed. It is given to no other request in
+/// this time.
 const RESERVATION_LIMIT: Duration = Duration::from_secs(1);
 
 /// Interval of reports to the calling gateway on a silent run.
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Waits for `next`, the next output of `run`, and reports to the calling gateway meanwhile
-    /// whether the backend server is at work. The calling gateway decides whether to keep waiting.
+    /// Waits for `next`, the next output of `run`. Meanwhile reports at intervals to the calling
+    /// gateway if the backend server is at work, so that it can decide to keep waiting.
     async fn report_while_waiting<T>(
         &self,
         run: &RunMonitor,
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -74,7 +74,7 @@
 enum NewRunStep {
     /// The attempt ended or a response has begun.
     Ended(AttemptOutcome),
-    /// The overlap is over: whether the new run is known to have begun.
+    /// The overlap is over; true if the new run is known to have begun.
     Settled(bool),
 }
 
@@ -139,7 +139,7 @@
         HandoverOutcome::Replaced
     }
 
-    /// Waits for the end of the overlap. Returns whether the new run takes over by then.
+    /// Waits for the end of the overlap. Returns `true` if the new run takes over by then.
     fn overlap_end(
         &self,
         new: &RunMonitor,
--- a/crates/proxy/src/liveness.rs
+++ b/crates/proxy/src/liveness.rs
@@ -39,8 +39,8 @@
 }
 
 impl RunMonitor {
-    /// Records how long the run has been silent. If its backend server responds to nobody and the
-    /// run is cancelled now, the silence counts against the backend server.
+    /// Records the silence of the run. If its backend server responds to no requests and the run is
+    /// cancelled now, the silence counts against the backend server.
     pub(crate) fn note_silence(&self, silence: Duration) {
         let is_overdue = silence >= self.silence_limit && !self.liveness.is_at_work();
         self.liveness.set_overdue(is_overdue.then_some(silence));
@@ -59,7 +59,7 @@
 }
 
 impl RunLiveness {
-    /// Returns whether the backend server has responded to any request lately.
+    /// Returns `true` if the backend server has responded to any request lately.
     pub(crate) fn is_at_work(&self) -> bool {
         match self {
             Self::Local(liveness) => liveness.is_at_work(),
@@ -88,7 +88,7 @@
 }
 
 impl LocalLiveness {
-    /// Returns whether sending the request has begun.
+    /// Returns `true` if sending the request has begun.
     pub(crate) fn has_begun(&self) -> bool {
         self.dispatcher.has_begun(self.ticket)
     }
@@ -101,7 +101,7 @@
 /// Liveness of a run in another region, as reported by the gateway there.
 pub(crate) struct RemoteLiveness {
     clock: Rc<dyn Clock>,
-    /// Time of the last report, and whether the run was at work according to it.
+    /// Time of the last report, and the state that it contained: true if the run was at work.
     last_report: Cell<Option<(MonotonicTime, bool)>>,
     backend: RefCell<Option<BackendName>>,
 }
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -47,12 +47,12 @@
 }
 
 impl NotRunReason {
-    /// Returns whether a backend server received the request and rejected it.
+    /// Returns `true` if a backend server received the request and rejected it.
     pub(crate) fn reached_backend(self) -> bool {
         matches!(self, Self::Shed | Self::Misdirected)
     }
 
-    /// Returns whether the same backend server or region may accept the request later.
+    /// Returns `true` if the same backend server or region may accept the request later.
     pub(crate) fn is_transient(self) -> bool {
         matches!(self, Self::Revoked | Self::Shed | Self::RefusedAway)
     }
@@ -263,8 +263,8 @@
                 (ApiError::new(StatusCode::NOT_FOUND, "no_route", message), None)
             }
             Self::NoAccess(AccessDenial::NoContact) => {
-                let message = "this gateway cannot check keys without contact to a control process, \
-                               and did not run the request; use another gateway";
+                let message = "this gateway cannot check keys without contact to a control \
+                               process, and did not run the request; use another gateway";
                 (unavailable("no_contact", message.to_owned()), Some(START_RETRY_AFTER))
             }
             Self::NoAccess(AccessDenial::NoKey | AccessDenial::UnknownKey) => {
@@ -310,8 +310,8 @@
                 (error.run(RunState::Run), Some(left))
             }
             Self::TimedOut => {
-                let message = "no response within the route's timeout or the caller's deadline; the \
-                               request may have run, so repeat it only if it is idempotent";
+                let message = "no response within the route's timeout or the caller's deadline; \
+                               the request may have run, so repeat it only if it is idempotent";
                 let error = ApiError::new(StatusCode::GATEWAY_TIMEOUT, "timeout", message);
                 (error.run(RunState::Unknown), None)
             }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -224,7 +224,7 @@
         self.shared.cutoff.set(Some(time));
     }
 
-    /// Returns whether a request that may take `left` can end by itself before the cutoff.
+    /// Returns `true` if a request that may take `left` can end by itself before the cutoff.
     pub(crate) fn has_time_for(&self, left: Duration) -> bool {
         let now = self.context().clock.now();
         self.shared.cutoff.get().is_none_or(|cut| left <= cut.since(now))
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -186,7 +186,7 @@
         self.targets.replace(ReportTargets { peers, regions: region_targets });
     }
 
-    /// Returns whether this gateway is one of those that report to other regions, selected by
+    /// Returns `true` if this gateway is one of those that report to other regions, selected by
     /// rendezvous hashing.
     fn reports_to_regions(&self, gateways: &[GatewayRow]) -> bool {
         let own = self.parts.fleet.profile();
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -319,7 +319,7 @@
 }
 
 impl EventBatch {
-    /// Returns whether the events continue after `last`: in order and without duplicates.
+    /// Returns `true` if the events continue after `last`: in order and without duplicates.
     fn follows(&self, last: Option<u64>) -> bool {
         match (self.first, last) {
             (Some(first), Some(last)) => first > last,
@@ -353,7 +353,8 @@
     body: Option<ResponseBody>,
     buffer: BytesMut,
     monitor: RunMonitor,
-    /// Whether the backend server was at work when the run was cancelled, if known.
+    /// State of the backend server when the run was cancelled: true if it was at work; `None` if
+    /// unknown.
     was_at_work: Option<bool>,
 }
 
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -22,7 +22,7 @@
 }
 
 impl AttemptResponse {
-    /// Returns whether the backend server reports an error of its own.
+    /// Returns `true` if the backend server reports an error of its own.
     pub(crate) fn is_failure(&self) -> bool {
         self.status.is_server_error()
     }
--- a/crates/proxy/src/search.rs
+++ b/crates/proxy/src/search.rs
@@ -26,7 +26,7 @@
 }
 
 impl FoundPlace {
-    /// Returns whether the place may still be used, as far as this gateway knows.
+    /// Returns `true` if the place may still be used, as far as this gateway knows.
     pub(crate) fn may_be_used(&self) -> bool {
         match self {
             Self::Local(placed) => placed.ticket.may_be_used(),
--- a/crates/proxy/src/send_monitor.rs
+++ b/crates/proxy/src/send_monitor.rs
@@ -47,8 +47,8 @@
                 let answer = score(self.fingerprint.request().id.as_str(), "answer");
                 self.crashes.note_answer(self.fingerprint.get(), answer);
             }
-            // The caller left, the request did not run, or nothing came: none of these tells
-            // anything about the request.
+            // The caller left, the request did not run, or nothing came: no evidence about the
+            // request.
             _ => {}
         }
     }
--- a/crates/proxy/src/send_tracker.rs
+++ b/crates/proxy/src/send_tracker.rs
@@ -84,7 +84,7 @@
 }
 
 impl SendTracker {
-    /// Returns whether a granted retry is unused.
+    /// Returns `true` if a granted retry is unused.
     pub(crate) fn has_retry(&self) -> bool {
         self.0.retry.borrow().is_some()
     }
--- a/crates/proxy/tests/backoff.rs
+++ b/crates/proxy/tests/backoff.rs
@@ -114,8 +114,7 @@
     }
 }
 
-/// Guards against statements of backend servers that are relayed to callers but not noticed by
-/// anybody.
+/// Guards against statements of backend servers that are relayed to callers and go unnoticed.
 #[test]
 fn unread_rejection_header_is_logged_once() {
     let bed = TestBed::new(&BedSettings::of(RequestKind::AtMostOnce));
--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -107,7 +107,7 @@
     arrivals.into_iter().map(|arrival| arrival.at).collect()
 }
 
-/// Returns how many of `times` are in the window that ends `ago` before `end`.
+/// Returns the number of `times` in the window that ends `ago` before `end`.
 fn count_within_window(times: &[MonotonicTime], end: MonotonicTime, ago: Duration) -> usize {
     let age = |at: &MonotonicTime| end.0.saturating_sub(ago).checked_sub(at.0);
     times.iter().filter(|at| age(at).is_some_and(|age| age < BUDGET_WINDOW)).count()
@@ -215,7 +215,7 @@
         kind: RequestKind,
         caller_timeout: Duration,
         lost: BackendAction,
-        /// Whether the response is complete; it ends at once otherwise.
+        /// True if the response is complete; it ends at once otherwise.
         is_whole: bool,
     }
     const STREAM: RequestKind = RequestKind::Stream { resumable: true };
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -141,7 +141,7 @@
 
 #[test]
 fn remote_run_ends_without_commit() {
-    // Guards against runs that continue for nobody after a link broke during a handover.
+    // Guards against runs that continue without a caller after a link broke during a handover.
     for cut_after in [1_375, 1_400, 1_425] {
         let bed = TestBed::new(&settings(RESUMABLE, (1, 1)));
         let silent = ScriptedResponse::events(&[FIRST, REST]).paused(1, LONG_PAUSE);
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -55,7 +55,7 @@
     BackendAction::Answer(ScriptedResponse::signed(200, &["done"]))
 }
 
-/// Returns how many of `count` requests are served.
+/// Returns the number of served requests out of `count`.
 fn count_served(bed: &TestBed, count: usize, workspace: &str, action: &BackendAction) -> usize {
     (0..count).filter(|_| serve(bed, 0, workspace, action).status == 200).count()
 }
--- a/crates/proxy/tests/silence.rs
+++ b/crates/proxy/tests/silence.rs
@@ -31,7 +31,7 @@
     settings: BedSettings,
     /// Actions of backend servers before the run that goes silent.
     before: Vec<BackendAction>,
-    /// Whether the run is in the second region.
+    /// True if the run is in the second region.
     is_remote: bool,
 }
 
--- a/crates/proxy/tests/simulation/engines.rs
+++ b/crates/proxy/tests/simulation/engines.rs
@@ -95,7 +95,7 @@
     pub(crate) after: u64,
     /// Number of events sent.
     pub(crate) made: u64,
-    /// Whether the run is silent for a second or more at some time.
+    /// True if the run is silent for a second or more at some time.
     pub(crate) is_silent: bool,
 }
 
@@ -223,7 +223,7 @@
         self.pieces.front().map(|(time, _)| *time).or(end)
     }
 
-    /// Returns whether the run pauses for a second or more.
+    /// Returns `true` if the run pauses for a second or more.
     fn is_silent(&self, begin: MonotonicTime) -> bool {
         let mut last = begin;
         let end = match self.end {
--- a/crates/proxy/tests/simulation/links.rs
+++ b/crates/proxy/tests/simulation/links.rs
@@ -46,7 +46,7 @@
 }
 
 impl SimulatedLinks {
-    /// Returns whether a message between two gateways was lost shortly before `time`.
+    /// Returns `true` if a message between two gateways was lost shortly before `time`.
     pub(crate) fn has_loss_before(&self, time: MonotonicTime, pair: (usize, usize)) -> bool {
         const LOSS_EFFECT_TIME: Duration = Duration::from_millis(3_700);
         let (a, b) = (pair.0.min(pair.1), pair.0.max(pair.1));
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Returns whether a message from or to a gateway was lost during `time`.
+    /// Returns `true` if a message from or to a gateway was lost during `time`.
     pub(crate) fn has_loss_during(&self, time: Window, gateway: usize) -> bool {
         let is_there =
             |(at, a, b): &(_, usize, usize)| time.contains(at) && [*a, *b].contains(&gateway);
--- a/crates/proxy/tests/simulation/oracle.rs
+++ b/crates/proxy/tests/simulation/oracle.rs
@@ -307,7 +307,7 @@
     format!("status {} {how} at {:?}", outcome.status, outcome.done)
 }
 
-/// Returns how many of `times` are in the window that ends `ago` before `end`.
+/// Returns the number of `times` in the window that ends `ago` before `end`.
 fn count_within_window(times: &[MonotonicTime], end: MonotonicTime, ago: Duration) -> usize {
     let age = |at: &MonotonicTime| end.0.saturating_sub(ago).checked_sub(at.0);
     times.iter().filter(|at| age(at).is_some_and(|age| age < BUDGET_WINDOW)).count()
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -90,11 +90,11 @@
     pub(crate) offered: Option<u8>,
     /// Constant part of the retry budget of all gateways together.
     pub(crate) repeat_slack: f64,
-    /// Whether the first region has a second gateway.
+    /// True if the first region has a second gateway.
     pub(crate) has_neighbour: bool,
     /// Time after the beginning of the test at which the control process starts.
     pub(crate) control_after: Duration,
-    /// Whether requests need no key.
+    /// True if requests need no key.
     pub(crate) is_public: bool,
     /// Workspaces of each configuration version.
     pub(crate) workspaces: fn(u64) -> Vec<RawWorkspace>,
--- a/crates/proxy/tests/support/overrides.rs
+++ b/crates/proxy/tests/support/overrides.rs
@@ -23,7 +23,7 @@
     pub(crate) max_attempts: u32,
     /// Path prefix of a second route with idempotent requests.
     pub(crate) plain_prefix: Option<&'static str>,
-    /// Whether the clock advances while a gateway works, as on a real machine.
+    /// True if the clock advances while a gateway works, as on a real machine.
     pub(crate) has_advancing_clock: bool,
 }
 
