--- a/crates/proxy/src/forward_server.rs
+++ b/crates/proxy/src/forward_server.rs
@@ -122,10 +122,10 @@
     ) -> Result<(), PeerFault> {
         let SentRun { monitor, outcome, .. } = execution.send(found);
         let clock = Rc::clone(&self.proxy.context().clock);
-        let report_while_waiting =
+        let result =
             timeout(&*clock, execution.left(), self.report_while_waiting(&monitor, reply, outcome))
                 .await;
-        match report_while_waiting.transpose()? {
+        match result.transpose()? {
             Some(AttemptOutcome::Response(response)) => {
                 self.relay(execution, *response, reply).await
             }
--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -216,15 +216,15 @@
         caller_timeout: Duration,
         lost: BackendAction,
         /// True if the response is complete; it ends at once otherwise.
-        is_whole: bool,
+        is_complete: bool,
     }
     const STREAM: RequestKind = RequestKind::Stream { resumable: true };
     const FIRST: &str = "id: 1\ndata: a\n\n";
     const REST: &str = "id: 2\ndata: b\n\n";
     let begun = || BackendAction::Answer(ScriptedResponse::events(&[FIRST]).incomplete());
-    let case = |what, kind, caller_timeout, lost, is_whole| {
+    let case = |what, kind, caller_timeout, lost, is_complete| {
         let caller_timeout = Duration::from_secs(caller_timeout);
-        Case { what, kind, caller_timeout, lost, is_whole }
+        Case { what, kind, caller_timeout, lost, is_complete }
     };
     let cases = [
         case("a stream with time left", STREAM, 8, begun(), true),
@@ -232,7 +232,7 @@
         case("a stream without an event", STREAM, 8, BackendAction::Close, false),
         case("a plain request", IDEMPOTENT, 8, BackendAction::Close, false),
     ];
-    for Case { what, kind, caller_timeout, lost, is_whole } in cases {
+    for Case { what, kind, caller_timeout, lost, is_complete } in cases {
         let bed = TestBed::new(&BedSettings {
             backends: (4, 0),
             timeout: Duration::from_secs(9),
@@ -254,12 +254,12 @@
         let response = bed.serve(request);
         let took = bed.world.now().since(began);
         let lines = bed.events.lines();
-        let got_whole =
+        let is_answered =
             response.status == 200 && !response.is_incomplete && response.body.ends_with(REST);
-        assert_eq!(got_whole, is_whole, "{what}: {response:?}, {lines:#?}");
-        assert!(is_whole || took < Duration::from_millis(100), "{what}: {took:?}, {lines:#?}");
+        assert_eq!(is_answered, is_complete, "{what}: {response:?}, {lines:#?}");
+        assert!(is_complete || took < Duration::from_millis(100), "{what}: {took:?}, {lines:#?}");
         let awaited = lines.iter().filter(|line| line.starts_with("request.repeat_awaited"));
-        assert_eq!(awaited.count(), usize::from(is_whole), "{what}: {lines:#?}");
+        assert_eq!(awaited.count(), usize::from(is_complete), "{what}: {lines:#?}");
     }
 }
 
--- a/crates/proxy/tests/execution.rs
+++ b/crates/proxy/tests/execution.rs
@@ -268,9 +268,9 @@
         is_incomplete: bool,
         resumed_after: Option<&'static str>,
     }
-    let events = |pieces: &[&'static str]| BackendAction::Answer(ScriptedResponse::events(pieces));
-    let cut = |pieces: &[&'static str]| {
-        BackendAction::Answer(ScriptedResponse::events(pieces).incomplete())
+    let events = |chunks: &[&'static str]| BackendAction::Answer(ScriptedResponse::events(chunks));
+    let cut = |chunks: &[&'static str]| {
+        BackendAction::Answer(ScriptedResponse::events(chunks).incomplete())
     };
     let all = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
     let cases = vec![
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -33,9 +33,9 @@
 
 /// A stream of many events, a millisecond apart.
 fn steady_stream(count: usize) -> ScriptedResponse {
-    let pieces: Vec<&'static str> =
+    let chunks: Vec<&'static str> =
         (1..=count).map(|id| &*format!("id: {id}\ndata: a\n\n").leak()).collect();
-    ScriptedResponse::events(&pieces)
+    ScriptedResponse::events(&chunks)
 }
 
 #[test]
--- a/crates/proxy/tests/silent_plays.rs
+++ b/crates/proxy/tests/silent_plays.rs
@@ -72,7 +72,7 @@
     println!(
         "{} plays of {gateways} gateways: {} of {} requests answered whole, {} arrivals, {} silent",
         results.len(),
-        sum(|report| report.whole),
+        sum(|report| report.complete),
         sum(|report| report.requests),
         sum(|report| report.arrivals),
         sum(|report| report.silent),
--- a/crates/proxy/tests/simulation/engines.rs
+++ b/crates/proxy/tests/simulation/engines.rs
@@ -23,7 +23,7 @@
     /// Time from which the engine accepts requests but sends nothing.
     pub(crate) silent_from: Option<MonotonicTime>,
     /// Time during which the engine is down. All its runs end at the beginning.
-    pub(crate) death: Option<Window>,
+    pub(crate) downtime: Option<Window>,
     /// Time during which the engine rejects requests.
     pub(crate) full: Option<Window>,
     pub(crate) slots: usize,
@@ -111,7 +111,7 @@
 /// Planned output of a run.
 struct RunPlan {
     head: Option<MonotonicTime>,
-    pieces: VecDeque<(MonotonicTime, Bytes)>,
+    chunks: VecDeque<(MonotonicTime, Bytes)>,
     end: PlannedEnd,
 }
 
@@ -131,12 +131,12 @@
     Duration::from_millis(millis)
 }
 
-fn piece(request: usize, event: u64) -> Bytes {
+fn event_chunk(request: usize, event: u64) -> Bytes {
     Bytes::from(format!("id: {event}\ndata: {request}-{event}\n\n"))
 }
 
 /// The complete response to a plain request.
-pub(crate) fn plain_answer(request: usize) -> Bytes {
+pub(crate) fn plain_response(request: usize) -> Bytes {
     Bytes::from(format!("answer {request}"))
 }
 
@@ -148,43 +148,43 @@
     /// Plans a run that begins at `now`, after the event `after`.
     fn plan(
         &self,
-        fate: &EngineSchedule,
+        schedule: &EngineSchedule,
         request: usize,
         after: u64,
         now: MonotonicTime,
     ) -> RunPlan {
         let SimulatedRequest { events, first, gap } = self.requests[request].clone();
-        let pieces: Vec<Bytes> = match events {
-            Some(last) => (after + 1..=last).map(|event| piece(request, event)).collect(),
-            None => vec![plain_answer(request)],
+        let chunks: Vec<Bytes> = match events {
+            Some(last) => (after + 1..=last).map(|event| event_chunk(request, event)).collect(),
+            None => vec![plain_response(request)],
         };
-        let count = pieces.len() as u64;
+        let count = chunks.len() as u64;
         let at = |is_there: bool| is_there.then(|| self.random.below(count + 1));
         let pauses = at(self.chance(self.faults.pauses));
         let silent = at(self.chance(self.faults.silences));
         let breaks = at(self.chance(self.faults.breaks));
-        let mut plan = RunPlan { head: None, pieces: VecDeque::new(), end: PlannedEnd::Never };
+        let mut plan = RunPlan { head: None, chunks: VecDeque::new(), end: PlannedEnd::Never };
         let mut time = Some(now);
-        for (number, piece) in (0_u64..).zip(pieces) {
+        for (number, chunk) in (0_u64..).zip(chunks) {
             let mut work = if number == 0 { first } else { gap };
             if pauses == Some(number) {
                 work += pause(&self.random);
             }
             time = time.filter(|_| silent != Some(number));
-            time = time.and_then(|time| fate.done_at(time, work));
+            time = time.and_then(|time| schedule.done_at(time, work));
             let Some(time) = time else { break };
             if breaks == Some(number) {
-                plan.pieces.push_back((time, piece.slice(..piece.len() / 2)));
+                plan.chunks.push_back((time, chunk.slice(..chunk.len() / 2)));
                 plan.end = PlannedEnd::At(time, RunEnd::Broke);
                 break;
             }
-            plan.pieces.push_back((time, piece));
+            plan.chunks.push_back((time, chunk));
         }
         if let (Some(time), PlannedEnd::Never) = (time, plan.end) {
             plan.end = PlannedEnd::At(time, RunEnd::Whole);
         }
-        let first = plan.pieces.front().map(|(time, _)| *time);
-        let early = fate.done_at(now, Duration::from_millis(5));
+        let first = plan.chunks.front().map(|(time, _)| *time);
+        let early = schedule.done_at(now, Duration::from_millis(5));
         plan.head = match events.is_some() && self.chance(500) {
             true => early,
             false => first.or(match plan.end {
@@ -192,11 +192,13 @@
                 PlannedEnd::Never => None,
             }),
         };
-        plan.cut_by(fate.death.as_ref().map(|death| death.start).filter(|at| *at > now));
+        plan.truncate_at(
+            schedule.downtime.as_ref().map(|downtime| downtime.start).filter(|at| *at > now),
+        );
         plan
     }
 
-    fn note(&self, record: RunRecord) -> usize {
+    fn record_run(&self, record: RunRecord) -> usize {
         self.runs.borrow_mut().push(record);
         self.runs.borrow().len() - 1
     }
@@ -204,13 +206,13 @@
 
 impl RunPlan {
     /// Removes the output after the engine's end.
-    fn cut_by(&mut self, death: Option<MonotonicTime>) {
-        let Some(death) = death else { return };
-        self.pieces.retain(|(time, _)| *time < death);
-        self.head = self.head.filter(|time| *time < death);
+    fn truncate_at(&mut self, downtime: Option<MonotonicTime>) {
+        let Some(downtime) = downtime else { return };
+        self.chunks.retain(|(time, _)| *time < downtime);
+        self.head = self.head.filter(|time| *time < downtime);
         self.end = match self.end {
-            PlannedEnd::At(time, end) if time < death => PlannedEnd::At(time, end),
-            _ => PlannedEnd::At(death, RunEnd::Died),
+            PlannedEnd::At(time, end) if time < downtime => PlannedEnd::At(time, end),
+            _ => PlannedEnd::At(downtime, RunEnd::Died),
         };
     }
 
@@ -220,7 +222,7 @@
             PlannedEnd::At(time, RunEnd::Whole) => Some(time),
             PlannedEnd::At(..) | PlannedEnd::Never => None,
         };
-        self.pieces.front().map(|(time, _)| *time).or(end)
+        self.chunks.front().map(|(time, _)| *time).or(end)
     }
 
     /// Returns `true` if the run pauses for a second or more.
@@ -230,7 +232,7 @@
             PlannedEnd::At(time, _) => time,
             PlannedEnd::Never => return true,
         };
-        self.pieces.iter().map(|(time, _)| *time).chain([end]).any(|time| {
+        self.chunks.iter().map(|(time, _)| *time).chain([end]).any(|time| {
             let pause = time.since(std::mem::replace(&mut last, time));
             pause >= Duration::from_secs(1)
         })
@@ -266,11 +268,11 @@
         if self.is_finished {
             return None;
         }
-        if let Some((time, _)) = self.plan.pieces.front() {
+        if let Some((time, _)) = self.plan.chunks.front() {
             self.wait_until(*time).await;
-            let (_, piece) = self.plan.pieces.pop_front()?;
+            let (_, chunk) = self.plan.chunks.pop_front()?;
             self.pool.runs.borrow_mut()[self.at].made += 1;
-            return Some(Ok(piece));
+            return Some(Ok(chunk));
         }
         let PlannedEnd::At(time, end) = self.plan.end else { std::future::pending().await };
         self.wait_until(time).await;
@@ -329,10 +331,10 @@
             is_silent: false,
         };
         let ended = |end| RunRecord { finish: Some(begin), end, ..record.clone() };
-        let fate = &self.pool.engines[region][engine];
+        let schedule = &self.pool.engines[region][engine];
         let is_in = |window: &Option<Window>| window.as_ref().is_some_and(|w| w.contains(&begin));
-        if is_in(&fate.death) {
-            self.pool.note(ended(RunEnd::Unreachable));
+        if is_in(&schedule.downtime) {
+            self.pool.record_run(ended(RunEnd::Unreachable));
             return Err(ClientError::Connect { address, reason: "refused".to_owned() });
         }
         if request.extensions().get::<SendPermit>().is_some_and(|permit| !permit.begin()) {
@@ -341,17 +343,17 @@
         let is_here = |run: &&RunRecord| (run.region, run.engine) == (region, engine);
         let is_running = |run: &&RunRecord| run.end == RunEnd::Running;
         let running = self.pool.runs.borrow().iter().filter(is_here).filter(is_running).count();
-        if is_in(&fate.full) || running >= fate.slots {
-            self.pool.note(ended(RunEnd::TurnedAway));
+        if is_in(&schedule.full) || running >= schedule.slots {
+            self.pool.record_run(ended(RunEnd::TurnedAway));
             clock.sleep(Duration::from_millis(3)).await;
             let body = ClientBody::from_bytes(Bytes::new());
             let mut head = head(&id, StatusCode::SERVICE_UNAVAILABLE);
             head.headers_mut().insert("not-run", HeaderValue::from_static("1"));
             return Ok(ClientReply { head: head.into_parts().0, body });
         }
-        let plan = self.pool.plan(fate, number, after, begin);
+        let plan = self.pool.plan(schedule, number, after, begin);
         let is_silent = plan.is_silent(begin);
-        let at = self.pool.note(RunRecord { is_silent, ..record });
+        let at = self.pool.record_run(RunRecord { is_silent, ..record });
         let (pool, clock) = (Rc::clone(&self.pool), Rc::clone(clock));
         let mut run = LiveRun { pool, clock, at, plan, is_finished: false };
         let Some(time) = run.plan.head else {
--- a/crates/proxy/tests/simulation/mod.rs
+++ b/crates/proxy/tests/simulation/mod.rs
@@ -82,7 +82,7 @@
     pub(crate) violations: Vec<Violation>,
     pub(crate) requests: usize,
     /// Number of requests with a complete response.
-    pub(crate) whole: usize,
+    pub(crate) complete: usize,
     /// Number of arrivals at engines, and of runs among them that were silent for a second or more.
     pub(crate) arrivals: usize,
     pub(crate) silent: usize,
@@ -114,17 +114,17 @@
 }
 
 fn draw_engine(random: &SeededRandom) -> EngineSchedule {
-    let mut fate =
+    let mut schedule =
         EngineSchedule { slots: 4 + random.below(5) as usize, ..EngineSchedule::default() };
     match random.below(12) {
-        0..=3 => fate.stalls = draw_stalls(random),
-        4 => fate.death = Some(window(random, 0..5_000, millis(random, 200..6_000))),
-        5 => fate.silent_from = Some(START + millis(random, 0..5_000)),
-        6 => fate.full = Some(window(random, 0..3_000, millis(random, 500..8_000))),
-        7 => fate.slots = 1 + random.below(2) as usize,
+        0..=3 => schedule.stalls = draw_stalls(random),
+        4 => schedule.downtime = Some(window(random, 0..5_000, millis(random, 200..6_000))),
+        5 => schedule.silent_from = Some(START + millis(random, 0..5_000)),
+        6 => schedule.full = Some(window(random, 0..3_000, millis(random, 500..8_000))),
+        7 => schedule.slots = 1 + random.below(2) as usize,
         _ => {}
     }
-    fate
+    schedule
 }
 
 fn draw_links(random: &SeededRandom, seed: u64) -> SimulatedLinks {
@@ -301,11 +301,11 @@
     let (head, body) = proxy.serve(request).await.into_parts();
     outcome.status = head.status.as_u16();
     match body {
-        ReplyBody::Full(whole) => outcome.body.extend_from_slice(&whole),
+        ReplyBody::Full(bytes) => outcome.body.extend_from_slice(&bytes),
         ReplyBody::Stream(mut stream) => {
-            while let Some(piece) = stream.next().await {
-                match piece {
-                    Ok(piece) => outcome.body.extend_from_slice(&piece),
+            while let Some(chunk) = stream.next().await {
+                match chunk {
+                    Ok(chunk) => outcome.body.extend_from_slice(&chunk),
                     Err(_) => outcome.is_incomplete = true,
                 }
             }
--- a/crates/proxy/tests/simulation/oracle.rs
+++ b/crates/proxy/tests/simulation/oracle.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         CallerOutcome, SimulationRecord, SimulationReport,
-        engines::{RunEnd, RunRecord, plain_answer},
+        engines::{RunEnd, RunRecord, plain_response},
     },
     gullglade_units::MonotonicTime,
     std::{collections::BTreeMap, fmt, time::Duration},
@@ -91,7 +91,7 @@
         SimulationReport {
             violations: self.check(),
             requests,
-            whole: (0..requests).filter(|number| self.is_whole(*number)).count(),
+            complete: (0..requests).filter(|number| self.is_complete(*number)).count(),
             arrivals: self.runs.iter().filter(|run| run.end.is_arrival()).count(),
             silent: self.runs.iter().filter(|run| run.is_silent).count(),
         }
@@ -101,26 +101,26 @@
     fn check(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for number in 0..self.outcomes.len() {
-            let mut note = |invariant, found: Option<String>| {
+            let mut report = |invariant, found: Option<String>| {
                 let what = found.map(|found| format!("call-{number}: {found}"));
                 violations.extend(what.map(|what| Violation { invariant, what }));
             };
             let runs: Vec<&RunRecord> = self.runs.iter().filter(|r| r.request == number).collect();
             if let Some((invariant, found)) = self.cancelled_at_work(number, &runs) {
-                note(invariant, Some(found));
+                report(invariant, Some(found));
             }
-            note(Invariant::TwoAtWork, self.two_at_work(number, &runs));
-            note(Invariant::Order, self.out_of_order(number));
-            note(Invariant::Attempts, self.too_many_attempts(&runs));
-            note(Invariant::Searches, self.too_many_searches(number));
-            note(Invariant::Late, self.too_late(number));
-            note(Invariant::Gone, self.running_after_caller_left(number, &runs));
+            report(Invariant::TwoAtWork, self.two_at_work(number, &runs));
+            report(Invariant::Order, self.out_of_order(number));
+            report(Invariant::Attempts, self.too_many_attempts(&runs));
+            report(Invariant::Searches, self.too_many_searches(number));
+            report(Invariant::Late, self.too_late(number));
+            report(Invariant::Gone, self.running_after_caller_left(number, &runs));
         }
-        let mut note = |invariant, found: Option<String>| {
+        let mut report = |invariant, found: Option<String>| {
             violations.extend(found.map(|what| Violation { invariant, what }));
         };
-        note(Invariant::Budget, self.over_budget());
-        note(Invariant::Searches, self.too_many_forwards());
+        report(Invariant::Budget, self.over_budget());
+        report(Invariant::Searches, self.too_many_forwards());
         violations
     }
 
@@ -137,14 +137,14 @@
     /// Returns the earliest and the latest deadline of a request.
     fn ends(&self, number: usize) -> (MonotonicTime, MonotonicTime) {
         let caller = &self.simulation.callers[number];
-        let (least, most) = self.timeouts(caller.begin);
+        let (shortest, longest) = self.timeouts(caller.begin);
         (
-            caller.begin + least.min(caller.caller_timeout),
-            caller.begin + most.min(caller.caller_timeout),
+            caller.begin + shortest.min(caller.caller_timeout),
+            caller.begin + longest.min(caller.caller_timeout),
         )
     }
 
-    fn is_whole(&self, number: usize) -> bool {
+    fn is_complete(&self, number: usize) -> bool {
         let outcome = &self.outcomes[number];
         outcome.status == 200 && !outcome.is_incomplete
     }
@@ -152,7 +152,7 @@
     fn cancelled_at_work(&self, number: usize, runs: &[&RunRecord]) -> Option<(Invariant, String)> {
         let outcome = &self.outcomes[number];
         let (ends, _) = self.ends(number);
-        if self.is_whole(number) || outcome.has_left || outcome.done + EARLY_MARGIN >= ends {
+        if self.is_complete(number) || outcome.has_left || outcome.done + EARLY_MARGIN >= ends {
             return None;
         }
         let last = runs.iter().filter(|run| run.end.is_run()).max_by_key(|run| run.begin)?;
@@ -169,11 +169,11 @@
             None if lost => Invariant::CutForLoss,
             None => Invariant::CutAtWork,
         };
-        let describe_outcome = describe_outcome(outcome);
+        let description = describe_outcome(outcome);
         let line = self.last_line(number);
         Some((
             invariant,
-            format!("{describe_outcome} before {ends:?}, next event at {due:?}; {runs:?}; {line}"),
+            format!("{description} before {ends:?}, next event at {due:?}; {runs:?}; {line}"),
         ))
     }
 
@@ -190,14 +190,14 @@
         for (place, first) in runs.iter().enumerate() {
             for second in &runs[place + 1..] {
                 let end = first.finish.into_iter().chain(second.finish).min();
-                let together = end.map_or(Duration::MAX, |end| end.since(second.begin));
+                let overlap = end.map_or(Duration::MAX, |end| end.since(second.begin));
                 let pair = (first.gateway, caller);
                 let is_cut = self.simulation.links.has_loss_before(second.begin, pair)
                     || first
                         .finish
                         .is_some_and(|at| self.simulation.links.has_loss_before(at, pair));
-                if together > MAX_OVERLAP && !is_cut {
-                    return Some(format!("{together:?} of {first:?} and {second:?}"));
+                if overlap > MAX_OVERLAP && !is_cut {
+                    return Some(format!("{overlap:?} of {first:?} and {second:?}"));
                 }
             }
         }
@@ -211,14 +211,14 @@
         }
         let body = String::from_utf8_lossy(&outcome.body);
         let Some(last) = self.simulation.pool.requests[number].events else {
-            let is_right = outcome.body == plain_answer(number) || outcome.has_left;
+            let is_right = outcome.body == plain_response(number) || outcome.has_left;
             return (!is_right).then(|| format!("{body:?}"));
         };
         let count = body.matches("\n\n").count() as u64;
         let expected: String =
             (1..=count).map(|event| format!("id: {event}\ndata: {number}-{event}\n\n")).collect();
-        let is_whole = outcome.is_incomplete || outcome.has_left || count == last;
-        (body != expected || !is_whole).then(|| format!("{count} of {last}: {body:?}"))
+        let is_complete = outcome.is_incomplete || outcome.has_left || count == last;
+        (body != expected || !is_complete).then(|| format!("{count} of {last}: {body:?}"))
     }
 
     fn too_many_attempts(&self, runs: &[&RunRecord]) -> Option<String> {
@@ -230,9 +230,9 @@
         let is_return = |ends: &&Vec<RunEnd>| matches!(ends[..], [RunEnd::Cancelled(_), _, ..]);
         let returns = engines.values().filter(is_return).count();
         let count = engines.values().map(Vec::len).sum::<usize>() - returns;
-        let most = self.simulation.max_attempts as usize;
-        (count > most).then(|| {
-            format!("{count} runs and {returns} returns where {most} are allowed: {runs:?}")
+        let allowed = self.simulation.max_attempts as usize;
+        (count > allowed).then(|| {
+            format!("{count} runs and {returns} returns where {allowed} are allowed: {runs:?}")
         })
     }
 
@@ -247,19 +247,19 @@
                 *kinds.entry(kind).or_default() += 1;
             }
         }
-        let most = kinds.values().copied().max().unwrap_or_default();
-        (most > MAX_SEARCHES).then(|| format!("{kinds:?}"))
+        let max_count = kinds.values().copied().max().unwrap_or_default();
+        (max_count > MAX_SEARCHES).then(|| format!("{kinds:?}"))
     }
 
     fn too_many_forwards(&self) -> Option<String> {
         let mut silent: Vec<_> = self.runs.iter().filter(|run| run.is_silent).collect();
         silent.sort_by_key(|run| run.request);
         silent.dedup_by_key(|run| run.request);
-        let most = MAX_FORWARDS_PER_REQUEST * self.outcomes.len() + MAX_SEARCHES * silent.len();
+        let allowed = MAX_FORWARDS_PER_REQUEST * self.outcomes.len() + MAX_SEARCHES * silent.len();
         // The network decides twice on the request of a stream.
         let forward_count = self.simulation.links.forward_count.get().div_ceil(2);
         let found = || format!("{forward_count} forwards of {} requests", self.outcomes.len());
-        (forward_count > most).then(found)
+        (forward_count > allowed).then(found)
     }
 
     fn too_late(&self, number: usize) -> Option<String> {
@@ -292,8 +292,8 @@
             let count = count_within_window(&retries, *end, Duration::ZERO);
             let sent = [Duration::ZERO, BUDGET_WINDOW / 2, BUDGET_WINDOW]
                 .map(|ago| count_within_window(&sent, *end, ago));
-            let most = sent.into_iter().max().unwrap_or_default();
-            let allowed = RETRY_RATIO * most as f64 + self.simulation.repeat_slack;
+            let max_sent = sent.into_iter().max().unwrap_or_default();
+            let allowed = RETRY_RATIO * max_sent as f64 + self.simulation.repeat_slack;
             if count as f64 > allowed {
                 return Some(format!("{count} retries at {end:?}, {allowed} allowed"));
             }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -459,9 +459,9 @@
     match body {
         ReplyBody::Full(whole) => bytes.extend_from_slice(&whole),
         ReplyBody::Stream(mut stream) => {
-            while let Some(piece) = stream.next().await {
-                match piece {
-                    Ok(piece) => bytes.extend_from_slice(&piece),
+            while let Some(chunk) = stream.next().await {
+                match chunk {
+                    Ok(chunk) => bytes.extend_from_slice(&chunk),
                     Err(_) => is_incomplete = true,
                 }
             }
--- a/crates/proxy/tests/support/servers.rs
+++ b/crates/proxy/tests/support/servers.rs
@@ -41,7 +41,7 @@
     pub(crate) status: u16,
     pub(crate) headers: Vec<(&'static str, String)>,
     /// Chunks of the body, a millisecond apart.
-    pub(crate) pieces: Vec<&'static str>,
+    pub(crate) chunks: Vec<&'static str>,
     /// Index of a chunk and the pause before it, instead of the millisecond.
     pub(crate) pause: Option<(usize, Duration)>,
     pub(crate) is_incomplete: bool,
@@ -49,12 +49,12 @@
 
 impl ScriptedResponse {
     /// A signed response to the request `call-1`.
-    pub(crate) fn signed(status: u16, pieces: &[&'static str]) -> Self {
+    pub(crate) fn signed(status: u16, chunks: &[&'static str]) -> Self {
         Self {
             after: Duration::from_millis(5),
             status,
             headers: vec![("id", "call-1".to_owned()), ("signed", "yes".to_owned())],
-            pieces: pieces.to_vec(),
+            chunks: chunks.to_vec(),
             pause: None,
             is_incomplete: false,
         }
@@ -88,8 +88,8 @@
         self
     }
 
-    pub(crate) fn events(pieces: &[&'static str]) -> Self {
-        Self::signed(200, pieces).header("content-type", "text/event-stream")
+    pub(crate) fn events(chunks: &[&'static str]) -> Self {
+        Self::signed(200, chunks).header("content-type", "text/event-stream")
     }
 }
 
@@ -203,18 +203,18 @@
                 .headers_mut()
                 .insert(*name, HeaderValue::from_str(value).expect("a header value"));
         }
-        let mut pieces: Vec<Result<Bytes, BodyError>> =
-            script.pieces.iter().map(|piece| Ok(Bytes::from_static(piece.as_bytes()))).collect();
+        let mut chunks: Vec<Result<Bytes, BodyError>> =
+            script.chunks.iter().map(|chunk| Ok(Bytes::from_static(chunk.as_bytes()))).collect();
         if script.is_incomplete {
-            pieces.push(Err(BodyError::Incomplete { reason: "reset".to_owned() }));
+            chunks.push(Err(BodyError::Incomplete { reason: "reset".to_owned() }));
         }
-        let state = (pieces.into_iter().enumerate(), guard, clock);
-        let body = stream::unfold(state, move |(mut pieces, guard, clock)| async move {
-            let next = pieces.next();
+        let state = (chunks.into_iter().enumerate(), guard, clock);
+        let body = stream::unfold(state, move |(mut chunks, guard, clock)| async move {
+            let next = chunks.next();
             let pause = script.pause.filter(|(at, _)| next.as_ref().is_some_and(|(n, _)| n == at));
             clock.sleep(pause.map_or(Duration::from_millis(1), |(_, pause)| pause)).await;
             match next {
-                Some((_, piece)) => Some((piece, (pieces, guard, clock))),
+                Some((_, chunk)) => Some((chunk, (chunks, guard, clock))),
                 None => {
                     guard.finish();
                     None
