--- a/crates/dispatch/benches/queue.rs
+++ b/crates/dispatch/benches/queue.rs
@@ -1,5 +1,5 @@
-//! What decisions cost: one request among many idle engines, and a look at a long queue while all
-//! engines of a region are full.
+//! Cost of scheduling decisions: placing one request among many idle engines, and scanning a long
+//! queue while all engines of the region are full.
 #![allow(missing_docs, reason = "criterion's macros make undocumented functions")]
 
 #[path = "../tests/support/mod.rs"]
@@ -11,10 +11,10 @@
     support::{at, item, prompt, route, scheduler, sent_hint},
 };
 
-/// The engines of the letter's mean region.
+/// Number of engines in a region of average size.
 const CANDIDATES: usize = 145;
 
-/// Engines, gateways and waiting requests of a region at its peak.
+/// Engines, gateways and queued requests of a region at its peak.
 const PEAK: (usize, usize, u64) = (56, 22, 40);
 
 fn decide(c: &mut Criterion) {
@@ -33,7 +33,7 @@
     });
 }
 
-/// A gateway whose region's engines are full, with requests of three priorities waiting.
+/// A gateway whose engines are all full, with queued requests of three priorities.
 fn at_peak() -> Scheduler {
     let (engines, gateways, waiting) = PEAK;
     let mut scheduler = scheduler(0, gateways, engines, 0.0);
--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -1,9 +1,9 @@
-//! Which backend servers a request was sent to, and which may get it next.
+//! Tracks the backend servers that a request was sent to, and selects those that may get it next.
 //!
-//! The load pattern: at the worst of the load engines pause for seconds, and when one of two silent
-//! runs has to end it is not known which backend server will go on. The one that was kept may hang
-//! or end while the other one would have answered. Routes limit how many backend servers a request
-//! is sent to, so one whose run was given up while it was silent may get the request again, once.
+//! The load pattern: in overload engines pause for seconds, and when one of two silent runs has to
+//! end, it is unknown which backend server will continue. The one that was kept may hang or fail
+//! while the other one would have answered. Routes limit the number of backend servers per request,
+//! so a backend server whose run was given up while silent may get the request once more.
 
 use {
     gullglade_units::{BackendName, RegionName},
@@ -13,89 +13,92 @@
 /// A backend server that a request was sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsedBackend {
-    /// Where it is.
+    /// Its region.
     pub region: RegionName,
     /// Its name.
     pub name: BackendName,
 }
 
-/// Where a request may be sent next.
+/// The next destination of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextTarget<'a> {
-    /// To a backend server that has not had it.
+    /// A backend server that has not had the request.
     Fresh,
-    /// Back to this one.
+    /// A backend server whose run of the request was given up.
     Return(&'a UsedBackend),
 }
 
 /// The backend servers that may have run one request.
 #[derive(Debug)]
 pub struct AttemptTracker {
-    /// The most that there may be.
-    most: u32,
-    /// Those whose runs have ended.
-    ran: u32,
-    /// Whether the run under way is at one of them.
+    /// The maximum number of backend servers.
+    max_backends: u32,
+    /// Number of backend servers whose runs have ended.
+    ended_runs: u32,
+    /// Whether the current run is at a backend server that had the request before.
     is_return: bool,
-    /// Those whose runs were given up while they were silent, the latest last.
+    /// Backend servers whose runs were given up while silent, the latest last.
     given_up: Vec<UsedBackend>,
 }
 
 impl AttemptTracker {
-    /// The ledger of a request that may be sent to `most` backend servers.
-    pub fn new(most: u32) -> Self {
-        Self { most, ran: 0, is_return: false, given_up: Vec::new() }
+    /// Creates the tracker of a request that may be sent to `max_backends` backend servers.
+    pub fn new(max_backends: u32) -> Self {
+        Self { max_backends, ended_runs: 0, is_return: false, given_up: Vec::new() }
     }
 
-    /// Whether the request may have run, the run under way aside.
+    /// Returns whether the request may have run, apart from the current run.
     pub fn has_run(&self) -> bool {
-        self.ran > 0
+        self.ended_runs > 0
     }
 
-    /// Where the request may go after the runs that have ended.
+    /// Returns the next destination after the runs that have ended, or `None` if the request may
+    /// not be sent again.
     pub fn next_target(&self) -> Option<NextTarget<'_>> {
-        match self.ran < self.most {
+        match self.ended_runs < self.max_backends {
             true => Some(NextTarget::Fresh),
             false => self.given_up.last().map(NextTarget::Return),
         }
     }
 
-    /// Whether another backend server may get it while the run under way goes on.
+    /// Returns whether another backend server may get the request while the current run continues.
     pub fn may_be_replaced(&self) -> bool {
-        self.ran + u32::from(!self.is_return) < self.most
+        self.ended_runs + u32::from(!self.is_return) < self.max_backends
     }
 
-    /// Whether a run of it was given up that may be returned to.
+    /// Returns whether there is a given-up run whose backend server may get the request again.
     pub fn has_given_up(&self) -> bool {
         !self.given_up.is_empty()
     }
 
-    /// The request is sent back to `backend`, which may not get it once more.
+    /// Records that the request is sent back to `backend`, which may not get it a third time.
     pub fn note_return(&mut self, backend: &UsedBackend) {
         self.is_return = true;
         self.given_up.retain(|given_up| given_up != backend);
     }
 
-    /// The send back to `backend` certainly did not run: it may be made again.
+    /// Records that the request certainly did not run after it was sent back to `backend`, so it
+    /// may be sent back again.
     pub fn note_return_refused(&mut self, backend: UsedBackend) {
         self.is_return = false;
         self.given_up.push(backend);
     }
 
-    /// The run under way has ended by itself.
+    /// Records that the current run ended by itself.
     pub fn note_ended(&mut self) {
-        self.ran += u32::from(!take(&mut self.is_return));
+        self.ended_runs += u32::from(!take(&mut self.is_return));
     }
 
-    /// The run under way, at `backend` where that is known, was given up while it was silent.
+    /// Records that the current run was given up while silent. `backend` is its backend server, if
+    /// known.
     pub fn note_given_up(&mut self, backend: Option<UsedBackend>) {
         let is_first = !self.is_return;
         self.note_ended();
         self.given_up.extend(backend.filter(|_| is_first));
     }
 
-    /// A run beside the one under way has ended before it.
+    /// Records that a concurrent run ended before the current one.
     pub fn note_ended_beside(&mut self) {
-        self.ran += 1;
+        self.ended_runs += 1;
     }
 }
--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -1,45 +1,47 @@
-//! The back-off that a backend server requests when it rejects work.
+//! Back-off that a backend server requests when it rejects a request.
 //!
-//! The load pattern: an overloaded backend server rejects within a millisecond, so it looks idle and
-//! draws the work of every gateway. A gateway sends it nothing until the time that it stated is
-//! over. Gateways that were rejected together would also resume together, so they resume one after
-//! the other, each with one request first and more as requests are accepted.
+//! The load pattern: an overloaded backend server rejects within a millisecond, so it looks idle
+//! and attracts the requests of every gateway. A gateway sends it nothing until the requested time
+//! has passed. Since gateways that were rejected together would also resume together, they resume
+//! one after another, and each increases its rate as requests are accepted (slow start).
 
 use {
-    crate::roster::GatewayPlace,
+    crate::membership::GatewayPosition,
     gullglade_event::FieldValue,
     gullglade_units::MonotonicTime,
     std::{fmt, time::Duration},
 };
 
-/// The longest back-off that is kept: a mistake of one backend server must not lose it for the day.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(600);
+/// Upper bound of a back-off, so that a faulty value does not disable a backend server for long.
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
-/// The time between two gateways that resume, in which one learns what the other has sent.
-const START_SPACING: Duration = Duration::from_millis(10);
+/// The time between the resumption of two gateways, in which the second one learns what the first
+/// has sent.
+const RESUME_SPACING: Duration = Duration::from_millis(10);
 
-/// All gateways resume within this.
-const LONGEST_SPREAD: Duration = Duration::from_secs(1);
+/// All gateways resume within this time.
+const MAX_SPREAD: Duration = Duration::from_secs(1);
 
-/// A gateway that got no answer to its first requests after a back-off tries again after this.
+/// A gateway whose first requests after a back-off got no answer sends again after this time.
 const TRIAL_PAUSE: Duration = Duration::from_millis(500);
 
-/// The slow start is over once so many requests were accepted after a back-off.
-const ENOUGH_ACCEPTED: u32 = 8;
+/// The number of accepted requests that ends the slow start.
+const SLOW_START_ACCEPTS: u32 = 8;
 
-/// The slow start is over this long after a back-off in any case.
+/// The slow start ends this long after the back-off in any case.
 const SLOW_START_LIMIT: Duration = Duration::from_secs(5);
 
-/// How long a backend server wants nothing from the gateway that it rejected, at most ten minutes.
+/// The time for which a backend server wants no requests from the gateway that it rejected, at most
+/// ten minutes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StatedBackoff(Duration);
 
-/// A number that is no time to wait.
+/// A number that is not a valid duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InvalidBackoff(f64);
 
 impl StatedBackoff {
-    /// Counted from when the answer came.
+    /// Returns the duration, which starts when the answer is received.
     pub fn duration(self) -> Duration {
         self.0
     }
@@ -48,13 +50,13 @@
 impl TryFrom<f64> for StatedBackoff {
     type Error = InvalidBackoff;
 
-    /// From seconds.
+    /// Converts a number of seconds.
     fn try_from(seconds: f64) -> Result<Self, InvalidBackoff> {
         if !seconds.is_finite() || seconds < 0.0 {
             return Err(InvalidBackoff(seconds));
         }
-        let backoff = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_BACKOFF);
-        Ok(Self(backoff.min(LONGEST_BACKOFF)))
+        let backoff = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACKOFF);
+        Ok(Self(backoff.min(MAX_BACKOFF)))
     }
 }
 
@@ -77,14 +79,14 @@
 /// The back-off that one run of a backend server has requested.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackoffRecord {
-    /// The end of the back-off of this gateway.
+    /// The end of the back-off requested of this gateway.
     until: Option<MonotonicTime>,
-    /// The end of the back-off of another gateway, which binds only that one.
+    /// The latest end of a back-off requested of another gateway. It does not bind this one.
     peer_until: Option<MonotonicTime>,
     start: SlowStart,
 }
 
-/// How far a gateway has resumed after a back-off.
+/// The progress of the slow start after a back-off.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlowStart {
     sent: u32,
@@ -93,11 +95,12 @@
 }
 
 impl BackoffRecord {
-    /// Takes what an answer that came at `came` requests; whether the back-off ends later by it.
+    /// Records the back-off requested by an answer that was received at `received`. Returns whether
+    /// it extends the current one.
     ///
-    /// Each answer counts by itself: a shorter time does not shorten what was requested before.
-    pub(crate) fn note(&mut self, backoff: StatedBackoff, came: MonotonicTime) -> bool {
-        let until = came + backoff.duration();
+    /// A later request for a shorter back-off does not shorten the current one.
+    pub(crate) fn note(&mut self, backoff: StatedBackoff, received: MonotonicTime) -> bool {
+        let until = received + backoff.duration();
         if backoff.duration().is_zero() || self.until.is_some_and(|known| known >= until) {
             return false;
         }
@@ -106,45 +109,45 @@
         true
     }
 
-    /// Notes that another gateway backs off until `until`.
+    /// Records that another gateway backs off until `until`.
     pub(crate) fn note_peer(&mut self, until: MonotonicTime, now: MonotonicTime) {
-        let until = until.min(now + LONGEST_BACKOFF);
+        let until = until.min(now + MAX_BACKOFF);
         self.peer_until = self.peer_until.max(Some(until));
     }
 
-    /// The end of the back-off of this gateway, while it lasts.
+    /// Returns the end of the back-off of this gateway while it lasts.
     pub(crate) fn until(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         self.until.filter(|until| now < *until)
     }
 
-    /// Whether this gateway or another one backs off.
+    /// Returns whether this or another gateway backs off.
     pub(crate) fn is_backed_off(&self, now: MonotonicTime) -> bool {
         self.until(now).is_some() || self.is_peer_backing_off(now)
     }
 
-    /// Whether another gateway backs off.
+    /// Returns whether another gateway backs off.
     pub(crate) fn is_peer_backing_off(&self, now: MonotonicTime) -> bool {
         self.peer_until.is_some_and(|until| now < until)
     }
 
-    /// When a gateway may next send, where it may not now; `place` finds its place among those of
-    /// its region.
-    pub(crate) fn wait(
+    /// Returns when this gateway may send again, or `None` if it may send now. `position` returns
+    /// its position among the gateways of the region.
+    pub(crate) fn next_send(
         &self,
-        place: impl FnOnce() -> GatewayPlace,
+        position: impl FnOnce() -> GatewayPosition,
         now: MonotonicTime,
     ) -> Option<MonotonicTime> {
         let until = self.until.filter(|until| now.since(*until) < SLOW_START_LIMIT)?;
         let SlowStart { sent, accepted, last_sent } = self.start;
         let next = match sent {
-            0 => until + start_delay(place()),
+            0 => until + resume_delay(position()),
             _ if sent <= accepted * 2 => now,
             _ => last_sent + TRIAL_PAUSE,
         };
         (next > now).then_some(next)
     }
 
-    /// Notes a send of this gateway.
+    /// Records that this gateway sends a request.
     pub(crate) fn note_send(&mut self, now: MonotonicTime) {
         if self.until.is_some() {
             self.start.sent += 1;
@@ -152,23 +155,23 @@
         }
     }
 
-    /// Notes that a request of this gateway was accepted.
+    /// Records that a request of this gateway was accepted.
     pub(crate) fn note_accepted(&mut self, now: MonotonicTime) {
-        // What was sent before the rejection says nothing of the time after the back-off.
+        // Answers to requests that were sent before the rejection do not count for the slow start.
         if self.until.is_none_or(|until| now < until) || self.start.sent == 0 {
             return;
         }
         self.start.accepted += 1;
-        if self.start.accepted >= ENOUGH_ACCEPTED {
+        if self.start.accepted >= SLOW_START_ACCEPTS {
             self.until = None;
             self.start = SlowStart::default();
         }
     }
 }
 
-/// How long after a back-off a gateway resumes.
-fn start_delay(place: GatewayPlace) -> Duration {
-    let GatewayPlace { rank, count } = place;
-    let spread = START_SPACING.saturating_mul(u32::try_from(count).unwrap_or(u32::MAX));
-    spread.min(LONGEST_SPREAD).mul_f64(rank as f64 / count.max(1) as f64)
+/// Returns the time between the end of a back-off and the resumption of a gateway.
+fn resume_delay(position: GatewayPosition) -> Duration {
+    let GatewayPosition { rank, count } = position;
+    let spread = RESUME_SPACING.saturating_mul(u32::try_from(count).unwrap_or(u32::MAX));
+    spread.min(MAX_SPREAD).mul_f64(rank as f64 / count.max(1) as f64)
 }
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,8 +1,8 @@
-//! How often work may be sent again.
+//! Fleet-wide retry budget.
 //!
-//! The load pattern: a service answers slowly or with errors, each gateway repeats, and the
-//! repeats keep the service down. All gateways together may repeat a fixed part of the requests
-//! of a window, and have a fixed allowance on top. No gateway knows the counts of the others, and
+//! The load pattern: a service answers slowly or with errors, each gateway repeats requests, and
+//! the repeats keep the service overloaded. All gateways together may repeat a fixed ratio of the
+//! requests of a window, plus a fixed allowance. No gateway knows the counts of the others, and
 //! callers move between gateways as these come and go.
 
 use {
@@ -11,65 +11,65 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// The used part of what is allowed. The rest covers requests that are counted at another moment
-/// than that at which they were sent, and repeats that arrive even later than allowed for.
-const USED_SHARE: f64 = 0.85;
+/// The share of the limit that is used. The rest covers requests that are counted at a different
+/// time than they were sent, and repeats that arrive later than allowed for.
+const USABLE_SHARE: f64 = 0.85;
 
-/// Repeats and requests of one service at one run of a gateway.
+/// The repeats and requests of one service in one run of a gateway.
 ///
-/// Allowed in a window are `ratio` of the requests of that window or of the one before it,
-/// whichever are more, over all gateways. The last repeats of two gateways lie at different
-/// moments, so their own last windows do not add up to any one window. What does add up is the
-/// mean of a window and the one before it, which is never more than the larger of the two: a run
-/// keeps the repeats since any moment within half of `ratio` of its requests since one window
-/// before that moment.
+/// In a window, all gateways together are allowed `ratio` times the requests of that window or of
+/// the one before it, whichever are more. The latest repeats of two gateways happen at different
+/// moments, so their latest windows cannot be summed to a common window. The mean of a window and
+/// the one before it can be summed, and never exceeds the larger of the two. So each run limits its
+/// repeats since any moment to half of `ratio` times its requests since one window before that
+/// moment.
 ///
-/// Bounded are arrivals, and a repeat arrives at some moment between its grant and its
-/// [settlement](Self::settle). It counts in each window that begins before it is settled: whatever
-/// holds it up, it cannot arrive in a window without having counted there.
+/// The limit applies to arrivals, and a repeat arrives at some time between its grant and its
+/// [settlement](Self::settle). It counts in each window that begins before it is settled, so it
+/// cannot arrive in a window without having been counted there, however long it is delayed.
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
     window: Duration,
     ratio: f64,
     slack: f64,
-    /// Those of the last window.
+    /// The requests and the grants of the last window.
     requests: VecDeque<MonotonicTime>,
     grants: VecDeque<MonotonicTime>,
     request_count: u64,
     granted_count: u64,
     settled_count: u64,
-    /// When repeats of unknown arrival are settled. Ascending.
+    /// Settlement times of repeats with unknown arrival, in ascending order.
     unknown: VecDeque<MonotonicTime>,
-    /// For windows that begin when a repeat is settled: when, and how many were settled before,
-    /// less those that the requests of more than a window before allowed. Ascending; of windows
-    /// that begin earlier and have more room nothing is kept.
-    begins: VecDeque<(MonotonicTime, f64)>,
+    /// An entry for each window that begins at a settlement: its time, and the number of repeats
+    /// settled before it minus those earned by requests older than a window at that time. Ascending
+    /// in both; entries of earlier windows with more room are dropped.
+    window_starts: VecDeque<(MonotonicTime, f64)>,
 }
 
-/// What became of a request to a [`RepeatBudget`], and by which counts of its window.
+/// The answer of a [`RepeatBudget`], with the counts that it is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatDecision {
     /// Whether the repeat may be sent.
     pub is_granted: bool,
-    /// Requests that came to this gateway.
+    /// Requests of this gateway in the window.
     pub requests: usize,
-    /// Repeats of this gateway before this one.
+    /// Repeats granted by this gateway in the window before this one.
     pub repeats: usize,
-    /// The parts into which the allowance is divided.
+    /// The number of parts into which the allowance is divided.
     pub parts: usize,
 }
 
-/// What is known of the sends of a request when its repeat is over.
+/// Describes whether sends of a finished request may still arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatArrival {
-    /// Each of them has arrived, or never will.
+    /// All sends have arrived or never will.
     Past,
-    /// One of them may arrive later.
+    /// A send may arrive later.
     Unknown,
 }
 
 impl RepeatArrival {
-    /// Its label in the metrics.
+    /// Returns the label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Past => "past",
@@ -79,8 +79,8 @@
 }
 
 impl RepeatBudget {
-    /// A budget in which repeats in any `window` are at most `ratio` of the requests, and `slack`
-    /// more for all gateways together.
+    /// Creates a budget that limits repeats in any `window` to `ratio` times the requests, plus
+    /// `slack` for all gateways together.
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
         Self {
             window,
@@ -92,11 +92,11 @@
             granted_count: 0,
             settled_count: 0,
             unknown: VecDeque::new(),
-            begins: VecDeque::new(),
+            window_starts: VecDeque::new(),
         }
     }
 
-    /// Notes a request that came for the first time, and may have been sent at `sent` already.
+    /// Records a new request that may have been sent as early as `sent`.
     pub fn note_request(&mut self, sent: MonotonicTime, now: MonotonicTime) {
         let latest = self.requests.back().copied();
         self.requests.push_back(latest.map_or(sent, |latest| sent.max(latest)));
@@ -104,10 +104,10 @@
         self.expire(now);
     }
 
-    /// Takes one repeat, where there is one left, with `share` of the common allowance. It has to
-    /// be [settled](Self::settle) later.
+    /// Takes one repeat if one is left, given this gateway's `share` of the allowance. A granted
+    /// repeat has to be [settled](Self::settle).
     pub fn take(&mut self, share: &AllowanceShare, now: MonotonicTime) -> RepeatDecision {
-        let decision = self.look(share, now);
+        let decision = self.peek(share, now);
         if decision.is_granted {
             self.granted_count += 1;
             self.grants.push_back(now);
@@ -115,7 +115,7 @@
         decision
     }
 
-    /// Settles a repeat that was taken. One of unknown arrival counts for another window.
+    /// Settles a granted repeat. One of unknown arrival counts for another window.
     pub fn settle(&mut self, arrival: RepeatArrival, now: MonotonicTime) {
         self.expire(now);
         match arrival {
@@ -125,20 +125,21 @@
     }
 
     fn note_settled(&mut self, now: MonotonicTime) {
-        let begin = self.begin();
+        let window_start = self.window_start();
         self.settled_count += 1;
-        while self.begins.back().is_some_and(|(_, later)| *later >= begin) {
-            self.begins.pop_back();
+        while self.window_starts.back().is_some_and(|(_, later)| *later >= window_start) {
+            self.window_starts.pop_back();
         }
-        self.begins.push_back((now, begin));
+        self.window_starts.push_back((now, window_start));
     }
 
-    /// Whether [`take`](Self::take) would grant a repeat now.
-    pub fn look(&mut self, share: &AllowanceShare, now: MonotonicTime) -> RepeatDecision {
+    /// Returns whether [`take`](Self::take) would grant a repeat now.
+    pub fn peek(&mut self, share: &AllowanceShare, now: MonotonicTime) -> RepeatDecision {
         self.expire(now);
-        let begin = self.begin();
-        let least = self.begins.front().map_or(begin, |(_, oldest)| oldest.min(begin));
-        let slack = USED_SHARE * share.part(self.slack, self.window, now);
+        let window_start = self.window_start();
+        let least =
+            self.window_starts.front().map_or(window_start, |(_, oldest)| oldest.min(window_start));
+        let slack = USABLE_SHARE * share.part(self.slack, self.window, now);
         let taken = (self.granted_count + 1) as f64 - self.earned(self.request_count);
         RepeatDecision {
             is_granted: taken - least <= slack,
@@ -148,8 +149,8 @@
         }
     }
 
-    /// When [`take`](Self::take) will grant a repeat, where none is taken and no request comes
-    /// before; `None` where that does not help.
+    /// Returns the earliest time at which [`take`](Self::take) grants a repeat if no further
+    /// requests or repeats are counted, or `None` if it never does.
     pub fn next_grant(
         &mut self,
         share: &AllowanceShare,
@@ -157,24 +158,24 @@
     ) -> Option<MonotonicTime> {
         let window = self.window;
         self.expire(now);
-        let kept = self.begins.iter().map(|(at, _)| *at + window);
+        let kept = self.window_starts.iter().map(|(at, _)| *at + window);
         let unknown = self.unknown.iter().flat_map(|at| [*at, *at + window]);
         let mut times: Vec<_> = kept.chain(unknown).chain(share.known_at(window)).collect();
         times.push(now);
         times.sort();
         times.dedup();
-        times.into_iter().find(|at| *at >= now && self.clone().look(share, *at).is_granted)
+        times.into_iter().find(|at| *at >= now && self.clone().peek(share, *at).is_granted)
     }
 
-    /// What is kept of a window that begins now.
-    fn begin(&self) -> f64 {
+    /// Returns the value to store for a window that begins now.
+    fn window_start(&self) -> f64 {
         let earlier = self.request_count - self.requests.len() as u64;
         self.settled_count as f64 - self.earned(earlier)
     }
 
-    /// The repeats that so many requests allow, of those in a window and in the one before it.
+    /// Returns the repeats earned by this number of requests in either of two adjacent windows.
     fn earned(&self, requests: u64) -> f64 {
-        USED_SHARE * self.ratio / 2.0 * requests as f64
+        USABLE_SHARE * self.ratio / 2.0 * requests as f64
     }
 
     fn expire(&mut self, now: MonotonicTime) {
@@ -190,8 +191,8 @@
             self.unknown.pop_front();
             self.note_settled(now);
         }
-        while self.begins.front().is_some_and(|(at, _)| is_old(at)) {
-            self.begins.pop_front();
+        while self.window_starts.front().is_some_and(|(at, _)| is_old(at)) {
+            self.window_starts.pop_front();
         }
     }
 }
--- a/crates/dispatch/src/cache.rs
+++ b/crates/dispatch/src/cache.rs
@@ -1,8 +1,8 @@
-//! Which prompt parts a model engine probably still holds.
+//! Estimates which prompt parts are in the prefix cache of a model engine.
 //!
-//! The load pattern: requests share long prefixes, and an engine that holds one reads only the
-//! rest. Reading a shared part again takes as long as a hundred steps of generation, so placing
-//! without regard to caches costs a good part of a pool's capacity.
+//! The load pattern: requests share long prefixes, and an engine that holds a prefix computes only
+//! the rest of the prompt. A repeated prefill of a shared part takes as long as a hundred
+//! generation steps, so placement without regard to caches loses much of the capacity of a pool.
 
 use {
     crate::{PromptPart, PromptShape},
@@ -10,11 +10,12 @@
     std::collections::HashMap,
 };
 
-/// The part of an engine's memory that is assumed to hold cached parts; the rest is taken by
-/// running requests. Too large a figure expects parts that were evicted.
+/// The share of an engine's memory that is assumed to hold cached parts. The rest is used by
+/// running requests. A larger share would count parts that were already evicted.
 const CACHE_SHARE: f64 = 0.6;
 
-/// The cached parts of one engine, as an estimate from what the region's gateways sent there.
+/// The cached parts of one engine, estimated from the requests that the gateways of the region sent
+/// to it. Evicts the least recently used part.
 #[derive(Debug, Default)]
 pub struct CacheEstimate {
     parts: HashMap<u64, CachedPart>,
@@ -24,39 +25,39 @@
 #[derive(Clone, Copy, Debug)]
 struct CachedPart {
     tokens: u32,
-    used: MonotonicTime,
+    last_used: MonotonicTime,
 }
 
 impl CacheEstimate {
-    /// The tokens at the beginning of the prompt that are probably held: parts up to the first
-    /// one that is not.
+    /// Returns the number of leading prompt tokens that are probably cached: the parts up to the
+    /// first one that is not.
     pub fn held_tokens(&self, shape: &PromptShape) -> u32 {
         let held = shape.parts.iter().take_while(|p| self.parts.contains_key(&p.id));
         held.map(|p| p.tokens).sum()
     }
 
-    /// Notes that the engine read these parts.
+    /// Records that the engine processed these parts.
     pub fn note(&mut self, parts: &[PromptPart], memory_tokens: u64, now: MonotonicTime) {
         for part in parts {
-            self.keep(*part, now);
+            self.insert(*part, now);
         }
-        let bound = (memory_tokens as f64 * CACHE_SHARE) as u64;
-        while self.tokens > bound {
-            let oldest = self.parts.iter().min_by_key(|(_, cached)| cached.used);
+        let capacity = (memory_tokens as f64 * CACHE_SHARE) as u64;
+        while self.tokens > capacity {
+            let oldest = self.parts.iter().min_by_key(|(_, cached)| cached.last_used);
             let Some(id) = oldest.map(|(id, _)| *id) else { return };
-            self.forget(id);
+            self.remove(id);
         }
     }
 
-    fn keep(&mut self, part: PromptPart, now: MonotonicTime) {
-        let cached = CachedPart { tokens: part.tokens, used: now };
+    fn insert(&mut self, part: PromptPart, now: MonotonicTime) {
+        let cached = CachedPart { tokens: part.tokens, last_used: now };
         match self.parts.insert(part.id, cached) {
             Some(old) => self.tokens = self.tokens + u64::from(part.tokens) - u64::from(old.tokens),
             None => self.tokens += u64::from(part.tokens),
         }
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove(&mut self, id: u64) {
         if let Some(cached) = self.parts.remove(&id) {
             self.tokens -= u64::from(cached.tokens);
         }
--- a/crates/dispatch/src/decision.rs
+++ b/crates/dispatch/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a scheduler decides.
+//! The decisions of a scheduler.
 
 use {
     crate::RefusalReason,
@@ -6,43 +6,43 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What is to be done with a request.
+/// The decision on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it.
+    /// Send the request to a backend server of this region.
     Send {
-        /// To this run of a backend server.
+        /// The selected run.
         run: BackendRun,
-        /// Which takes requests here.
+        /// The address at which it accepts requests.
         address: SocketAddr,
-        /// With this priority, 0 the most urgent.
+        /// The priority to send with, 0 being the most urgent.
         priority: u8,
-        /// The first byte is expected after this many milliseconds.
+        /// Expected time to first byte, milliseconds.
         expected_ms: f64,
-        /// What it copies of the prompt instead of reading it.
+        /// The part of the prompt to be copied from another engine instead of a prefill.
         copy: Option<PromptCopy>,
     },
-    /// Let a gateway of another region serve it.
+    /// Forward the request to a gateway of another region.
     Forward {
-        /// The region.
+        /// The selected region.
         region: RegionName,
-        /// The first byte was expected after this many milliseconds here; `None` where no backend
-        /// server here may take it.
+        /// Expected time to first byte in this region, milliseconds, or `None` if no backend server
+        /// here may take the request.
         local_ms: Option<f64>,
     },
-    /// Turn it away: it has not run.
+    /// Refuse the request, which has not run.
     Refuse {
-        /// Why.
+        /// The reason of the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// The time after which the caller may retry.
         retry_after: Duration,
-        /// What was known.
-        facts: RefusalDetails,
+        /// The state on which the refusal is based.
+        details: RefusalDetails,
     },
 }
 
 impl Decision {
-    /// Whether the request is to be sent, wherever to.
+    /// Returns whether the request is to be sent, here or to another region.
     pub fn is_sent(&self) -> bool {
         !matches!(self, Self::Refuse { .. })
     }
@@ -51,31 +51,31 @@
 /// Shared parts of a prompt that a model engine copies from another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptCopy {
-    /// Where the engine that holds them takes requests.
+    /// The address of the engine that holds them.
     pub from: SocketAddr,
-    /// Their tokens.
+    /// Number of tokens to copy.
     pub tokens: u32,
-    /// The tokens that could be read in the time that the copy takes.
+    /// Number of tokens whose prefill takes as long as the copy.
     pub cost_tokens: u32,
 }
 
-/// What a refusal was decided from.
+/// The state on which a refusal is based.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RefusalDetails {
-    /// Backend servers of the service that are known in the own region.
+    /// Known backend servers of the service in this region.
     pub known: usize,
-    /// Of these, those that take new work and are not evacuated.
+    /// The known backend servers that accept new requests and are not evacuated.
     pub serving: usize,
-    /// Of these, those that failed lately.
+    /// The serving backend servers that failed recently.
     pub suspect: usize,
-    /// Of those that serve, those that are cold.
+    /// The serving backend servers that are cold.
     pub cold: usize,
-    /// Of those that serve, those from which this gateway backs off.
+    /// The serving backend servers from which this gateway backs off.
     pub backed_off: usize,
     /// Other regions that offer the service and may serve the request.
     pub regions: usize,
-    /// Of these, those to which the path is broken or that turned work away.
+    /// The offering regions to which the path is broken or which refused requests recently.
     pub paused: usize,
-    /// Requests that wait at this gateway.
+    /// Requests queued at this gateway.
     pub waiting: usize,
 }
--- a/crates/dispatch/src/facts.rs
+++ b/crates/dispatch/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told of the deployment around it.
+//! Input of a scheduler: its settings and the backend servers of its region.
 
 use {
     gullglade_units::{
@@ -11,40 +11,40 @@
 /// Settings of a [`Scheduler`](crate::Scheduler).
 #[derive(Clone, Debug)]
 pub struct SchedulerSettings {
-    /// This gateway's VM.
+    /// The VM of this gateway.
     pub own: VmName,
-    /// This gateway's region.
+    /// The region of this gateway.
     pub region: RegionName,
-    /// The regions of the deployment.
+    /// Number of regions in the deployment.
     pub regions: usize,
     /// Repeats per request that all gateways together may send to a service.
     pub repeat_ratio: f64,
-    /// Repeats beyond that in each window.
+    /// Additional repeats per window for all gateways together.
     pub repeat_slack: f64,
     /// The window in which repeats are counted.
     pub repeat_window: Duration,
-    /// How many times the cold rate a cold backend server bears at most.
-    pub cold_over: f64,
-    /// Requests beyond that in each second.
-    pub cold_slack: f64,
+    /// The factor by which the load of a cold backend server may exceed its configured cold rate.
+    pub cold_rate_factor: f64,
+    /// Additional requests per second for a cold backend server.
+    pub cold_rate_slack: f64,
 }
 
-/// A backend server of the own region.
+/// A backend server of this region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendInfo {
     /// Its name.
     pub name: BackendName,
-    /// Which run of that name it is. What was learned of an earlier run says nothing of it.
+    /// The incarnation of the backend server. Observations of an earlier one do not apply to it.
     pub incarnation: Incarnation,
     /// Its service.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// The requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub is_serving: bool,
     /// Whether its announcements are overdue.
     pub is_silent: bool,
@@ -53,7 +53,7 @@
 }
 
 impl BackendInfo {
-    /// Which run of which backend server it is.
+    /// Returns the run, which is the name together with the incarnation.
     pub fn run(&self) -> BackendRun {
         BackendRun { backend: self.name.clone(), incarnation: self.incarnation }
     }
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -1,102 +1,103 @@
-//! Whether a backend server can be trusted with work, from what came of the work that it got.
+//! Passive health tracking of backend servers by the outcomes of requests.
 //!
 //! The load pattern: a backend server fails part of its requests, or hangs, while its own health
-//! check is good. Outcomes decide here. A suspect gets no work while others can take it; after a
-//! pause it is tried with one request, and a good answer clears it.
+//! check passes. A suspect backend server gets no requests while others can take them. After a
+//! pause it is probed with one request, and a good answer clears the suspicion.
 
 use {
     crate::{
         WorkOutcome,
-        fade::{FadeRule, FadingAverage},
+        decay::{DecayRule, DecayingAverage},
     },
     gullglade_units::MonotonicTime,
     std::time::Duration,
 };
 
-/// The pause after a first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+/// The pause after the first failure.
+const INITIAL_PAUSE: Duration = Duration::from_millis(400);
 
-/// The longest pause between two trials. A backend server that works again is used again within
-/// this time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+/// The longest pause between two probes, which bounds the time until a recovered backend server is
+/// used again.
+const MAX_PAUSE: Duration = Duration::from_secs(3);
 
-/// The last ten or so outcomes count in the failure rate, and fade as long as a suspect is left alone.
-const FAILURE_RULE: FadeRule = FadeRule { weight: 0.1, half_life: LONGEST_PAUSE };
+/// The failure rate covers about the last ten outcomes, and decays as fast as suspects are retried.
+const FAILURE_DECAY: DecayRule = DecayRule { weight: 0.1, half_life: MAX_PAUSE };
 
-/// What is full now may have room again soon.
-const REJECTION_RULE: FadeRule = FadeRule { weight: 0.3, half_life: Duration::from_secs(2) };
+/// Rejections decay fast, because a full backend server may have capacity again soon.
+const REJECTION_DECAY: DecayRule = DecayRule { weight: 0.3, half_life: Duration::from_secs(2) };
 
-/// What one backend server's outcomes say.
+/// The health of one backend server as derived from outcomes.
 #[derive(Debug, Default)]
 pub struct HealthRecord {
-    /// Failures in a row that cast suspicion.
+    /// Consecutive failures that raise suspicion.
     failures: u32,
     suspect_until: Option<MonotonicTime>,
-    trial: Option<MonotonicTime>,
-    failure_rate: FadingAverage,
-    rejection_rate: FadingAverage,
+    trial_sent: Option<MonotonicTime>,
+    failure_rate: DecayingAverage,
+    rejection_rate: DecayingAverage,
 }
 
 impl HealthRecord {
-    /// Takes note of an outcome.
+    /// Records an outcome.
     pub fn note(&mut self, outcome: WorkOutcome, now: MonotonicTime) {
-        self.trial = None;
+        self.trial_sent = None;
         match outcome {
-            WorkOutcome::Answered => self.clear_with(0.0, now),
-            // An answer that states a failure shows a server that works; how often it fails is
-            // weighed against the others.
-            WorkOutcome::Failed => self.clear_with(1.0, now),
+            WorkOutcome::Answered => self.clear_suspicion(0.0, now),
+            // A complete error response shows that the server works. Its failure rate is weighed
+            // against those of others.
+            WorkOutcome::Failed => self.clear_suspicion(1.0, now),
             WorkOutcome::Unreachable
             | WorkOutcome::Broken
             | WorkOutcome::Garbled
             | WorkOutcome::Overdue { .. } => self.suspect(now),
-            WorkOutcome::Shed => self.rejection_rate.note(&REJECTION_RULE, 1.0, now),
+            WorkOutcome::Shed => self.rejection_rate.note(&REJECTION_DECAY, 1.0, now),
             WorkOutcome::Misdirected | WorkOutcome::Cancelled => {}
         }
     }
 
-    /// Whether work should go elsewhere.
+    /// Returns whether requests should avoid this backend server.
     pub fn is_suspect(&self, now: MonotonicTime) -> bool {
         let Some(until) = self.suspect_until else { return false };
-        // One trial at a time; a trial that never ended is forgotten with the longest pause.
-        let is_tried = self.trial.is_some_and(|at| now.since(at) < LONGEST_PAUSE);
+        // Only one probe at a time. A probe that never ended is forgotten after the longest pause.
+        let is_tried = self.trial_sent.is_some_and(|at| now.since(at) < MAX_PAUSE);
         now < until || is_tried
     }
 
-    /// Notes that work is sent.
+    /// Records that a request is sent.
     pub fn note_send(&mut self, now: MonotonicTime) {
         if self.suspect_until.is_some() {
-            self.trial = Some(now);
+            self.trial_sent = Some(now);
         }
     }
 
-    /// The part of the last outcomes that were failures, 0 to 1. It fades: a gateway that sends
-    /// little to a backend server would otherwise avoid it for minutes after it has recovered.
+    /// Returns the share of recent outcomes that were failures, 0 to 1. It decays with time, since
+    /// a gateway that sends few requests to a backend server would otherwise avoid it for minutes
+    /// after its recovery.
     pub fn failure_rate(&self, now: MonotonicTime) -> f64 {
-        self.failure_rate.value(&FAILURE_RULE, now)
+        self.failure_rate.value(&FAILURE_DECAY, now)
     }
 
-    /// Notes that a request was accepted.
+    /// Records that a request was accepted.
     pub fn note_accepted(&mut self, now: MonotonicTime) {
-        self.rejection_rate.note(&REJECTION_RULE, 0.0, now);
+        self.rejection_rate.note(&REJECTION_DECAY, 0.0, now);
     }
 
-    /// The part of the last requests that were turned away, 0 to 1. It fades, as the failure rate
-    /// does.
+    /// Returns the share of recent requests that were rejected, 0 to 1. It decays with time, as the
+    /// failure rate does.
     pub fn rejection_rate(&self, now: MonotonicTime) -> f64 {
-        self.rejection_rate.value(&REJECTION_RULE, now)
+        self.rejection_rate.value(&REJECTION_DECAY, now)
     }
 
-    fn clear_with(&mut self, failure: f64, now: MonotonicTime) {
+    fn clear_suspicion(&mut self, failure: f64, now: MonotonicTime) {
         self.failures = 0;
         self.suspect_until = None;
-        self.failure_rate.note(&FAILURE_RULE, failure, now);
+        self.failure_rate.note(&FAILURE_DECAY, failure, now);
     }
 
     fn suspect(&mut self, now: MonotonicTime) {
-        self.failure_rate.note(&FAILURE_RULE, 1.0, now);
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(4));
+        self.failure_rate.note(&FAILURE_DECAY, 1.0, now);
+        let pause = INITIAL_PAUSE * 2_u32.saturating_pow(self.failures.min(4));
         self.failures += 1;
-        self.suspect_until = Some(now + pause.min(LONGEST_PAUSE));
+        self.suspect_until = Some(now + pause.min(MAX_PAUSE));
     }
 }
--- a/crates/dispatch/src/hint.rs
+++ b/crates/dispatch/src/hint.rs
@@ -1,4 +1,4 @@
-//! What gateways of a region tell each other of the backend servers that they share.
+//! Hints that the gateways of a region exchange about the backend servers they share.
 
 use {
     crate::{BackendReport, PromptPart, StatedLimit, StatementChange, limit::LimitRecord},
@@ -7,84 +7,84 @@
     std::time::Duration,
 };
 
-/// Something that other gateways of the region should know of: they send to the same backend
-/// servers, and see little of each of them themselves.
+/// An update for the other gateways of the region. They send to the same backend servers, and each
+/// gateway observes only few requests itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendHint {
     /// The run of a backend server.
     pub run: BackendRun,
-    /// The request's number among those of all gateways.
+    /// The request number, unique among all gateways.
     pub request: u64,
-    /// Its priority.
+    /// The priority of the request.
     pub priority: u8,
-    /// How long ago it was sent, microseconds, when this is told.
+    /// Age of the send when this hint is sent, microseconds.
     pub sent_ago_us: u32,
-    /// What happened.
+    /// The update.
     pub news: RequestUpdate,
 }
 
-/// What happened to a request.
+/// A change in the state of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RequestUpdate {
-    /// It was sent.
+    /// The request was sent.
     Sent {
-        /// The prompt tokens to be read; `None` for a request without a prompt.
+        /// Number of prompt tokens to process, or `None` for a request without a prompt.
         tokens: Option<u32>,
-        /// The parts of its prompt that other requests may share, which the engine will hold.
+        /// The shared parts of the prompt, which the engine will cache.
         parts: Vec<PromptPart>,
     },
-    /// The first byte of its answer came.
+    /// The first byte of the answer was received.
     Begun {
-        /// How long ago, microseconds.
+        /// Age of the event, microseconds.
         ago_us: u32,
         /// The load that the backend server stated with the answer.
         load: Option<BackendReport>,
-        /// What is known of its limit.
+        /// The known rate limit of the backend server.
         limit: LimitUpdate,
     },
-    /// It ended without an answer.
+    /// The request ended without an answer.
     Dropped,
-    /// The backend server rejected it and requested a back-off of the gateway that had sent it.
+    /// The backend server rejected the request and requested a back-off of the sending gateway.
     Backoff {
-        /// How long that still lasts, microseconds.
+        /// The remaining time, microseconds.
         left_us: u32,
     },
-    /// The backend server leaves.
+    /// The backend server is leaving.
     Leaving,
 }
 
-/// The limit of a backend server, as a gateway knows it.
+/// The rate limit of a backend server as known to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// The limit that it stated last, if it stated one.
+    /// The limit that was stated last, if any.
     pub limit: Option<StatedLimit>,
-    /// How long ago the answer came that said so, microseconds. That may be long before the first
-    /// byte with which it is told.
+    /// Age of the answer that stated it, microseconds. It may be much older than the first byte
+    /// that it is sent with.
     pub ago_us: u32,
 }
 
 impl LimitUpdate {
     pub(crate) fn new(record: &LimitRecord, now: MonotonicTime) -> Self {
-        Self { limit: record.limit(), ago_us: micros(now.since(record.came())) }
+        Self { limit: record.limit(), ago_us: micros(now.since(record.received())) }
     }
 }
 
-/// A hint that is still to be told: its times are those of this process.
+/// A hint that was not sent yet, with times on the local clock.
 #[derive(Clone, Debug)]
-pub(crate) struct OwnHint {
+pub(crate) struct PendingHint {
     pub(crate) run: BackendRun,
     pub(crate) request: u64,
     pub(crate) priority: u8,
     pub(crate) sent: MonotonicTime,
-    pub(crate) happened: MonotonicTime,
+    pub(crate) happened_at: MonotonicTime,
     pub(crate) news: RequestUpdate,
 }
 
-impl OwnHint {
-    /// As it is told at `now`.
-    pub(crate) fn told(self, now: MonotonicTime) -> BackendHint {
-        let Self { run, request, priority, sent, happened, mut news } = self;
-        let age_us = micros(now.since(happened));
+impl PendingHint {
+    /// Converts the times to ages at `now`.
+    pub(crate) fn into_hint(self, now: MonotonicTime) -> BackendHint {
+        let Self { run, request, priority, sent, happened_at, mut news } = self;
+        let age_us = micros(now.since(happened_at));
         match &mut news {
             RequestUpdate::Begun { ago_us, limit, .. } => {
                 *ago_us = age_us;
@@ -98,8 +98,9 @@
     }
 }
 
-/// What others are told of a statement at once. A limit goes along with the first byte instead.
-pub(crate) fn statement_news(change: &StatementChange) -> Option<RequestUpdate> {
+/// Returns the update that is sent as soon as a statement changes. A limit is sent with the first
+/// byte instead.
+pub(crate) fn statement_update(change: &StatementChange) -> Option<RequestUpdate> {
     match change {
         StatementChange::Limit(_) => None,
         StatementChange::Backoff(backoff) => {
@@ -109,8 +110,8 @@
     }
 }
 
-/// The time that was so many microseconds ago.
-pub(crate) fn ago(now: MonotonicTime, micros: u32) -> MonotonicTime {
+/// Returns the time `micros` microseconds before `now`.
+pub(crate) fn micros_ago(now: MonotonicTime, micros: u32) -> MonotonicTime {
     MonotonicTime(now.0.saturating_sub(Duration::from_micros(micros.into())))
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,41 +1,41 @@
-//! Where work goes, how it waits and when it is turned away.
+//! Request scheduling of one gateway: placement on backend servers, queueing and load shedding.
 //!
-//! Nothing here does I/O, reads a clock or starts a task: the time comes with each call, so the
-//! gateway and the replays of load run the same code. A gateway hands each request to a
-//! [`Scheduler`] as a [`WorkItem`], tells it what it learns ([`WorkOutcome`], [`BackendReport`],
-//! the fleet), and carries out the [`Decision`]s.
+//! The crate does no I/O, reads no clock and starts no task. Callers pass the time to each method,
+//! so the gateway and the load replays of the tests run the same code. A gateway submits each
+//! request to a [`Scheduler`] as a [`WorkItem`], reports observations ([`WorkOutcome`],
+//! [`BackendReport`], changes of the fleet), and carries out each [`Decision`].
 //!
-//! - [`BackendLoad`] predicts when a backend server would give the first byte.
-//! - [`CacheEstimate`] knows which prompt parts a model engine probably still holds.
-//! - [`HealthRecord`] believes outcomes, and lets a suspect back by trial.
-//! - [`SilentRun`] says when another place is sought beside a run from which nothing comes.
-//! - [`AttemptTracker`] says which backend servers may get a request next.
-//! - [`HandoverDelays`] says how long such a run is kept beside the one that replaces it.
-//! - [`RepeatBudget`] and [`AllowanceShare`] divide what all gateways together may do.
+//! - [`BackendLoad`] predicts the time to first byte at a backend server.
+//! - [`CacheEstimate`] estimates which prompt parts are in the cache of a model engine.
+//! - [`HealthRecord`] detects failing backend servers by passive outlier detection.
+//! - [`SilentRun`] decides when to look for a replacement of a run that produces no output.
+//! - [`AttemptTracker`] limits the backend servers that one request is sent to.
+//! - [`HandoverDelays`] determines how long a run is kept after its replacement was sent.
+//! - [`RepeatBudget`] and [`AllowanceShare`] divide a fleet-wide retry budget among gateways.
 
 mod attempts;
 mod backoff;
 mod budget;
 mod cache;
+mod caller_deadline;
+mod decay;
 mod decision;
-mod facts;
-mod fade;
+mod deployment;
 mod handover;
 mod health;
 mod hint;
 mod limit;
 mod load;
-mod patience;
+mod membership;
+mod prefill;
+mod priority;
 mod rate;
 mod regions;
-mod roster;
 mod scheduler;
 mod share;
 mod silence;
 mod stall;
 mod statement;
-mod unread;
-mod urgency;
 mod work;
 
 pub use {
@@ -43,14 +43,14 @@
     backoff::{InvalidBackoff, StatedBackoff},
     budget::{RepeatArrival, RepeatBudget, RepeatDecision},
     cache::CacheEstimate,
+    caller_deadline::deadline_for_first_byte,
     decision::{Decision, PromptCopy, RefusalDetails},
-    facts::{BackendInfo, SchedulerSettings},
+    deployment::{BackendInfo, SchedulerSettings},
     handover::{HandoverDelays, HandoverTimes},
     health::HealthRecord,
     hint::{BackendHint, LimitUpdate, RequestUpdate},
     limit::{InvalidLimit, StatedLimit},
     load::{BackendLoad, BackendReport, SentRequest, WorkCost},
-    patience::deadline_for_first_byte,
     regions::{FirstByteTimes, RegionInfo},
     scheduler::{STALL_CHECK_INTERVAL, Scheduler},
     share::AllowanceShare,
--- a/crates/dispatch/src/limit.rs
+++ b/crates/dispatch/src/limit.rs
@@ -1,4 +1,4 @@
-//! The limit that a backend server states while it can take little.
+//! The request rate limit that a backend server states while its capacity is reduced.
 
 use {
     gullglade_event::FieldValue,
@@ -7,23 +7,23 @@
     std::{fmt, time::Duration},
 };
 
-/// A limit of which nothing was heard for this long may have been lifted.
+/// A limit that was not confirmed for this long may have been lifted, and is probed.
 const TRIAL_PAUSE: Duration = Duration::from_secs(10);
 
-/// The time between the trials of two gateways.
+/// The time between the probes of two gateways.
 const TRIAL_SPACING: Duration = Duration::from_secs(4);
 
-/// The requests a second that a backend server takes from all gateways together.
+/// A limit on the requests per second that a backend server takes from all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct StatedLimit(f64);
 
-/// A number that is no rate.
+/// A number that is not a valid rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InvalidLimit(f64);
 
 impl StatedLimit {
-    /// Requests a second, zero or more.
+    /// Returns the limit in requests per second, which is zero or more.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -60,38 +60,39 @@
 
 impl std::error::Error for InvalidLimit {}
 
-/// What one backend server said last.
+/// The limit that one backend server stated last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LimitRecord {
     limit: Option<StatedLimit>,
-    /// When the answer came that said so.
-    came: MonotonicTime,
+    /// When the answer with this statement was received.
+    received: MonotonicTime,
 }
 
 impl LimitRecord {
-    /// The limit in force.
+    /// Returns the limit in force.
     pub(crate) fn limit(&self) -> Option<StatedLimit> {
         self.limit
     }
 
-    /// When the answer came that said so.
-    pub(crate) fn came(&self) -> MonotonicTime {
-        self.came
+    /// Returns when the answer with the latest statement was received.
+    pub(crate) fn received(&self) -> MonotonicTime {
+        self.received
     }
 
-    /// When a gateway may send though it has no part of the limit, to learn whether it is still
-    /// stated: once nothing was heard of it for long, one gateway after the other by `rank`.
-    pub(crate) fn trial(&self, rank: usize) -> MonotonicTime {
+    /// Returns when a gateway without a share of the limit may send a request to learn whether the
+    /// limit is still stated. Gateways do so one after another, in the order of their `rank`.
+    pub(crate) fn next_trial(&self, rank: usize) -> MonotonicTime {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        self.came + TRIAL_PAUSE + TRIAL_SPACING.saturating_mul(rank)
+        self.received + TRIAL_PAUSE + TRIAL_SPACING.saturating_mul(rank)
     }
 
-    /// Takes what an answer that came at `came` says; whether that is another limit than before.
-    pub(crate) fn note(&mut self, limit: Option<StatedLimit>, came: MonotonicTime) -> bool {
-        if came < self.came {
+    /// Records the limit stated in an answer that was received at `received`. Returns whether it
+    /// differs from the previous one. Older answers are ignored.
+    pub(crate) fn note(&mut self, limit: Option<StatedLimit>, received: MonotonicTime) -> bool {
+        if received < self.received {
             return false;
         }
-        self.came = came;
+        self.received = received;
         std::mem::replace(&mut self.limit, limit) != limit
     }
 }
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -1,120 +1,120 @@
-//! When a backend server would give the first byte of an answer.
+//! Prediction of the time to first byte at a backend server.
 //!
-//! The load pattern: several gateways send prompts of very different length to the same engines.
-//! An engine reads them one after the other, the more urgent first, so what counts is the reading
-//! that is ahead ([`UnreadQueue`]), own sends and those that other gateways told of. What that does
-//! not know shows in first bytes that come later than predicted; from those a base is learned,
-//! which fades, since what caused it may be over.
+//! The load pattern: several gateways send prompts of very different lengths to the same engines.
+//! An engine processes them one after another by priority, so the prediction is based on the
+//! prefill work ahead ([`PrefillQueue`]), which includes the requests that other gateways reported.
+//! Other causes of delay show up as first bytes that arrive later than predicted. They are learned
+//! as an offset, which decays because the cause may be over.
 
 use {
     crate::{
         TicketId,
-        fade::{FadeRule, FadingAverage, faded},
-        unread::{FirstByte, UnreadPrompt, UnreadQueue},
+        decay::{DecayRule, DecayingAverage, decayed},
+        prefill::{FirstByte, PendingPrompt, PrefillQueue},
     },
     gullglade_units::MonotonicTime,
     serde::{Deserialize, Serialize},
     std::{collections::HashMap, time::Duration},
 };
 
-/// How the base follows first bytes: other gateways' work in an engine is done within about a second.
-const BASE_RULE: FadeRule = FadeRule { weight: 0.3, half_life: Duration::from_millis(700) };
+/// The offset follows first bytes fast, since the unreported work of other gateways is done within
+/// about a second.
+const OFFSET_DECAY: DecayRule = DecayRule { weight: 0.3, half_life: Duration::from_millis(700) };
 
-/// The most that the base can be, milliseconds. One answer that hung must not keep an engine from
-/// being used for long.
-const MOST_BASE_MS: f64 = 1_500.0;
+/// Upper bound of the offset. A single answer that hung must not keep an engine out of use for
+/// long.
+const MAX_OFFSET_MS: f64 = 1_500.0;
 
-/// A first guess at how fast prompts are read, tokens a millisecond, until answers teach it.
-const FIRST_READ_RATE: f64 = 60.0;
+/// The assumed prefill rate until it is measured, tokens per millisecond.
+const INITIAL_PREFILL_RATE: f64 = 60.0;
 
-/// The bounds between which the reading rate is learned, tokens a millisecond. Wider than any
-/// engine in use; they keep one odd answer from making a rate of nothing.
-const READ_RATE_BOUNDS: (f64, f64) = (5.0, 500.0);
+/// Bounds of the learned prefill rate, tokens per millisecond. They are wider than the range of
+/// known engines, and limit the effect of outliers.
+const PREFILL_RATE_BOUNDS: (f64, f64) = (5.0, 500.0);
 
-/// Of the load that a backend server stated, the part that is not this gateway's halves in this
-/// time. What was full a moment ago works itself free, and nobody tells a gateway that sends
-/// nothing there any more: without this, plain services of six places stood idle for seconds
-/// while requests waited for them.
-const STATED_HALF_LIFE: Duration = Duration::from_millis(200);
+/// Half-life of the part of a stated load that is due to other gateways. A gateway that sends
+/// nothing to a full backend server gets no new reports from it. Without decay, plain services of
+/// six slots were idle for seconds while requests waited for them.
+const REPORT_HALF_LIFE: Duration = Duration::from_millis(200);
 
-/// A first guess at how long a request without a prompt takes, milliseconds.
-const FIRST_WORK_MS: f64 = 20.0;
+/// The assumed service time of a request without a prompt until it is measured.
+const INITIAL_WORK_MS: f64 = 20.0;
 
-/// The weight of the newest answer in that time.
+/// The weight of the newest sample in that service time.
 const WORK_WEIGHT: f64 = 0.05;
 
-/// Priorities that are told apart; those beyond count as the last.
-pub(crate) const PRIORITIES: usize = 4;
+/// The number of distinct priorities. Higher values count as the last one.
+pub(crate) const PRIORITY_CLASSES: usize = 4;
 
-/// A backend server from which something came this lately is at work, and what it has not yet
-/// answered waits its turn there.
-pub(crate) const PROGRESS_AGE: Duration = Duration::from_millis(700);
+/// A backend server that sent something within this time is working, and its unanswered requests
+/// are waiting for their turn.
+pub(crate) const PROGRESS_MAX_AGE: Duration = Duration::from_millis(700);
 
-/// An engine stands still where first bytes are overdue by this and nothing was heard from it for
-/// as long. Reading the longest prompts takes longer, but that is expected, and more urgent ones
-/// are answered meanwhile.
-const STALL_AGE: Duration = Duration::from_millis(500);
+/// An engine is stalled if first bytes are overdue by this and nothing was received from it for as
+/// long. The prefill of the longest prompts takes longer, but is part of the prediction, and more
+/// urgent requests are answered meanwhile.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The load that a backend server stated.
+/// The load that a backend server states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendReport {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// What a request takes of a backend server.
+/// The work that a request causes at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkCost {
-    /// Prompt tokens that it has to read, by estimate; `None` for a request without a prompt.
+    /// Estimated number of prompt tokens to process, or `None` for a request without a prompt.
     pub tokens: Option<u32>,
-    /// The requests that the backend server runs at once.
+    /// Number of requests that the backend server runs concurrently.
     pub slots: u32,
 }
 
-/// One request at a backend server.
+/// A request that was sent to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct SentRequest {
-    /// Its number among those of all gateways.
+    /// The request number, unique among all gateways.
     pub request: u64,
-    /// What it takes.
+    /// The work that it causes.
     pub cost: WorkCost,
-    /// Its priority, 0 the most urgent.
+    /// Its priority, 0 being the most urgent.
     pub priority: u8,
     /// When it was sent.
     pub sent: MonotonicTime,
 }
 
-/// What a load remembers of an own request.
+/// An unfinished request of this gateway.
 #[derive(Clone, Copy, Debug)]
-struct SentWork {
+struct OwnRequest {
     sent: SentRequest,
     has_begun: bool,
-    /// The work that was ahead of it when it was sent, milliseconds.
+    /// The work ahead of it when it was sent, milliseconds.
     ahead_ms: f64,
 }
 
-/// The load of one backend server as one gateway sees it.
+/// The load of one backend server as known to one gateway.
 #[derive(Debug)]
 pub struct BackendLoad {
-    sent: HashMap<TicketId, SentWork>,
-    /// The prompts of all gateways that it has not begun to answer.
-    unread: UnreadQueue,
-    /// By priority: when all plain work that goes before a request of it will be done.
-    busy_until: [MonotonicTime; PRIORITIES],
-    /// When something last came from it, to any gateway.
-    heard: MonotonicTime,
-    /// By priority: how much later than predicted first bytes come, milliseconds.
-    bases: [FadingAverage; PRIORITIES],
-    read_rate: f64,
+    sent: HashMap<TicketId, OwnRequest>,
+    /// Prompts of all gateways whose answers have not begun.
+    prefill: PrefillQueue,
+    /// When the plain work ahead of a new request will be done, by priority class.
+    busy_until: [MonotonicTime; PRIORITY_CLASSES],
+    /// When something was last received from it by any gateway.
+    last_activity: MonotonicTime,
+    /// Learned delay of first bytes beyond the prediction, by priority class.
+    offsets_ms: [DecayingAverage; PRIORITY_CLASSES],
+    prefill_rate: f64,
     work_ms: f64,
     report: Option<(BackendReport, MonotonicTime)>,
-    /// This gateway's requests that were there when the load was stated.
+    /// Unfinished requests of this gateway when the load was stated.
     own_at_report: u32,
-    /// Requests of other gateways that were sent since.
+    /// Requests of other gateways sent since then.
     others_since_report: u32,
 }
 
@@ -122,12 +122,12 @@
     fn default() -> Self {
         Self {
             sent: HashMap::new(),
-            unread: UnreadQueue::default(),
-            busy_until: [MonotonicTime::default(); PRIORITIES],
-            heard: MonotonicTime::default(),
-            bases: [FadingAverage::default(); PRIORITIES],
-            read_rate: FIRST_READ_RATE,
-            work_ms: FIRST_WORK_MS,
+            prefill: PrefillQueue::default(),
+            busy_until: [MonotonicTime::default(); PRIORITY_CLASSES],
+            last_activity: MonotonicTime::default(),
+            offsets_ms: [DecayingAverage::default(); PRIORITY_CLASSES],
+            prefill_rate: INITIAL_PREFILL_RATE,
+            work_ms: INITIAL_WORK_MS,
             report: None,
             own_at_report: 0,
             others_since_report: 0,
@@ -136,155 +136,164 @@
 }
 
 impl BackendLoad {
-    /// Requests of this gateway that are there.
+    /// Returns the number of unfinished requests of this gateway.
     pub fn own(&self) -> usize {
         self.sent.len()
     }
 
-    /// Requests that are there, of all gateways, by estimate.
+    /// Returns the estimated number of unfinished requests of all gateways.
     pub fn total(&self, now: MonotonicTime) -> u32 {
         let own = self.sent.len() as f64;
         let Some((report, at)) = self.report else { return own as u32 };
         let stated = f64::from(report.running + report.waiting);
         let others =
             (stated - f64::from(self.own_at_report)).max(0.0) + f64::from(self.others_since_report);
-        (own + faded(others, now.since(at), STATED_HALF_LIFE)).round() as u32
+        (own + decayed(others, now.since(at), REPORT_HALF_LIFE)).round() as u32
     }
 
-    /// Milliseconds until the first byte, were a request of this cost sent now.
+    /// Returns the expected time to first byte of a request sent now, milliseconds.
     pub fn first_byte_ms(&self, cost: WorkCost, priority: u8, now: MonotonicTime) -> f64 {
-        let stretch = self.unread.stretch(rank(priority), now);
-        let work = self.ahead_ms(priority, now) + self.own_ms(cost);
-        self.base(rank(priority), now) + work * stretch
+        let preemption_factor = self.prefill.preemption_factor(priority_class(priority), now);
+        let work = self.ahead_ms(priority, now) + self.service_ms(cost);
+        self.offset_ms(priority_class(priority), now) + work * preemption_factor
     }
 
-    /// Milliseconds of work that goes before a request of this priority.
+    /// Returns the work ahead of a new request of this priority, milliseconds.
     pub fn ahead_ms(&self, priority: u8, now: MonotonicTime) -> f64 {
-        let rank = rank(priority);
-        self.unread.ahead_ms(rank, now) + millis(self.busy_until[rank].since(now))
+        let class = priority_class(priority);
+        self.prefill.ahead_ms(class, now) + as_millis(self.busy_until[class].since(now))
     }
 
-    /// Notes a send, of this gateway where `ticket` is given.
+    /// Records that a request was sent, by this gateway if `ticket` is given.
     pub fn send(&mut self, ticket: Option<TicketId>, sent: SentRequest, now: MonotonicTime) {
         let ahead_ms = self.ahead_ms(sent.priority, now);
         match ticket {
             Some(ticket) => {
-                self.sent.insert(ticket, SentWork { sent, has_begun: false, ahead_ms });
+                self.sent.insert(ticket, OwnRequest { sent, has_begun: false, ahead_ms });
             }
             None => self.others_since_report += 1,
         }
-        let rank = rank(sent.priority);
+        let class = priority_class(sent.priority);
         let Some(tokens) = sent.cost.tokens else {
-            self.add_plain(self.cost_ms(sent.cost), rank, now);
+            self.add_plain_work(self.occupancy_ms(sent.cost), class, now);
             return;
         };
         let expected_ms = self.first_byte_ms(sent.cost, sent.priority, now);
-        self.unread.add(UnreadPrompt {
+        self.prefill.add(PendingPrompt {
             request: sent.request,
             is_own: ticket.is_some(),
-            rank,
+            class,
             sent: sent.sent,
             tokens,
-            cost_ms: self.read_ms(tokens),
+            cost_ms: self.prefill_ms(tokens),
             ahead_ms,
             due: sent.sent + Duration::from_secs_f64(expected_ms.max(0.0) / 1_000.0),
         });
     }
 
-    /// Whether something came from it lately.
+    /// Returns whether something was received from the backend server recently.
     pub fn is_at_work(&self, now: MonotonicTime) -> bool {
-        now.since(self.heard) < PROGRESS_AGE
+        now.since(self.last_activity) < PROGRESS_MAX_AGE
     }
 
-    /// Whether an engine stands still: first bytes are overdue, and nothing at all has come from it
-    /// to any gateway of the region. One that is only slow answers others meanwhile.
+    /// Returns whether the engine is stalled: first bytes are overdue, and no gateway of the region
+    /// has received anything from it recently. An engine that is merely slow still answers other
+    /// requests.
     pub fn is_stalled(&self, now: MonotonicTime) -> bool {
-        now.since(self.heard) > STALL_AGE && self.unread.is_overdue(STALL_AGE, now)
+        now.since(self.last_activity) > STALL_TIMEOUT && self.prefill.is_overdue(STALL_TIMEOUT, now)
     }
 
-    /// Plain work of one priority delays every one that is not more urgent.
-    fn add_plain(&mut self, cost_ms: f64, rank: usize, now: MonotonicTime) {
-        let work = Duration::from_secs_f64(cost_ms / 1_000.0);
-        for until in &mut self.busy_until[rank..] {
+    /// Adds plain work, which delays requests of the same and of less urgent classes.
+    fn add_plain_work(&mut self, occupancy_ms: f64, class: usize, now: MonotonicTime) {
+        let work = Duration::from_secs_f64(occupancy_ms / 1_000.0);
+        for until in &mut self.busy_until[class..] {
             *until = (*until).max(now) + work;
         }
     }
 
-    /// The milliseconds by which a request delays those behind it. Prompts are read one after the
-    /// other; requests without one run side by side, as many as there are places.
-    pub(crate) fn cost_ms(&self, cost: WorkCost) -> f64 {
+    /// Returns the time by which a request delays those behind it, milliseconds. Prompts are
+    /// processed one after another, whereas requests without a prompt run concurrently in all
+    /// slots.
+    pub(crate) fn occupancy_ms(&self, cost: WorkCost) -> f64 {
         match cost.tokens {
-            Some(tokens) => self.read_ms(tokens),
+            Some(tokens) => self.prefill_ms(tokens),
             None => self.work_ms / f64::from(cost.slots.max(1)),
         }
     }
 
-    /// The milliseconds until the first byte of a request with nothing ahead of it.
-    pub(crate) fn own_ms(&self, cost: WorkCost) -> f64 {
-        let reading = |tokens| self.read_ms(tokens) * self.unread.pace();
+    /// Returns the time to first byte of a request with nothing ahead of it, milliseconds.
+    pub(crate) fn service_ms(&self, cost: WorkCost) -> f64 {
+        let reading = |tokens| self.prefill_ms(tokens) * self.prefill.slowdown();
         cost.tokens.map_or(self.work_ms, reading)
     }
 
-    /// Notes the first byte of an own request, and learns from when it came. `None` where it had
-    /// come before.
-    pub fn begin(&mut self, ticket: TicketId, now: MonotonicTime) -> Option<SentRequest> {
-        self.heard = now;
+    /// Records the first byte of an own request and learns from its delay. Returns `None` if the
+    /// first byte was recorded before.
+    pub fn note_own_first_byte(
+        &mut self,
+        ticket: TicketId,
+        now: MonotonicTime,
+    ) -> Option<SentRequest> {
+        self.last_activity = now;
         let work = self.sent.get_mut(&ticket)?;
         if std::mem::replace(&mut work.has_begun, true) {
             return None;
         }
-        let SentWork { sent, ahead_ms, .. } = *work;
+        let OwnRequest { sent, ahead_ms, .. } = *work;
         if sent.cost.tokens.is_none() {
-            let took = millis(now.since(sent.sent));
-            let beyond = took - (ahead_ms + self.own_ms(sent.cost));
-            self.learn_base(beyond, rank(sent.priority), now);
-            self.work_ms += WORK_WEIGHT * ((took - ahead_ms).max(1.0) - self.work_ms);
+            let took_ms = as_millis(now.since(sent.sent));
+            let excess_ms = took_ms - (ahead_ms + self.service_ms(sent.cost));
+            self.learn_offset(excess_ms, priority_class(sent.priority), now);
+            self.work_ms += WORK_WEIGHT * ((took_ms - ahead_ms).max(1.0) - self.work_ms);
         }
         self.note_first_byte(sent.request, sent.priority, sent.sent, now);
         Some(sent)
     }
 
-    /// Notes the first byte of an answer, to whichever gateway.
+    /// Records the first byte of an answer to any gateway.
     pub fn note_first_byte(
         &mut self,
         request: u64,
         priority: u8,
         sent: MonotonicTime,
-        came: MonotonicTime,
+        received: MonotonicTime,
     ) {
-        self.heard = self.heard.max(came);
-        let rank = rank(priority);
-        let Some(prompt) = self.unread.begin(FirstByte { request, rank, sent, came }) else {
+        self.last_activity = self.last_activity.max(received);
+        let class = priority_class(priority);
+        let Some(prompt) =
+            self.prefill.note_first_byte(FirstByte { request, class, sent, received })
+        else {
             return;
         };
-        let took = millis(came.since(prompt.sent));
-        let base = self.base(rank, came);
-        let own_ms = prompt.cost_ms * self.unread.pace();
-        let known = (prompt.ahead_ms + own_ms) * self.unread.stretch(rank, prompt.sent);
-        self.learn_base(took - known, rank, came);
-        self.learn_rate(&prompt, took, base);
+        let took_ms = as_millis(received.since(prompt.sent));
+        let offset_ms = self.offset_ms(class, received);
+        let service_ms = prompt.cost_ms * self.prefill.slowdown();
+        let predicted_ms =
+            (prompt.ahead_ms + service_ms) * self.prefill.preemption_factor(class, prompt.sent);
+        self.learn_offset(took_ms - predicted_ms, class, received);
+        self.learn_rate(&prompt, took_ms, offset_ms);
     }
 
-    /// An own request that is there.
+    /// Returns an unfinished request of this gateway.
     pub(crate) fn sent(&self, ticket: TicketId) -> Option<SentRequest> {
         self.sent.get(&ticket).map(|work| work.sent)
     }
 
-    /// Notes the end of an own send; its request where its answer had not begun.
+    /// Records the end of an own request. Returns the request if its answer had not begun.
     pub fn end(&mut self, ticket: TicketId) -> Option<SentRequest> {
         let work = self.sent.remove(&ticket).filter(|work| !work.has_begun)?;
-        self.unread.withdraw(work.sent.request);
+        self.prefill.withdraw(work.sent.request);
         Some(work.sent)
     }
 
-    /// Notes that a request of another gateway will not begin.
+    /// Records that a request of another gateway ended without an answer.
     pub fn note_dropped(&mut self, request: u64) {
-        self.unread.withdraw(request);
+        self.prefill.withdraw(request);
     }
 
-    /// Notes the load that the backend server stated.
+    /// Records the load that the backend server stated.
     pub fn note_report(&mut self, report: BackendReport, now: MonotonicTime) {
-        self.heard = self.heard.max(now);
+        self.last_activity = self.last_activity.max(now);
         if self.report.is_some_and(|(_, at)| at > now) {
             return;
         }
@@ -293,42 +302,43 @@
         self.others_since_report = 0;
     }
 
-    /// The load that it stated within the last `age`.
+    /// Returns the stated load if it is younger than `age`.
     pub fn recent_report(&self, age: Duration, now: MonotonicTime) -> Option<BackendReport> {
         self.report.filter(|(_, at)| now.since(*at) < age).map(|(report, _)| report)
     }
 
-    /// Kept apart by priority: less urgent work that waits long behind more urgent says nothing of
-    /// how long the more urgent waits.
-    fn base(&self, rank: usize, now: MonotonicTime) -> f64 {
-        self.bases[rank].value(&BASE_RULE, now)
+    /// Returns the learned offset, milliseconds. It is kept per class, because less urgent requests
+    /// that wait long behind more urgent ones say nothing about the delay of the latter.
+    fn offset_ms(&self, class: usize, now: MonotonicTime) -> f64 {
+        self.offsets_ms[class].value(&OFFSET_DECAY, now)
     }
 
-    fn learn_base(&mut self, beyond_ms: f64, rank: usize, now: MonotonicTime) {
-        self.bases[rank].note(&BASE_RULE, beyond_ms.clamp(0.0, MOST_BASE_MS), now);
+    fn learn_offset(&mut self, excess_ms: f64, class: usize, now: MonotonicTime) {
+        self.offsets_ms[class].note(&OFFSET_DECAY, excess_ms.clamp(0.0, MAX_OFFSET_MS), now);
     }
 
-    pub(crate) fn read_ms(&self, tokens: u32) -> f64 {
-        f64::from(tokens) / self.read_rate
+    pub(crate) fn prefill_ms(&self, tokens: u32) -> f64 {
+        f64::from(tokens) / self.prefill_rate
     }
 
-    /// A long prompt with nothing ahead tells how fast prompts are read.
-    fn learn_rate(&mut self, prompt: &UnreadPrompt, took: f64, base: f64) {
-        const TELLING_TOKENS: u32 = 3_000;
-        if prompt.tokens < TELLING_TOKENS || prompt.ahead_ms > 0.0 || base > 20.0 {
+    /// Learns the prefill rate from a long prompt with nothing ahead of it.
+    fn learn_rate(&mut self, prompt: &PendingPrompt, took_ms: f64, offset_ms: f64) {
+        const MIN_SAMPLE_TOKENS: u32 = 3_000;
+        if prompt.tokens < MIN_SAMPLE_TOKENS || prompt.ahead_ms > 0.0 || offset_ms > 20.0 {
             return;
         }
-        let rate = f64::from(prompt.tokens) / took.max(1.0);
-        let (least, most) = READ_RATE_BOUNDS;
-        self.read_rate = (self.read_rate + 0.1 * (rate - self.read_rate)).clamp(least, most);
+        let rate = f64::from(prompt.tokens) / took_ms.max(1.0);
+        let (least, most) = PREFILL_RATE_BOUNDS;
+        self.prefill_rate =
+            (self.prefill_rate + 0.1 * (rate - self.prefill_rate)).clamp(least, most);
     }
 }
 
-/// The place of a priority among those that are told apart.
-pub(crate) fn rank(priority: u8) -> usize {
-    usize::from(priority).min(PRIORITIES - 1)
+/// Returns the priority class, an index into the per-priority tables.
+pub(crate) fn priority_class(priority: u8) -> usize {
+    usize::from(priority).min(PRIORITY_CLASSES - 1)
 }
 
-fn millis(duration: Duration) -> f64 {
+fn as_millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1_000.0
 }
--- a/crates/dispatch/src/rate.rs
+++ b/crates/dispatch/src/rate.rs
@@ -1,36 +1,37 @@
-//! The rate of sends to one backend server, divided among gateways.
+//! Rate limiting of sends to one backend server, divided among gateways.
 //!
 //! The load patterns:
 //!
-//! - A failure domain comes back after an outage, and all gateways send it the work that waits. A
-//!   cold backend server bears a few requests a second from all of them together and crashes well
-//!   above that.
-//! - A backend server in need states with its answers how many requests a second it takes, and
-//!   gets the same work as before from every gateway that was not told.
+//! - A failure domain comes back after an outage, and all gateways send it their queued requests. A
+//!   cold backend server tolerates a few requests per second from all of them together and crashes
+//!   well above that.
+//! - A backend server with reduced capacity states a limit in its answers, and would still get the
+//!   same load from every gateway that has not seen the statement.
 //!
-//! The gateways do not ask each other; each takes a fixed part of the rate by its rank among the
-//! gateways that may send, so that the parts never add up to more than the whole.
+//! The gateways do not coordinate. Each uses a fixed share of the rate by its rank among the
+//! gateways that may send, so the shares never exceed the whole.
 
 use {
-    crate::{StatedLimit, roster::GatewayPlace},
+    crate::{StatedLimit, membership::GatewayPosition},
     gullglade_units::MonotonicTime,
     std::time::Duration,
 };
 
-/// The span in which sends to a cold backend server are counted: a second, and the time by which a
-/// gateway that stands still may bring two sends closer together than they were decided.
+/// The window for sends to a cold backend server: one second, plus the time by which a stalled
+/// gateway may move two sends closer together.
 const COLD_SPAN: Duration = Duration::from_millis(1_350);
 
-/// The part of a cold rate that is used. The rest covers gateways that do not yet know each other.
+/// The share of a cold rate that is used. The rest covers gateways that do not know each other yet.
 const COLD_SHARE: f64 = 0.7;
 
-/// The span in which sends under a stated limit are counted.
+/// The window for sends under a stated limit.
 const LIMIT_SPAN: Duration = Duration::from_secs(4);
 
-/// A lower limit than one send in this span is none at all.
-const LONGEST_SPAN: Duration = Duration::from_secs(3_600);
+/// A limit below one send in this time counts as zero.
+const MAX_SPAN: Duration = Duration::from_secs(3_600);
 
-/// How many sends in any span a backend server may get from all gateways together.
+/// The maximum number of sends to a backend server from all gateways together in any window of
+/// length `span`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RateBound {
     sends: usize,
@@ -38,48 +39,48 @@
 }
 
 impl RateBound {
-    /// That of a cold backend server which bears so many requests a second.
+    /// Creates the bound of a cold backend server that tolerates `per_second` requests per second.
     pub(crate) fn cold(per_second: f64) -> Self {
         Self { sends: (per_second * COLD_SHARE).floor().max(1.0) as usize, span: COLD_SPAN }
     }
 
-    /// That of a backend server which states a limit.
+    /// Creates the bound of a backend server that states a limit.
     pub(crate) fn stated(limit: StatedLimit) -> Self {
         let per_second = limit.per_second();
         let sends = (per_second * LIMIT_SPAN.as_secs_f64()).floor() as usize;
         let slow = Duration::try_from_secs_f64(1.0 / per_second);
-        match slow.ok().filter(|span| sends == 0 && *span <= LONGEST_SPAN) {
+        match slow.ok().filter(|span| sends == 0 && *span <= MAX_SPAN) {
             Some(span) => Self { sends: 1, span },
             None => Self { sends, span: LIMIT_SPAN },
         }
     }
 
-    /// How many of the sends in each span are the part of a gateway.
-    pub(crate) fn part(&self, place: GatewayPlace) -> usize {
-        let GatewayPlace { rank, count } = place;
+    /// Returns the number of sends per window that a gateway may use.
+    pub(crate) fn share(&self, position: GatewayPosition) -> usize {
+        let GatewayPosition { rank, count } = position;
         self.sends / count + usize::from(rank < self.sends % count)
     }
 }
 
-/// Sends of this gateway to one backend server.
+/// Paces the sends of this gateway to one backend server.
 ///
-/// They are spaced evenly. A gateway that stands still between the decision and the write, as a
-/// batch-scheduled process under load does for tenths of a second, would otherwise put the whole
-/// of one span right before the whole of the next.
+/// Sends are evenly spaced. A gateway that stalls between the decision and the write, as a
+/// batch-scheduled process under load does for tenths of a second, would otherwise put all sends of
+/// one window right before those of the next.
 #[derive(Debug, Default)]
-pub(crate) struct RateGate {
+pub(crate) struct SendPacer {
     last: Option<MonotonicTime>,
 }
 
-impl RateGate {
-    /// When the next send fits into `part` of the sends in each span of `bound`; `None` where no
-    /// send ever does.
-    pub(crate) fn next_send(&self, part: usize, bound: &RateBound) -> Option<MonotonicTime> {
-        let pace = bound.span.checked_div(u32::try_from(part).unwrap_or(u32::MAX))?;
-        Some(self.last.map_or(MonotonicTime::default(), |last| last + pace))
+impl SendPacer {
+    /// Returns when the next send is allowed with `share` sends per window of `bound`, or `None` if
+    /// there is no share.
+    pub(crate) fn next_send(&self, share: usize, bound: &RateBound) -> Option<MonotonicTime> {
+        let interval = bound.span.checked_div(u32::try_from(share).unwrap_or(u32::MAX))?;
+        Some(self.last.map_or(MonotonicTime::default(), |last| last + interval))
     }
 
-    /// Notes a send.
+    /// Records a send.
     pub(crate) fn note(&mut self, now: MonotonicTime) {
         self.last = Some(now);
     }
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -1,21 +1,22 @@
-//! The queue of one gateway, and the choice of a place for each request in it.
+//! The request queue of one gateway, and the placement of the queued requests.
 //!
 //! The load patterns:
 //!
-//! - A region's peak is several times its quiet hours while other regions are quiet. Work goes to
-//!   another region where the own one would miss its objective and the other would not.
-//! - Prompts differ in length a hundredfold. A request is placed by the work ahead of it, not by
-//!   the count of requests.
-//! - At the worst of the load there is more work than room. It waits here and not in the backend
-//!   servers' own queues: here it can still be ordered, sent elsewhere or truly turned away.
+//! - The peak load of a region is several times its usual load while other regions are idle.
+//!   Requests are forwarded to another region if they would miss their latency objective here and
+//!   meet it there.
+//! - Prompt lengths differ by a factor of a hundred. Placement is based on the work ahead of a
+//!   request and not on the number of requests.
+//! - In overload, requests wait in the queue of the gateway and not in those of the backend
+//!   servers, because the gateway can still reorder, forward or refuse them.
 //!
-//! A request waits only for room that is expected in time. One that is known to come too late is
-//! turned away at once, with the time after which there will be room.
+//! A request waits only if capacity is expected in time. Otherwise it is refused at once, with the
+//! time after which capacity is expected.
 
-mod copying;
-mod deciding;
-mod look;
-mod placing;
+mod decide;
+mod place;
+mod prompt_copy;
+mod scan;
 
 use {
     crate::{
@@ -23,21 +24,21 @@
         CacheEstimate, Decision, FirstByteTimes, HealthRecord, LimitUpdate, PromptShape,
         RegionInfo, RepeatArrival, RepeatBudget, RepeatDecision, RequestUpdate, SchedulerSettings,
         SentRequest, StallDetector, StatementChange, TicketId, WorkCost, WorkItem, WorkOutcome,
-        hint::{OwnHint, ago, statement_news},
-        load::PROGRESS_AGE,
-        rate::RateGate,
-        regions::RegionBook,
-        roster::GatewayRoster,
+        hint::{PendingHint, micros_ago, statement_update},
+        load::PROGRESS_MAX_AGE,
+        membership::GatewayMembership,
+        priority::LatencyObjectives,
+        rate::SendPacer,
+        regions::RegionTable,
         statement::{RetainedStatements, StatementRecord},
-        urgency::ObjectiveBook,
     },
     gullglade_traffic::ServicePool,
     gullglade_units::{
         BackendName, BackendRun, FailureDomain, MonotonicTime, RegionName, ServiceName, VmName,
         rendezvous,
     },
-    look::ServiceLook,
-    placing::strain_ms,
+    place::load_penalty_ms,
+    scan::ServiceScan,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap},
         rc::Rc,
@@ -45,27 +46,28 @@
     },
 };
 
-/// A stated load this young is told with a first byte: it came with the head of the same answer.
-const TOLD_REPORT_AGE: Duration = Duration::from_millis(100);
+/// A load report that is younger than this is attached to the first-byte hint, because it came with
+/// the head of the same answer.
+const SHARED_REPORT_MAX_AGE: Duration = Duration::from_millis(100);
 
 struct Backend {
-    facts: BackendInfo,
+    info: BackendInfo,
     load: BackendLoad,
     cache: CacheEstimate,
     health: HealthRecord,
-    gate: RateGate,
+    pacer: SendPacer,
     stated: StatementRecord,
 }
 
-/// How often [`Scheduler::check_stall`] is to be called.
+/// The interval at which [`Scheduler::check_stall`] has to be called.
 pub const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Where a request runs.
-struct SentPlace {
+/// The backend run that a request was sent to.
+struct Placement {
     run: BackendRun,
-    /// When something last came of its answer. A run that is announced no more may go on for a
-    /// while, and nothing else is kept of it.
-    heard: Option<MonotonicTime>,
+    /// When the latest bytes of the answer arrived. They are recorded here because a run that is no
+    /// longer announced may still answer, while its [`Backend`] entry is gone.
+    last_byte: Option<MonotonicTime>,
 }
 
 struct Waiting {
@@ -73,52 +75,52 @@
     item: WorkItem,
 }
 
-/// The requests of one gateway that wait or run.
+/// Queues the requests of one gateway and places them on backend servers.
 pub struct Scheduler {
     settings: SchedulerSettings,
     services: BTreeMap<ServiceName, Rc<ServicePool>>,
     backends: BTreeMap<BackendName, Backend>,
-    regions: RegionBook,
-    objectives: HashMap<ServiceName, ObjectiveBook>,
+    regions: RegionTable,
+    objectives: HashMap<ServiceName, LatencyObjectives>,
     evacuated: Rc<BTreeSet<FailureDomain>>,
-    /// Failure domains that were evacuated, and when that ended.
+    /// Failure domains whose evacuation has ended, with the time of its end.
     returned: BTreeMap<FailureDomain, MonotonicTime>,
-    gateways: GatewayRoster,
-    /// Its part of what all gateways together may do.
+    gateways: GatewayMembership,
+    /// The share of this gateway in the fleet-wide allowances.
     share: AllowanceShare,
     budgets: HashMap<ServiceName, RepeatBudget>,
-    stalls: StallDetector,
+    stall_detector: StallDetector,
     waiting: Vec<Waiting>,
-    /// What other gateways of the region have not yet been told of.
-    hints: Vec<OwnHint>,
-    /// The part of its requests' numbers that is this gateway's own.
+    /// Hints that were not yet sent to the other gateways of the region.
+    hints: Vec<PendingHint>,
+    /// Base of the request numbers of this gateway, to keep them distinct from those of others.
     request_base: u64,
-    /// Runs of backend servers that are over, whatever is still announced of them.
+    /// Runs that have ended, although announcements may still list them.
     ended: BTreeSet<BackendRun>,
     retained: RetainedStatements,
-    /// Where the requests run that were sent.
-    sent: HashMap<TicketId, SentPlace>,
+    /// The run that each unfinished request was sent to.
+    sent: HashMap<TicketId, Placement>,
     next_ticket: u64,
     wake: Option<MonotonicTime>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows of no backend server yet.
+    /// Creates a scheduler that knows no backend servers.
     pub fn new(settings: SchedulerSettings) -> Self {
         let request_base = rendezvous::score(settings.own.as_str(), "requests");
         Self {
-            gateways: GatewayRoster::new(settings.own.clone()),
+            gateways: GatewayMembership::new(settings.own.clone()),
             request_base,
             share: AllowanceShare::new(settings.regions),
             settings,
             services: BTreeMap::new(),
             backends: BTreeMap::new(),
-            regions: RegionBook::default(),
+            regions: RegionTable::default(),
             objectives: HashMap::new(),
             evacuated: Rc::default(),
             returned: BTreeMap::new(),
             budgets: HashMap::new(),
-            stalls: StallDetector::new(STALL_CHECK_INTERVAL),
+            stall_detector: StallDetector::new(STALL_CHECK_INTERVAL),
             waiting: Vec::new(),
             hints: Vec::new(),
             ended: BTreeSet::new(),
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Takes the services of the configuration in force, and the evacuated failure domains.
+    /// Replaces the services of the current configuration and the set of evacuated failure domains.
     pub fn set_configuration(
         &mut self,
         services: impl IntoIterator<Item = Rc<ServicePool>>,
@@ -142,45 +144,46 @@
         self.evacuated = Rc::clone(evacuated);
     }
 
-    /// Takes the backend servers of the own region as they are believed to be.
+    /// Replaces the known backend servers of this region.
     pub fn set_backends(
         &mut self,
-        facts: impl IntoIterator<Item = BackendInfo>,
+        info: impl IntoIterator<Item = BackendInfo>,
         now: MonotonicTime,
     ) {
-        let mut old = std::mem::take(&mut self.backends);
-        let (ended, facts): (Vec<_>, Vec<_>) =
-            facts.into_iter().partition(|f| self.ended.contains(&f.run()));
-        // What is announced no more need not be remembered.
+        let mut previous = std::mem::take(&mut self.backends);
+        let (ended, info): (Vec<_>, Vec<_>) =
+            info.into_iter().partition(|f| self.ended.contains(&f.run()));
+        // Ended runs that are no longer announced are forgotten.
         self.ended = ended.iter().map(BackendInfo::run).collect();
-        for facts in facts {
-            // Another run holds nothing of the one before, and is to be blamed for nothing of it.
-            let known = match old.get(&facts.name) {
-                Some(backend) if backend.facts.incarnation == facts.incarnation => {
-                    old.remove(&facts.name)
+        for info in info {
+            // Load, cache contents and failures of an earlier incarnation do not apply to a new
+            // one.
+            let known = match previous.get(&info.name) {
+                Some(backend) if backend.info.incarnation == info.incarnation => {
+                    previous.remove(&info.name)
                 }
                 _ => None,
             };
             let backend = match known {
-                Some(backend) => Backend { facts, ..backend },
+                Some(backend) => Backend { info, ..backend },
                 None => Backend {
-                    stated: self.retained.take(&facts.run()),
-                    facts,
+                    stated: self.retained.take(&info.run()),
+                    info,
                     load: BackendLoad::default(),
                     cache: CacheEstimate::default(),
                     health: HealthRecord::default(),
-                    gate: RateGate::default(),
+                    pacer: SendPacer::default(),
                 },
             };
-            self.backends.insert(backend.facts.name.clone(), backend);
+            self.backends.insert(backend.info.name.clone(), backend);
         }
-        for backend in old.into_values() {
-            self.retained.keep(backend.facts.run(), backend.stated, now);
+        for backend in previous.into_values() {
+            self.retained.retain(backend.info.run(), backend.stated, now);
         }
-        self.retained.drop_old(now);
+        self.retained.expire(now);
     }
 
-    /// Takes the gateways of the own region that take callers.
+    /// Replaces the gateways of this region that accept requests.
     pub fn set_gateways(
         &mut self,
         own_region: impl IntoIterator<Item = VmName>,
@@ -190,39 +193,40 @@
         self.share.note_region(self.gateways.len());
     }
 
-    /// Takes the number of gateways in all regions, which share common limits.
+    /// Sets the number of gateways in all regions, among which fleet-wide limits are divided.
     pub fn set_gateway_total(&mut self, total: usize, now: MonotonicTime) {
         self.share.note_total(total, now);
     }
 
-    /// Takes what other regions say of their services.
+    /// Replaces the reported capacity of the other regions.
     pub fn set_regions(&mut self, regions: Vec<RegionInfo>) {
         self.regions.set(regions);
     }
 
-    /// What this gateway would tell other regions of its own: for each service the backend servers
-    /// that would be given work, and the least time until a first byte, strain included.
+    /// Returns the capacity to be reported to other regions: for each service, the number of
+    /// backend servers that accept work and the least time to first byte including the load
+    /// penalty.
     pub fn offers(&self, now: MonotonicTime) -> Vec<RegionInfo> {
         let services: BTreeSet<&ServiceName> =
-            self.backends.values().map(|b| &b.facts.service).collect();
+            self.backends.values().map(|b| &b.info.service).collect();
         services.into_iter().filter_map(|service| self.offer(service, now)).collect()
     }
 
-    /// The same of one service; `None` where nobody could be given work of it.
+    /// Returns the capacity of one service, or `None` if no backend server accepts work for it.
     pub fn offer(&self, service: &ServiceName, now: MonotonicTime) -> Option<RegionInfo> {
         let is_trusted = |b: &Backend| !b.health.is_suspect(now) && !b.load.is_stalled(now);
         let is_held =
             |b: &Backend| b.stated.limit.limit().is_some() || b.stated.backoff.is_backed_off(now);
         let is_open = |b: &Backend| !is_held(b) && !self.is_cold(b, now);
-        let sound = |b: &&Backend| !b.facts.is_silent && is_trusted(b) && is_open(b);
+        let healthy = |b: &&Backend| !b.info.is_silent && is_trusted(b) && is_open(b);
         let times: Vec<FirstByteTimes> = self
             .serving(service)
-            .filter(sound)
+            .filter(healthy)
             .map(|backend| {
                 let cost = idle_cost(backend);
-                let strain_ms = strain_ms(backend, now);
+                let load_penalty_ms = load_penalty_ms(backend, now);
                 FirstByteTimes::by_priority(|p| {
-                    strain_ms + backend.load.first_byte_ms(cost, p, now)
+                    load_penalty_ms + backend.load.first_byte_ms(cost, p, now)
                 })
             })
             .collect();
@@ -230,24 +234,25 @@
             region: self.settings.region.clone(),
             service: service.clone(),
             backends: u32::try_from(times.len()).unwrap_or(u32::MAX),
-            first_byte: times.into_iter().reduce(FirstByteTimes::least)?,
+            first_byte: times.into_iter().reduce(FirstByteTimes::min)?,
         })
     }
 
-    /// How many requests wait, and how many run.
+    /// Returns the number of queued requests and the number of unfinished sent requests.
     pub fn counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.sent.len())
     }
 
-    /// To be called at regular times; for how long this gateway has stood still, if it has.
+    /// Detects whether this process was stalled, and returns the length of the stall. Has to be
+    /// called every [`STALL_CHECK_INTERVAL`].
     pub fn check_stall(&mut self, now: MonotonicTime) -> Option<Duration> {
-        self.stalls.check(now)
+        self.stall_detector.check(now)
     }
 
-    /// Puts a request into the queue; [`poll`](Self::poll) says what becomes of it.
+    /// Adds a request to the queue. A later [`poll`](Self::poll) returns the decision on it.
     pub fn submit(&mut self, item: WorkItem, now: MonotonicTime) -> TicketId {
         if item.is_new {
-            let sent = self.stalls.sent_since(now);
+            let sent = self.stall_detector.sent_since(now);
             self.budget(&item.service).note_request(sent, now);
         }
         self.objectives.entry(item.service.clone()).or_default().note(&item);
@@ -257,36 +262,36 @@
         ticket
     }
 
-    /// Takes a request out of the queue: its caller left.
+    /// Removes a request from the queue, after its caller has disconnected.
     pub fn withdraw(&mut self, ticket: TicketId) {
         self.waiting.retain(|w| w.ticket != ticket);
     }
 
-    /// Decides about the requests that wait, as far as it can be decided now.
+    /// Decides on the queued requests. Requests without a decision stay in the queue.
     pub fn poll(&mut self, now: MonotonicTime) -> Vec<(TicketId, Decision)> {
         self.wake = None;
         let mut verdicts = Vec::new();
         let mut queue = std::mem::take(&mut self.waiting);
-        // At the worst of the load there is always more that is late than there is room. What can
-        // still meet its objective goes before what cannot, or nothing would meet it any more.
+        // In overload there are always more late requests than capacity. Requests that can still
+        // meet their objective go first; otherwise no request would meet it.
         queue.sort_by_key(|w| {
             let route = &w.item.route;
             (w.item.priority(), now > w.item.arrived + route.objective, w.item.arrived, w.ticket)
         });
-        let mut looks: HashMap<ServiceName, ServiceLook> = HashMap::new();
+        let mut scans: HashMap<ServiceName, ServiceScan> = HashMap::new();
         for waiting in queue {
             let service = &waiting.item.service;
-            if !looks.contains_key(service) {
-                looks.insert(service.clone(), self.begin_look(service));
+            if !scans.contains_key(service) {
+                scans.insert(service.clone(), self.start_scan(service));
             }
-            let Some(look) = looks.get_mut(service) else { continue };
-            match self.decide(&waiting, look, now) {
+            let Some(scan) = scans.get_mut(service) else { continue };
+            match self.decide(&waiting, scan, now) {
                 Some(verdict) => {
-                    self.carry_out(&waiting, &verdict, now);
+                    self.apply(&waiting, &verdict, now);
                     verdicts.push((waiting.ticket, verdict));
                 }
                 None => {
-                    look.queue(&waiting.item);
+                    scan.add_queued(&waiting.item);
                     self.waiting.push(waiting);
                 }
             }
@@ -294,37 +299,39 @@
         verdicts
     }
 
-    /// Begins a look at what waits for one service. Every gateway of the region has such a queue,
-    /// and all of them share the backend servers.
-    fn begin_look(&self, service: &ServiceName) -> ServiceLook {
-        let loads = self.serving(service).map(|b| (&b.load, b.facts.slots));
-        ServiceLook::new(loads, self.gateways.len())
+    /// Starts a scan of the queued requests of one service. Every gateway of the region has such a
+    /// queue, and all of them share the backend servers.
+    fn start_scan(&self, service: &ServiceName) -> ServiceScan {
+        let loads = self.serving(service).map(|b| (&b.load, b.info.slots));
+        ServiceScan::new(loads, self.gateways.len())
     }
 
-    /// When [`poll`](Self::poll) should be called again at the latest.
+    /// Returns the time at which [`poll`](Self::poll) has to be called again, unless an event calls
+    /// for it earlier.
     pub fn next_wake(&self) -> Option<MonotonicTime> {
         self.wake
     }
 
-    /// Notes the first byte of an answer.
+    /// Records that bytes of an answer arrived. Has to be called for the first byte and may be
+    /// called for every later chunk.
     pub fn note_progress(&mut self, ticket: TicketId, now: MonotonicTime) {
-        if let Some(place) = self.sent.get_mut(&ticket) {
-            place.heard = Some(now);
+        if let Some(placement) = self.sent.get_mut(&ticket) {
+            placement.last_byte = Some(now);
         }
-        let Some(backend) = self.sent_to(ticket) else { return };
-        // Called with every piece of an answer: what follows is for the first one alone.
-        let Some(sent) = backend.load.begin(ticket, now) else { return };
+        let Some(backend) = self.sent_backend(ticket) else { return };
+        // The rest applies to the first chunk only.
+        let Some(sent) = backend.load.note_own_first_byte(ticket, now) else { return };
         backend.stated.backoff.note_accepted(now);
         backend.health.note_accepted(now);
-        let load = backend.load.recent_report(TOLD_REPORT_AGE, now);
+        let load = backend.load.recent_report(SHARED_REPORT_MAX_AGE, now);
         let limit = LimitUpdate::new(&backend.stated.limit, now);
-        let run = backend.facts.run();
+        let run = backend.info.run();
         let news = RequestUpdate::Begun { ago_us: 0, load, limit };
-        self.note_own(run, sent, news, now);
+        self.queue_hint(run, sent, news, now);
     }
 
-    /// Keeps something to be told to the region's other gateways.
-    fn note_own(
+    /// Queues a hint for the other gateways of the region.
+    fn queue_hint(
         &mut self,
         run: BackendRun,
         request: SentRequest,
@@ -332,20 +339,21 @@
         now: MonotonicTime,
     ) {
         let SentRequest { request, priority, sent, .. } = request;
-        let happened = now;
-        let hint = OwnHint { run, request, priority, sent, happened, news };
+        let happened_at = now;
+        let hint = PendingHint { run, request, priority, sent, happened_at, news };
         self.hints.push(hint);
     }
 
-    /// Notes what a backend server stated with its answer to a request; what is new of it.
+    /// Records the statements that came with the answer to a request, and returns those that
+    /// changed.
     pub fn note_statements(
         &mut self,
         ticket: TicketId,
         statements: &BackendStatements,
         now: MonotonicTime,
     ) -> Vec<StatementChange> {
-        let Some(SentPlace { run, .. }) = self.sent.get(&ticket) else { return Vec::new() };
-        let Some(backend) = run_of(&mut self.backends, run) else {
+        let Some(Placement { run, .. }) = self.sent.get(&ticket) else { return Vec::new() };
+        let Some(backend) = backend_of_run(&mut self.backends, run) else {
             return self.retained.note(run, statements, now);
         };
         if let Some(load) = statements.load {
@@ -356,65 +364,68 @@
             return changes;
         };
         let run = run.clone();
-        for news in changes.iter().filter_map(statement_news) {
-            self.note_own(run.clone(), sent, news, now);
+        for news in changes.iter().filter_map(statement_update) {
+            self.queue_hint(run.clone(), sent, news, now);
         }
         changes
     }
 
-    /// Whether a place that was given may still be used: its run may have said meanwhile that it
-    /// leaves or wants nothing.
+    /// Returns whether the request may still be sent to the selected run. It may not if the run has
+    /// announced meanwhile that it is leaving or has requested a back-off.
     pub fn is_placement_usable(&self, ticket: TicketId, now: MonotonicTime) -> bool {
-        let Some(SentPlace { run, .. }) = self.sent.get(&ticket) else { return false };
+        let Some(Placement { run, .. }) = self.sent.get(&ticket) else { return false };
         let backend = self.backends.get(&run.backend);
-        backend.filter(|backend| backend.facts.incarnation == run.incarnation).is_some_and(
+        backend.filter(|backend| backend.info.incarnation == run.incarnation).is_some_and(
             |backend| self.may_serve(backend) && backend.stated.backoff.until(now).is_none(),
         )
     }
 
-    /// The requests that were sent to `run` and have not ended.
+    /// Returns the unfinished requests that were sent to `run`.
     pub fn sent_to_run(&self, run: &BackendRun) -> Vec<TicketId> {
-        let there = self.sent.iter().filter(|(_, place)| place.run == *run);
+        let there = self.sent.iter().filter(|(_, placement)| placement.run == *run);
         there.map(|(ticket, _)| *ticket).collect()
     }
 
-    /// The run that a request was sent to, while it is the one that is known.
-    fn sent_to(&mut self, ticket: TicketId) -> Option<&mut Backend> {
-        let place = self.sent.get(&ticket)?;
-        run_of(&mut self.backends, &place.run)
+    /// Returns the backend server that a request was sent to, unless a newer incarnation replaced
+    /// it.
+    fn sent_backend(&mut self, ticket: TicketId) -> Option<&mut Backend> {
+        let placement = self.sent.get(&ticket)?;
+        backend_of_run(&mut self.backends, &placement.run)
     }
 
-    /// Notes how a send ended.
+    /// Records the outcome of a request that was sent.
     pub fn end(&mut self, ticket: TicketId, outcome: WorkOutcome, now: MonotonicTime) {
-        let Some(SentPlace { run, .. }) = self.sent.remove(&ticket) else { return };
-        let Some(backend) = run_of(&mut self.backends, &run) else { return };
+        let Some(Placement { run, .. }) = self.sent.remove(&ticket) else { return };
+        let Some(backend) = backend_of_run(&mut self.backends, &run) else { return };
         let unbegun = backend.load.end(ticket);
         backend.health.note(outcome, now);
         match outcome {
             WorkOutcome::Misdirected => {
-                // The run that was meant is over, whatever its last announcement said.
+                // Another run answers at this address, so the intended one has ended, even if it is
+                // still announced.
                 self.backends.remove(&run.backend);
                 self.ended.insert(run.clone());
             }
             WorkOutcome::Shed => {
-                let slots = backend.facts.slots;
+                let slots = backend.info.slots;
                 let full = BackendReport { running: slots, waiting: 1, slots };
                 backend.load.note_report(full, now);
             }
             _ => {}
         }
         if let Some(sent) = unbegun {
-            self.note_own(run, sent, RequestUpdate::Dropped, now);
+            self.queue_hint(run, sent, RequestUpdate::Dropped, now);
         }
     }
 
-    /// Whether the budget of `service` has a repeat left.
+    /// Returns whether the budget of `service` would grant a repeat, without taking it.
     pub fn peek_repeat(&mut self, service: &ServiceName, now: MonotonicTime) -> RepeatDecision {
         let share = self.share;
-        self.budget(service).look(&share, now)
+        self.budget(service).peek(&share, now)
     }
 
-    /// When the budget of `service` will have a repeat, where nothing changes before.
+    /// Returns the earliest time at which the budget of `service` grants a repeat, provided that no
+    /// further requests or repeats are counted until then.
     pub fn next_repeat(
         &mut self,
         service: &ServiceName,
@@ -424,14 +435,14 @@
         self.budget(service).next_grant(&share, now)
     }
 
-    /// Takes one repeat out of the budget of `service`, where there is one left. It counts there
-    /// until a window after [`settle_repeat`](Self::settle_repeat).
+    /// Takes one repeat from the budget of `service`, if one is left. It counts until one window
+    /// after its [settlement](Self::settle_repeat).
     pub fn take_repeat(&mut self, service: &ServiceName, now: MonotonicTime) -> RepeatDecision {
         let share = self.share;
         self.budget(service).take(&share, now)
     }
 
-    /// Settles a repeat of `service` that was taken: it is over, or will never be sent.
+    /// Settles a granted repeat of `service`, after it has finished or was dropped unsent.
     pub fn settle_repeat(
         &mut self,
         service: &ServiceName,
@@ -441,17 +452,18 @@
         self.budget(service).settle(arrival, now);
     }
 
-    /// Whether the path to a region was found to be broken just now.
+    /// Returns whether the path to a region is considered broken.
     pub fn is_path_broken(&self, region: &RegionName, now: MonotonicTime) -> bool {
         self.regions.is_broken(region, now)
     }
 
-    /// Notes that the path to a region is broken: it gets no work for `pause`.
+    /// Records that the path to a region is broken. No requests are forwarded to it for `pause`.
     pub fn pause_region(&mut self, region: &RegionName, pause: Duration, now: MonotonicTime) {
         self.regions.note_broken(region.clone(), now + pause);
     }
 
-    /// Notes that a region turned work of a service away: it gets no more of it for `pause`.
+    /// Records that a region refused a request of a service. No further requests of the service are
+    /// forwarded to it for `pause`.
     pub fn pause_service(
         &mut self,
         region: &RegionName,
@@ -462,51 +474,52 @@
         self.regions.note_refused(region, service, now + pause);
     }
 
-    /// Notes what a region offers of a service, as it said with a forward.
+    /// Records the first-byte times that a region returned with a forwarded request.
     pub fn note_region_offer(
         &mut self,
         region: &RegionName,
         service: &ServiceName,
-        word: FirstByteTimes,
+        offer: FirstByteTimes,
         now: MonotonicTime,
     ) {
-        self.regions.note_word(region, service, word, now);
+        self.regions.note_offer(region, service, offer, now);
     }
 
-    /// Notes how long a request took to another region and its word of arrival back.
-    pub fn note_region_rtt(&mut self, region: &RegionName, took: Duration) {
-        self.regions.note_delay(region, took);
+    /// Records a measured round-trip time to another region.
+    pub fn note_region_rtt(&mut self, region: &RegionName, rtt: Duration) {
+        self.regions.note_rtt(region, rtt);
     }
 
-    /// The time to another region and back, milliseconds.
+    /// Returns the smoothed round-trip time to another region in milliseconds.
     pub fn region_rtt_ms(&self, region: &RegionName) -> f64 {
-        self.regions.delay_ms(region)
+        self.regions.rtt_ms(region)
     }
 
-    /// The least time that a request took to another region and its word of arrival back; zero
-    /// before the first one.
+    /// Returns the lowest measured round-trip time to another region, or zero if there is none.
     pub fn min_region_rtt(&self, region: &RegionName) -> Duration {
-        self.regions.least_delay(region)
+        self.regions.min_rtt(region)
     }
 
-    /// Whether the backend server that a request was sent to has shown lately that it works.
+    /// Returns whether the backend server of a request has recently shown progress, on this request
+    /// or on any other.
     pub fn is_at_work(&mut self, ticket: TicketId, now: MonotonicTime) -> bool {
-        let heard = self.sent.get(&ticket).and_then(|place| place.heard);
-        let answers = heard.is_some_and(|at| now.since(at) < PROGRESS_AGE);
-        answers || self.sent_to(ticket).is_some_and(|b| b.load.is_at_work(now))
+        let last_byte = self.sent.get(&ticket).and_then(|placement| placement.last_byte);
+        let answers = last_byte.is_some_and(|at| now.since(at) < PROGRESS_MAX_AGE);
+        answers || self.sent_backend(ticket).is_some_and(|b| b.load.is_at_work(now))
     }
 
-    /// Takes what has happened since the last call, to be told to the region's others.
+    /// Returns the hints that have accumulated since the last call, with their ages relative to
+    /// `now`.
     pub fn take_hints(&mut self, now: MonotonicTime) -> Vec<BackendHint> {
-        self.hints.drain(..).map(|hint| hint.told(now)).collect()
+        self.hints.drain(..).map(|hint| hint.into_hint(now)).collect()
     }
 
-    /// Whether there is anything to be told to the region's others.
+    /// Returns whether there are hints to send.
     pub fn has_hints(&self) -> bool {
         !self.hints.is_empty()
     }
 
-    /// Notes what another gateway of the region told.
+    /// Applies hints from another gateway of the region.
     pub fn note_hints(&mut self, hints: Vec<BackendHint>, now: MonotonicTime) {
         for hint in hints {
             self.note_hint(hint, now);
@@ -515,26 +528,26 @@
 
     fn note_hint(&mut self, hint: BackendHint, now: MonotonicTime) {
         let BackendHint { run, request, priority, sent_ago_us, news } = hint;
-        let Some(backend) = run_of(&mut self.backends, &run) else {
+        let Some(backend) = backend_of_run(&mut self.backends, &run) else {
             if news == RequestUpdate::Leaving {
                 self.retained.note_leaving(run, now);
             }
             return;
         };
-        let sent = ago(now, sent_ago_us);
+        let sent = micros_ago(now, sent_ago_us);
         match news {
             RequestUpdate::Sent { tokens, parts } => {
-                let cost = WorkCost { tokens, slots: backend.facts.slots };
+                let cost = WorkCost { tokens, slots: backend.info.slots };
                 let other = SentRequest { request, cost, priority, sent };
                 backend.load.send(None, other, now);
-                let engine = self.services.get(&backend.facts.service).and_then(|s| s.engine);
+                let engine = self.services.get(&backend.info.service).and_then(|s| s.engine);
                 if let Some(engine) = engine {
                     backend.cache.note(&parts, engine.memory_tokens, now);
                 }
             }
             RequestUpdate::Begun { ago_us, load, limit } => {
-                let came = ago(now, ago_us);
-                backend.stated.limit.note(limit.limit, ago(now, limit.ago_us));
+                let came = micros_ago(now, ago_us);
+                backend.stated.limit.note(limit.limit, micros_ago(now, limit.ago_us));
                 backend.load.note_first_byte(request, priority, sent, came);
                 if let Some(load) = load {
                     backend.load.note_report(load, came);
@@ -555,7 +568,7 @@
         self.budgets.entry(service.clone()).or_insert_with(new)
     }
 
-    fn carry_out(&mut self, waiting: &Waiting, verdict: &Decision, now: MonotonicTime) {
+    fn apply(&mut self, waiting: &Waiting, verdict: &Decision, now: MonotonicTime) {
         let Decision::Send { run, copy, priority, .. } = verdict else { return };
         let name = &run.backend;
         let engine = self.services.get(&waiting.item.service).and_then(|s| s.engine);
@@ -572,47 +585,47 @@
         let parts = waiting.item.prompt.as_ref().map(PromptShape::shared_parts);
         let parts = parts.unwrap_or_default().to_vec();
         backend.health.note_send(now);
-        backend.gate.note(now);
+        backend.pacer.note(now);
         backend.stated.backoff.note_send(now);
         if let (Some(prompt), Some(engine)) = (&waiting.item.prompt, engine) {
             backend.cache.note(&prompt.parts, engine.memory_tokens, now);
         }
-        self.sent.insert(waiting.ticket, SentPlace { run: run.clone(), heard: None });
+        self.sent.insert(waiting.ticket, Placement { run: run.clone(), last_byte: None });
         let news = RequestUpdate::Sent { tokens: cost.tokens, parts };
-        self.note_own(run.clone(), sent, news, now);
+        self.queue_hint(run.clone(), sent, news, now);
     }
 
-    /// The backend servers of a service that may be given work.
+    /// Returns the backend servers of a service that may get requests.
     fn serving<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Backend> {
-        self.backends.values().filter(|b| b.facts.service == *service && self.may_serve(b))
+        self.backends.values().filter(|b| b.info.service == *service && self.may_serve(b))
     }
 
-    /// Whether a backend server may be given work at all.
+    /// Returns whether a backend server may get requests at all.
     fn may_serve(&self, backend: &Backend) -> bool {
-        let facts = &backend.facts;
-        let is_serving = facts.is_serving && !backend.stated.is_leaving;
-        is_serving && !self.evacuated.contains(&facts.domain)
+        let info = &backend.info;
+        let is_serving = info.is_serving && !backend.stated.is_leaving;
+        is_serving && !self.evacuated.contains(&info.domain)
     }
 }
 
-/// The run of that name, where it is the one that is known.
-fn run_of<'a>(
+/// Returns the entry of `run`, unless the known incarnation is a different one.
+fn backend_of_run<'a>(
     backends: &'a mut BTreeMap<BackendName, Backend>,
     run: &BackendRun,
 ) -> Option<&'a mut Backend> {
     let backend = backends.get_mut(&run.backend)?;
-    (backend.facts.incarnation == run.incarnation).then_some(backend)
+    (backend.info.incarnation == run.incarnation).then_some(backend)
 }
 
-/// What the request would take of a backend server.
+/// Returns the estimated cost of a request at a backend server.
 fn work_cost(backend: &Backend, item: &WorkItem) -> WorkCost {
     let unread = |prompt: &PromptShape| {
         prompt.prompt_tokens.saturating_sub(backend.cache.held_tokens(prompt))
     };
-    WorkCost { tokens: item.prompt.as_ref().map(unread), slots: backend.facts.slots }
+    WorkCost { tokens: item.prompt.as_ref().map(unread), slots: backend.info.slots }
 }
 
-/// A request that takes next to nothing, for what is told to other regions.
+/// Returns the cost of a minimal request, used for the times that are reported to other regions.
 fn idle_cost(backend: &Backend) -> WorkCost {
-    WorkCost { tokens: Some(0), slots: backend.facts.slots }
+    WorkCost { tokens: Some(0), slots: backend.info.slots }
 }
--- /dev/null
+++ b/crates/dispatch/src/scheduler/decide.rs
@@ -0,0 +1,128 @@
+//! The decision on a queued request: send, forward to another region, refuse, or keep waiting.
+//!
+//! A request waits only if capacity is expected in time. Otherwise it is refused at once, with the
+//! time after which capacity is expected.
+
+use {
+    super::{
+        Scheduler, Waiting,
+        place::{LocalChoice, LocalEstimate},
+        scan::ServiceScan,
+    },
+    crate::{Decision, RefusalDetails, RefusalReason, WorkItem},
+    gullglade_units::MonotonicTime,
+    std::time::Duration,
+};
+
+/// Lower bound of `retry_after`: earlier retries only add load.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+
+/// Upper bound of `retry_after`: predictions further ahead are unreliable.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// A request that would be answered later than this multiple of its objective is refused at once.
+/// An early refusal serves its caller better than a late answer, and leaves the capacity to
+/// requests that can be answered in time.
+const MAX_OBJECTIVE_MULTIPLE: u32 = 3;
+
+/// `retry_after` is spread over this additional time, so that callers do not return all at once.
+const RETRY_SPREAD_MS: u64 = 500;
+
+/// Time reserved for returning a refusal before the deadline of the caller.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(20);
+
+impl Scheduler {
+    /// Decides on a request. Returns `None` if it stays in the queue.
+    pub(super) fn decide(
+        &mut self,
+        waiting: &Waiting,
+        scan: &mut ServiceScan,
+        now: MonotonicTime,
+    ) -> Option<Decision> {
+        let item = &waiting.item;
+        if now + REFUSAL_MARGIN >= item.first_byte_deadline {
+            return Some(self.refuse(RefusalReason::TooLate, waiting, Duration::ZERO, now));
+        }
+        let local = match item.allows(&self.settings.region) {
+            true => self.place_locally(item, scan, now),
+            false => LocalChoice::NoBackend,
+        };
+        let estimate = match &local {
+            LocalChoice::Send { estimate, .. } | LocalChoice::Wait { estimate, .. } => {
+                Some(*estimate)
+            }
+            LocalChoice::AllSuspect { .. } | LocalChoice::NoBackend => None,
+        };
+        if let Some(region) = self.better_region(item, estimate, now) {
+            let local_ms = estimate.map(|estimate| estimate.expected_ms);
+            return Some(Decision::Forward { region, local_ms });
+        }
+        match local {
+            LocalChoice::Send { backend, estimate, copy } => {
+                let info = &self.backends.get(&backend)?.info;
+                let (address, run) = (info.address, info.run());
+                let LocalEstimate { expected_ms, priority, .. } = estimate;
+                Some(Decision::Send { run, address, priority, expected_ms, copy })
+            }
+            LocalChoice::Wait { estimate, recheck_at, backoff_end } => {
+                let wait =
+                    Duration::from_secs_f64((estimate.expected_ms + scan.queued_ms()) / 1_000.0);
+                let useful_by = item.arrived + item.route.objective * MAX_OBJECTIVE_MULTIPLE;
+                if now + wait >= item.first_byte_deadline.min(useful_by) {
+                    let (reason, wait) = match backoff_end {
+                        Some(end) => (RefusalReason::Backoff, end.since(now)),
+                        None => (RefusalReason::TooLate, wait.min(MAX_RETRY_AFTER)),
+                    };
+                    return Some(self.refuse(reason, waiting, wait, now));
+                }
+                self.wake_by(recheck_at.min(item.first_byte_deadline));
+                None
+            }
+            LocalChoice::AllSuspect { recheck_at } => {
+                let wait = recheck_at.since(now);
+                let left = item.first_byte_deadline.since(now);
+                if wait * 3 < left && wait < item.route.objective / 2 {
+                    self.wake_by(recheck_at);
+                    return None;
+                }
+                Some(self.refuse(RefusalReason::AllSuspect, waiting, wait, now))
+            }
+            LocalChoice::NoBackend => {
+                Some(self.refuse(RefusalReason::NoBackend, waiting, MIN_RETRY_AFTER, now))
+            }
+        }
+    }
+
+    fn refuse(
+        &self,
+        reason: RefusalReason,
+        waiting: &Waiting,
+        wait: Duration,
+        now: MonotonicTime,
+    ) -> Decision {
+        // Spread by the ticket number, so that adjacent requests get different times.
+        let spread = Duration::from_millis(waiting.ticket.0.wrapping_mul(131) % RETRY_SPREAD_MS);
+        let details = self.refusal_details(&waiting.item, now);
+        Decision::Refuse { reason, retry_after: wait.max(MIN_RETRY_AFTER) + spread, details }
+    }
+
+    fn refusal_details(&self, item: &WorkItem, now: MonotonicTime) -> RefusalDetails {
+        let of_service = || self.backends.values().filter(|b| b.info.service == item.service);
+        let serving = || self.serving(&item.service);
+        let offers = || self.allowed_offers(item);
+        RefusalDetails {
+            known: of_service().count(),
+            serving: serving().count(),
+            suspect: serving().filter(|b| b.health.is_suspect(now)).count(),
+            cold: serving().filter(|b| self.is_cold(b, now)).count(),
+            backed_off: serving().filter(|b| b.stated.backoff.until(now).is_some()).count(),
+            regions: offers().count(),
+            paused: offers().filter(|r| self.regions.is_paused(r, now)).count(),
+            waiting: self.waiting.len(),
+        }
+    }
+
+    fn wake_by(&mut self, at: MonotonicTime) {
+        self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
+    }
+}
--- /dev/null
+++ b/crates/dispatch/src/scheduler/place.rs
@@ -0,0 +1,443 @@
+//! Selection of a backend server in this region, and the comparison with other regions.
+
+use {
+    super::{
+        Backend, Scheduler,
+        prompt_copy::CopySource,
+        scan::{AllFull, ServiceScan},
+        work_cost,
+    },
+    crate::{
+        PromptCopy, PromptShape, RegionInfo, SchedulerSettings, WorkCost, WorkItem,
+        membership::{GatewayPosition, TRANSFER_DELAY},
+        priority::{EffectivePriority, LatencyObjectives},
+        rate::RateBound,
+    },
+    gullglade_units::{BackendName, MonotonicTime, RegionName, rendezvous},
+    std::time::Duration,
+};
+
+/// A model engine with more prefill work ahead than this gets no further requests.
+const BACKLOG_LIMIT_MS: f64 = 500.0;
+
+/// A backend server of a plain service with more work ahead than this gets no further requests.
+const PLAIN_BACKLOG_LIMIT_MS: f64 = 100.0;
+
+/// Upper bound of the utilization of a plain backend server. It exceeds 1 because gateways that
+/// share few slots learn late that one is free, and the slot would stay idle meanwhile.
+const PLAIN_MAX_UTILIZATION: u32 = 2;
+
+/// A request is not forwarded if its wait and the load penalty together are below this.
+const FORWARD_MIN_WAIT_MS: f64 = 40.0;
+
+/// The minimum advantage of another region before a request is forwarded to it. It keeps requests
+/// from bouncing between regions, and is small because a request that is forwarded only when it is
+/// nearly late arrives late.
+const FORWARD_MARGIN_MS: f64 = 20.0;
+
+/// The cost of a fully utilized backend server, compared to an idle one, when regions are compared.
+/// The time to first byte does not include the slower generation on a busy engine.
+const FULL_LOAD_PENALTY_MS: f64 = 300.0;
+
+/// The weight of prefill time in the placement cost, since prefill delays all generations on the
+/// engine and all prompts behind it.
+const PREFILL_WEIGHT: f64 = 20.0;
+
+/// The cost per unit of failure rate, which trades failures off against latency.
+const FAILURE_COST_MS: f64 = 400.0;
+
+/// The cost per unit of failure rate for requests that must not be repeated, since a failure is
+/// final for them. Repeatable requests still go to such a backend server and show when it recovers.
+const UNREPEATABLE_FAILURE_COST_MS: f64 = 4_000.0;
+
+/// The cost of a fully utilized backend server compared to an idle one: generation slows down with
+/// the number of concurrent requests.
+const CONCURRENCY_COST_MS: f64 = 40.0;
+
+/// Recheck interval for a cold backend server of whose rate this gateway has no share.
+const COLD_RECHECK: Duration = Duration::from_millis(500);
+
+/// Recheck interval for a request that found no capacity.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Recheck interval if all backend servers are suspect.
+const SUSPECT_RECHECK: Duration = Duration::from_millis(100);
+
+/// The cost per unit of rejection rate. A backend server that rejects requests looks idle and would
+/// otherwise attract them while others have capacity.
+const REJECTION_COST_MS: f64 = 3_000.0;
+
+/// The cost of a backend server from which another gateway backs off. It gets requests only if no
+/// other has capacity.
+const PEER_BACKOFF_COST_MS: f64 = 1_000.0;
+
+/// The extra wait expected after the end of a back-off, since gateways resume gradually.
+const RESUME_DELAY_MS: f64 = 300.0;
+
+/// The expected wait if all backend servers are cold and may not be sent to.
+const COLD_WAIT_MS: f64 = 300.0;
+
+/// The result of a placement attempt in this region.
+pub(crate) enum LocalChoice {
+    Send {
+        backend: BackendName,
+        estimate: LocalEstimate,
+        copy: Option<PromptCopy>,
+    },
+    /// Capacity is expected later.
+    Wait {
+        estimate: LocalEstimate,
+        recheck_at: MonotonicTime,
+        /// The earliest end of a back-off, if this gateway backs off from all eligible backend
+        /// servers.
+        backoff_end: Option<MonotonicTime>,
+    },
+    AllSuspect {
+        recheck_at: MonotonicTime,
+    },
+    NoBackend,
+}
+
+/// The estimated latency of a request in this region.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LocalEstimate {
+    /// The priority with which the request would be sent.
+    pub(crate) priority: u8,
+    /// Time to first byte, milliseconds.
+    pub(crate) expected_ms: f64,
+    /// The part of `expected_ms` before work on the request begins.
+    pub(crate) wait_ms: f64,
+    /// The cost of the concurrent requests at the selected backend server, milliseconds.
+    pub(crate) load_penalty_ms: f64,
+    /// Service time in another region, where no part of the prompt is known to be cached,
+    /// milliseconds.
+    pub(crate) remote_service_ms: f64,
+}
+
+impl Scheduler {
+    /// Returns the regions that offer the service and may serve the request.
+    pub(super) fn allowed_offers<'a>(
+        &'a self,
+        item: &'a WorkItem,
+    ) -> impl Iterator<Item = &'a RegionInfo> {
+        self.regions
+            .offers(&item.service)
+            .filter(|r| r.region != self.settings.region && item.allows(&r.region))
+    }
+
+    pub(super) fn place_locally(
+        &self,
+        item: &WorkItem,
+        scan: &mut ServiceScan,
+        now: MonotonicTime,
+    ) -> LocalChoice {
+        if let Some(full) = scan.full(item) {
+            return later(full, scan, item);
+        }
+        let eligible = |b: &&Backend| item.may_go_to(&b.info.name);
+        let pool: Vec<&Backend> = self.serving(&item.service).filter(eligible).collect();
+        if pool.is_empty() {
+            return LocalChoice::NoBackend;
+        }
+        // Backend servers with overdue announcements are used only if there are no others.
+        let is_any_announced = pool.iter().any(|b| !b.info.is_silent);
+        let announced = pool.into_iter().filter(|b| !b.info.is_silent || !is_any_announced);
+        let (suspect, healthy): (Vec<&Backend>, Vec<&Backend>) =
+            announced.partition(|b| b.health.is_suspect(now) || b.load.is_stalled(now));
+        let (backed_off, open): (Vec<&Backend>, Vec<&Backend>) =
+            healthy.into_iter().partition(|b| b.stated.backoff.until(now).is_some());
+        // A suspect is retried soon, whereas a back-off may last for minutes.
+        if open.is_empty() && !suspect.is_empty() {
+            return LocalChoice::AllSuspect { recheck_at: now + SUSPECT_RECHECK };
+        }
+        self.choose(item, scan, &open, &backed_off, now)
+    }
+
+    fn choose(
+        &self,
+        item: &WorkItem,
+        scan: &mut ServiceScan,
+        open: &[&Backend],
+        backed_off: &[&Backend],
+        now: MonotonicTime,
+    ) -> LocalChoice {
+        let shared = self.shared_parts(item, open);
+        let objectives = self.objectives.get(&item.service).copied().unwrap_or_default();
+        let mut best: Option<(Candidate, &BackendName)> = None;
+        let mut wait_ms = f64::MAX;
+        let mut held_wait_ms = f64::MAX;
+        let mut recheck_at = now + RECHECK_INTERVAL;
+        let ends = backed_off.iter().filter_map(|backend| backend.stated.backoff.until(now));
+        let backoff_end = ends.min().filter(|_| open.is_empty());
+        for backend in open.iter().chain(backed_off) {
+            if let Some(SendHold { until, wait_ms }) = self.send_hold(backend, now) {
+                recheck_at = recheck_at.min(until);
+                held_wait_ms = held_wait_ms.min(wait_ms);
+                continue;
+            }
+            let candidate = candidate(item, backend, &shared, &objectives, now);
+            wait_ms = wait_ms.min(candidate.estimate.wait_ms);
+            let is_better = best.as_ref().is_none_or(|(b, _)| candidate.cost_ms < b.cost_ms);
+            if is_better && self.has_room(backend, item, candidate.estimate.priority, now) {
+                best = Some((candidate, &backend.info.name));
+            }
+        }
+        match best {
+            Some((Candidate { estimate, copy, .. }, name)) => {
+                LocalChoice::Send { backend: name.clone(), estimate, copy }
+            }
+            None => {
+                let wait_ms = if wait_ms == f64::MAX { held_wait_ms } else { wait_ms };
+                let wait_ms = wait_ms + RECHECK_INTERVAL.as_secs_f64() * 1_000.0;
+                let full = AllFull { wait_ms, recheck_at, backoff_end };
+                scan.note_full(item, full);
+                later(full, scan, item)
+            }
+        }
+    }
+
+    /// Locates the shared parts of the prompt as far as they are known or can be guessed.
+    fn shared_parts<'a>(&self, item: &WorkItem, healthy: &[&'a Backend]) -> SharedParts<'a> {
+        let likely_holder = likely_holder(item, healthy);
+        let engine = self.services.get(&item.service).and_then(|service| service.engine);
+        let source = item.prompt.as_ref().zip(engine);
+        let source =
+            source.and_then(|(s, engine)| CopySource::find(s, healthy, likely_holder, engine));
+        SharedParts { likely_holder, source }
+    }
+
+    /// Returns whether a backend server has capacity for the request now.
+    fn has_room(
+        &self,
+        backend: &Backend,
+        item: &WorkItem,
+        priority: u8,
+        now: MonotonicTime,
+    ) -> bool {
+        let Some(service) = self.services.get(&item.service) else { return false };
+        let connections = service.connection_limit as usize / self.gateways.len().max(1);
+        if backend.load.own() >= connections.max(1) {
+            return false;
+        }
+        let (utilization, backlog_limit_ms) = match service.engine {
+            Some(_) => (1, BACKLOG_LIMIT_MS),
+            None => (PLAIN_MAX_UTILIZATION, PLAIN_BACKLOG_LIMIT_MS),
+        };
+        if backend.load.total(now) >= backend.info.slots.max(1) * utilization {
+            return false;
+        }
+        backend.load.ahead_ms(priority, now) < backlog_limit_ms
+    }
+
+    pub(super) fn is_cold(&self, backend: &Backend, now: MonotonicTime) -> bool {
+        let Some(service) = self.services.get(&backend.info.service) else { return false };
+        if service.cold.requests_per_second <= 0.0 {
+            return false;
+        }
+        // The backend servers of a formerly evacuated failure domain may have become cold
+        // meanwhile, which only their next announcement will tell.
+        let returned = self.returned.get(&backend.info.domain);
+        let may_be_cold = returned.is_some_and(|at| now.since(*at) < service.cold.duration);
+        now < backend.info.cold_until || may_be_cold
+    }
+
+    /// Returns the reason for which a serving backend server may not be sent to now, if there is
+    /// one.
+    fn send_hold(&self, backend: &Backend, now: MonotonicTime) -> Option<SendHold> {
+        let hold = |until: MonotonicTime, more_ms: f64| {
+            let wait_ms = until.since(now).as_secs_f64() * 1_000.0 + more_ms;
+            SendHold { until, wait_ms }
+        };
+        let holds = [
+            self.cold_wait(backend, now).map(|until| SendHold { until, wait_ms: COLD_WAIT_MS }),
+            self.limit_wait(backend, now).map(|until| hold(until, 0.0)),
+            self.backoff_wait(backend, now).map(|until| hold(until, RESUME_DELAY_MS)),
+        ];
+        holds.into_iter().flatten().max_by_key(|hold| hold.until)
+    }
+
+    fn backoff_wait(&self, backend: &Backend, now: MonotonicTime) -> Option<MonotonicTime> {
+        backend.stated.backoff.next_send(|| self.gateways.position(&backend.info.name, now), now)
+    }
+
+    fn cold_wait(&self, backend: &Backend, now: MonotonicTime) -> Option<MonotonicTime> {
+        if !self.is_cold(backend, now) {
+            return None;
+        }
+        let service = self.services.get(&backend.info.service)?;
+        let SchedulerSettings { cold_rate_factor, cold_rate_slack, .. } = &self.settings;
+        let bound =
+            RateBound::cold(service.cold.requests_per_second * cold_rate_factor + cold_rate_slack);
+        let position = self.gateways.position(&backend.info.name, now);
+        let next = self.next_send(backend, &bound, position, now).unwrap_or(now + COLD_RECHECK);
+        (next > now).then_some(next)
+    }
+
+    fn limit_wait(&self, backend: &Backend, now: MonotonicTime) -> Option<MonotonicTime> {
+        let bound = RateBound::stated(backend.stated.limit.limit()?);
+        let position = self.gateways.position(&backend.info.name, now);
+        let next = self.next_send(backend, &bound, position, now);
+        let next = next.unwrap_or_else(|| backend.stated.limit.next_trial(position.rank));
+        (next > now).then_some(next)
+    }
+
+    /// Returns the earliest time at which the share of this gateway in `bound` allows a send, or
+    /// `None` if it has no share.
+    fn next_send(
+        &self,
+        backend: &Backend,
+        bound: &RateBound,
+        position: GatewayPosition,
+        now: MonotonicTime,
+    ) -> Option<MonotonicTime> {
+        if !self.share.is_known_for(TRANSFER_DELAY, now) {
+            return None;
+        }
+        backend.pacer.next_send(bound.share(position), bound)
+    }
+
+    /// Returns the region that would serve the request sooner than this one, if there is one.
+    pub(super) fn better_region(
+        &self,
+        item: &WorkItem,
+        estimate: Option<LocalEstimate>,
+        now: MonotonicTime,
+    ) -> Option<RegionName> {
+        let may_forward = item.may_forward && item.returns_to.is_none();
+        if !may_forward
+            || estimate.is_some_and(|estimate| {
+                estimate.wait_ms + estimate.load_penalty_ms < FORWARD_MIN_WAIT_MS
+            })
+        {
+            return None;
+        }
+        let priority = estimate.map_or(item.priority(), |estimate| estimate.priority);
+        let there_ms = |r: &RegionInfo| self.regions.first_byte_ms(r, priority, now);
+        let best = self
+            .allowed_offers(item)
+            .filter(|r| !self.regions.is_paused(r, now))
+            .min_by(|a, b| there_ms(a).total_cmp(&there_ms(b)))?;
+        match estimate {
+            Some(estimate)
+                if there_ms(best) + estimate.remote_service_ms + FORWARD_MARGIN_MS
+                    >= estimate.expected_ms + estimate.load_penalty_ms =>
+            {
+                None
+            }
+            _ => Some(best.region.clone()),
+        }
+    }
+}
+
+/// A temporary hold on sends to a backend server.
+struct SendHold {
+    until: MonotonicTime,
+    /// The expected wait of a request for the end of the hold, milliseconds.
+    wait_ms: f64,
+}
+
+/// The location of the shared parts of a prompt.
+struct SharedParts<'a> {
+    /// The engine that probably holds them, if none is known to.
+    likely_holder: Option<&'a BackendName>,
+    /// The engine from which they can be copied.
+    source: Option<CopySource<'a>>,
+}
+
+/// A backend server that could get the request.
+struct Candidate {
+    /// The cost by which candidates are compared, milliseconds.
+    cost_ms: f64,
+    estimate: LocalEstimate,
+    copy: Option<PromptCopy>,
+}
+
+fn candidate(
+    item: &WorkItem,
+    backend: &Backend,
+    shared: &SharedParts<'_>,
+    objectives: &LatencyObjectives,
+    now: MonotonicTime,
+) -> Candidate {
+    let shape = item.prompt.as_ref();
+    let source = shared.source.as_ref().zip(shape);
+    let copy = source.and_then(|(source, shape)| source.copy_to(backend, shape));
+    let work = work_cost(backend, item);
+    let work = copy.map_or(work, |copy| copy.reduce(work));
+    let EffectivePriority { priority, expected_ms } =
+        EffectivePriority::for_backend(&backend.load, item, work, objectives, now);
+    let wait_ms = expected_ms - backend.load.service_ms(work);
+    let whole = WorkCost { tokens: shape.map(|shape| shape.prompt_tokens), ..work };
+    let (utilization, rejection_cost_ms) =
+        (utilization(backend, now), rejection_cost_ms(backend, now));
+    let estimate = LocalEstimate {
+        priority,
+        expected_ms,
+        wait_ms,
+        load_penalty_ms: load_penalty(utilization, rejection_cost_ms),
+        remote_service_ms: backend.load.service_ms(whole),
+    };
+    let prefill_tokens = match shared.likely_holder == Some(&backend.info.name) {
+        true => shape.map(PromptShape::unshared_tokens),
+        false => work.tokens,
+    };
+    let failure_cost_ms = match item.route.kind.may_repeat() {
+        true => FAILURE_COST_MS,
+        false => UNREPEATABLE_FAILURE_COST_MS,
+    };
+    let peer_backoff_ms =
+        if backend.stated.backoff.is_peer_backing_off(now) { PEER_BACKOFF_COST_MS } else { 0.0 };
+    let cost_ms = expected_ms
+        + peer_backoff_ms
+        + rejection_cost_ms
+        + PREFILL_WEIGHT * prefill_tokens.map_or(0.0, |tokens| backend.load.prefill_ms(tokens))
+        + CONCURRENCY_COST_MS * utilization
+        + failure_cost_ms * backend.health.failure_rate(now);
+    Candidate { cost_ms, estimate, copy }
+}
+
+/// Returns the engine that probably holds the shared parts of a prompt if this gateway knows of
+/// none, for example after a restart. It is selected by rendezvous hashing of the last shared part,
+/// with the same result in all gateways.
+fn likely_holder<'a>(item: &WorkItem, healthy: &[&'a Backend]) -> Option<&'a BackendName> {
+    let shape = item.prompt.as_ref()?;
+    let part = shape.shared_parts().last()?.id.to_string();
+    let shared = shape.shared_tokens();
+    if healthy.iter().any(|b| b.cache.held_tokens(shape) >= shared) {
+        return None;
+    }
+    let names = healthy.iter().map(|b| &b.info.name);
+    names.max_by_key(|name| rendezvous::score(&part, name.as_str()))
+}
+
+/// Returns the choice to wait while all backend servers are full.
+fn later(full: AllFull, scan: &ServiceScan, item: &WorkItem) -> LocalChoice {
+    let AllFull { wait_ms, recheck_at, backoff_end } = full;
+    let estimate = LocalEstimate {
+        priority: item.priority(),
+        expected_ms: wait_ms + scan.cached_service_ms(item),
+        wait_ms,
+        load_penalty_ms: FULL_LOAD_PENALTY_MS,
+        remote_service_ms: scan.uncached_service_ms(item),
+    };
+    LocalChoice::Wait { estimate, recheck_at, backoff_end }
+}
+
+/// Returns the cost of the concurrent requests for one more request, beside the work ahead of it.
+pub(super) fn load_penalty_ms(backend: &Backend, now: MonotonicTime) -> f64 {
+    load_penalty(utilization(backend, now), rejection_cost_ms(backend, now))
+}
+
+fn load_penalty(utilization: f64, rejection_cost_ms: f64) -> f64 {
+    FULL_LOAD_PENALTY_MS * utilization.min(1.0) + rejection_cost_ms
+}
+
+/// Returns the expected cost of rejections for one more request, milliseconds.
+fn rejection_cost_ms(backend: &Backend, now: MonotonicTime) -> f64 {
+    REJECTION_COST_MS * backend.health.rejection_rate(now)
+}
+
+/// Returns the ratio of requests at a backend server to its slots.
+fn utilization(backend: &Backend, now: MonotonicTime) -> f64 {
+    f64::from(backend.load.total(now)) / f64::from(backend.info.slots.max(1))
+}
--- a/crates/dispatch/src/silence.rs
+++ b/crates/dispatch/src/silence.rs
@@ -1,52 +1,52 @@
-//! Whether a run from which nothing comes is waited for, or another one is sought beside it.
+//! Decides whether to keep waiting for a run that produces no output, or to look for a replacement.
 //!
-//! The load pattern: at the worst of the load engines take memory away from generations that run,
-//! and a stream pauses for seconds while its engine is at work. Another run would read the prompt
-//! again where there is as little room. An engine that is dead is silent to everybody.
+//! The load pattern: in overload, engines preempt running generations to free memory, and streams
+//! pause for seconds although the engine is working. A second run would need another prefill where
+//! capacity is equally scarce. A dead engine, on the other hand, is silent to all gateways.
 
 use std::time::Duration;
 
-/// A run that is waited for because its backend server is at work is looked at again after this.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Recheck interval of a silent run whose backend server is working.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after a first search that found no place; it doubles with each further one.
-const FIRST_SEARCH_PAUSE: Duration = Duration::from_millis(250);
+/// The pause after the first search that found no replacement. It doubles with each further one.
+const INITIAL_SEARCH_PAUSE: Duration = Duration::from_millis(250);
 
 /// The longest pause between two searches.
-const LONGEST_SEARCH_PAUSE: Duration = Duration::from_secs(2);
+const MAX_SEARCH_PAUSE: Duration = Duration::from_secs(2);
 
-/// A run from which nothing comes.
+/// A run that produces no output.
 #[derive(Clone, Copy, Debug)]
 pub struct SilentRun {
-    /// How long nothing has come.
+    /// Time since the latest output.
     pub silence: Duration,
-    /// How long that is usual.
+    /// The silence that is tolerated before a replacement is sought.
     pub timeout: Duration,
-    /// How long it is waited for where its backend server is at work; `None`: to the end.
+    /// The silence that is tolerated while the backend server is working. `None` means no limit.
     pub busy_timeout: Option<Duration>,
-    /// Whether its backend server has answered anybody lately.
+    /// Whether the backend server has recently answered any gateway.
     pub is_at_work: bool,
-    /// Whether another run may take its place.
+    /// Whether the run may be replaced by another one.
     pub may_be_replaced: bool,
-    /// How much longer anyone waits for the answer.
+    /// Time until the request expires.
     pub left: Duration,
-    /// Searches for another place that found none in this silence.
+    /// Number of searches during this silence that found no replacement.
     pub searches: u32,
-    /// How long ago the last one ended.
+    /// Time since the last of these searches ended.
     pub searched_ago: Duration,
 }
 
-/// What is to be done about a silent run.
+/// The action to take on a silent run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SilenceAction {
-    /// Wait for it for so long, and ask again.
+    /// Wait for this long, then decide again.
     Wait(Duration),
-    /// Look for another place while it is still waited for.
+    /// Look for a replacement while the run continues.
     Search,
 }
 
 impl SilentRun {
-    /// What is to be done now.
+    /// Returns the action to take now.
     pub fn next_action(&self) -> SilenceAction {
         if !self.may_be_replaced {
             return SilenceAction::Wait(self.left);
@@ -55,7 +55,7 @@
         let again = self.search_pause().saturating_sub(self.searched_ago);
         let is_waited_for = self.busy_timeout.is_none_or(|most| self.silence < most);
         let wait = match due.max(again) {
-            Duration::ZERO if self.is_at_work && is_waited_for => LOOK_INTERVAL,
+            Duration::ZERO if self.is_at_work && is_waited_for => RECHECK_INTERVAL,
             wait => wait,
         };
         match wait {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// The pause after the last search.
+    /// Returns the required pause after the last search.
     fn search_pause(&self) -> Duration {
         match self.searches {
             0 => Duration::ZERO,
             count => {
                 let factor = 2_u32.saturating_pow(count.min(8) - 1);
-                (FIRST_SEARCH_PAUSE * factor).min(LONGEST_SEARCH_PAUSE)
+                (INITIAL_SEARCH_PAUSE * factor).min(MAX_SEARCH_PAUSE)
             }
         }
     }
--- a/crates/dispatch/src/stall.rs
+++ b/crates/dispatch/src/stall.rs
@@ -1,14 +1,15 @@
-//! Since when a request that is read now may have been on its way.
+//! Bounds the send time of requests that were read after a stall of the process.
 //!
-//! The load pattern: a gateway stands still while its callers go on sending, and reads at once what
-//! was sent over seconds. Taken for requests of now, these would allow repeats of now.
+//! The load pattern: a gateway is stalled while its callers go on sending, and afterwards reads the
+//! requests of several seconds at once. If these counted as sent at the time of reading, they would
+//! earn repeats in the wrong window.
 
 use {gullglade_units::MonotonicTime, std::time::Duration};
 
-/// How late a check is while the process only has much to do.
+/// The delay of a check that is usual on a busy process.
 const USUAL_DELAY: Duration = Duration::from_millis(300);
 
-/// Notices from checks at regular times that the process has stood still.
+/// Detects stalls of the process by the delay of periodic checks.
 #[derive(Debug)]
 pub struct StallDetector {
     interval: Duration,
@@ -16,21 +17,22 @@
     stall: Option<StallSpan>,
 }
 
-/// The last time that the process stood still.
+/// The latest stall.
 #[derive(Clone, Copy, Debug)]
 struct StallSpan {
     began: MonotonicTime,
-    /// What came meanwhile is read by then: the process has run for as long as it stood still.
+    /// The time by which the requests of the stall are assumed to be read: the process has run for
+    /// as long as it was stalled.
     read_by: MonotonicTime,
 }
 
 impl StallDetector {
-    /// A watch over a process that checks at this interval.
+    /// Creates a detector that is checked at this interval.
     pub fn new(interval: Duration) -> Self {
         Self { interval, last_check: None, stall: None }
     }
 
-    /// Checks; for how long the process has stood still, if it has.
+    /// Performs a check. Returns the length of the stall if there was one.
     pub fn check(&mut self, now: MonotonicTime) -> Option<Duration> {
         let last = self.last_check.replace(now);
         let last = last.filter(|last| self.is_overdue(*last, now))?;
@@ -39,8 +41,8 @@
         Some(now.since(last))
     }
 
-    /// The earliest time at which a request that is read now may have been sent. Of a process that
-    /// was never checked nothing is known, and that is `now`.
+    /// Returns the earliest time at which a request that is read now may have been sent. Without
+    /// any previous check this is `now`.
     pub fn sent_since(&self, now: MonotonicTime) -> MonotonicTime {
         match (self.stall, self.last_check) {
             (Some(stall), _) if now < stall.read_by => stall.began,
--- a/crates/dispatch/src/statement.rs
+++ b/crates/dispatch/src/statement.rs
@@ -1,4 +1,4 @@
-//! What a backend server states of itself with the head of an answer, and what is kept of it.
+//! Statements that a backend server makes about itself in the head of an answer.
 
 use {
     crate::{
@@ -8,39 +8,39 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long the statements of a run are retained that is announced no more: announcements may fail
-/// to arrive for a while, and what it stated binds all the same.
+/// Statements of a run that is no longer announced are kept for this long. Announcements may be
+/// lost for a while, and the statements stay in force meanwhile.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// The statements of one answer. Each was checked when it was read.
+/// The validated statements of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackendStatements {
-    /// The answer bears the backend server's signature: what it does not state holds no longer. A
-    /// rejection without one may have come from something in front of it.
+    /// Whether the answer is signed by the backend server. Only then does a missing statement
+    /// revoke an earlier one. An unsigned rejection may come from an intermediary.
     pub is_signed: bool,
-    /// Its load.
+    /// The load of the backend server.
     pub load: Option<BackendReport>,
-    /// The requests a second that it takes from all gateways together.
+    /// The requests per second that it takes from all gateways together.
     pub limit: Option<StatedLimit>,
-    /// It wants nothing from this gateway for so long.
+    /// The time for which it wants no requests from this gateway.
     pub backoff: Option<StatedBackoff>,
-    /// It leaves: it finishes what it has, and wants nothing new.
+    /// Whether it is leaving: it finishes its requests and accepts no new ones.
     pub is_leaving: bool,
 }
 
-/// A statement that differs from what was known of the same run before.
+/// A statement that changes what was known of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StatementChange {
-    /// It states another limit, or none any more.
+    /// The limit was changed, or lifted if `None`.
     Limit(Option<StatedLimit>),
-    /// It requests a back-off, or a longer one.
+    /// A back-off was requested or extended.
     Backoff(StatedBackoff),
-    /// It leaves.
+    /// The run is leaving.
     Leaving,
 }
 
 impl StatementChange {
-    /// Whether the backend server wants nothing more that has not reached it yet.
+    /// Returns whether requests that have not reached the backend server yet have to be withdrawn.
     pub fn ends_sends(self) -> bool {
         match self {
             Self::Limit(_) => false,
@@ -49,28 +49,29 @@
     }
 }
 
-/// What one run of a backend server has stated, beside its load.
+/// The statements of one run, except for its load.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StatementRecord {
     pub(crate) limit: LimitRecord,
     pub(crate) backoff: BackoffRecord,
-    /// A run that leaves does not come back, whatever is said of it later.
+    /// Never reset, because a run that is leaving does not come back.
     pub(crate) is_leaving: bool,
 }
 
 impl StatementRecord {
-    /// Takes the statements of an answer that came at `came`; what is new of them.
+    /// Records the statements of an answer that was received at `received`, and returns those that
+    /// changed.
     pub(crate) fn note(
         &mut self,
         statements: &BackendStatements,
-        came: MonotonicTime,
+        received: MonotonicTime,
     ) -> Vec<StatementChange> {
         let mut changes = Vec::new();
         let BackendStatements { is_signed, load: _, limit, backoff, is_leaving } = *statements;
-        if (is_signed || limit.is_some()) && self.limit.note(limit, came) {
+        if (is_signed || limit.is_some()) && self.limit.note(limit, received) {
             changes.push(StatementChange::Limit(limit));
         }
-        if let Some(backoff) = backoff.filter(|backoff| self.backoff.note(*backoff, came)) {
+        if let Some(backoff) = backoff.filter(|backoff| self.backoff.note(*backoff, received)) {
             changes.push(StatementChange::Backoff(backoff));
         }
         if is_leaving && !std::mem::replace(&mut self.is_leaving, true) {
@@ -80,43 +81,43 @@
     }
 }
 
-/// What runs have stated that are not announced at the moment.
+/// Statements of runs that are not announced at the moment.
 #[derive(Debug, Default)]
 pub(crate) struct RetainedStatements {
     records: BTreeMap<BackendRun, (StatementRecord, MonotonicTime)>,
 }
 
 impl RetainedStatements {
-    /// Retains what a run has stated that is announced no more.
-    pub(crate) fn keep(&mut self, run: BackendRun, stated: StatementRecord, now: MonotonicTime) {
+    /// Keeps the statements of a run that is no longer announced.
+    pub(crate) fn retain(&mut self, run: BackendRun, stated: StatementRecord, now: MonotonicTime) {
         self.records.insert(run, (stated, now));
     }
 
-    /// Takes the statements of an answer of such a run; what is new of them.
+    /// Records the statements of an answer from such a run, and returns those that changed.
     pub(crate) fn note(
         &mut self,
         run: &BackendRun,
         statements: &BackendStatements,
-        came: MonotonicTime,
+        received: MonotonicTime,
     ) -> Vec<StatementChange> {
         let (stated, since) = self.records.entry(run.clone()).or_default();
-        *since = came;
-        stated.note(statements, came)
+        *since = received;
+        stated.note(statements, received)
     }
 
-    /// Notes that such a run leaves, as another gateway told.
+    /// Records that such a run is leaving, as reported by another gateway.
     pub(crate) fn note_leaving(&mut self, run: BackendRun, now: MonotonicTime) {
         let (stated, since) = self.records.entry(run).or_default();
         (stated.is_leaving, *since) = (true, now);
     }
 
-    /// What a run has stated that is announced again.
+    /// Removes and returns the statements of a run that is announced again.
     pub(crate) fn take(&mut self, run: &BackendRun) -> StatementRecord {
         self.records.remove(run).map(|(stated, _)| stated).unwrap_or_default()
     }
 
-    /// Drops what has been retained for long enough.
-    pub(crate) fn drop_old(&mut self, now: MonotonicTime) {
+    /// Drops statements that are older than the retention time.
+    pub(crate) fn expire(&mut self, now: MonotonicTime) {
         self.records.retain(|_, (_, since)| now.since(*since) < RETENTION);
     }
 }
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work.rs
@@ -1,4 +1,4 @@
-//! What is to be placed, and how it ended.
+//! Requests to be placed, and the outcomes of their sends.
 
 use {
     gullglade_event::FieldValue,
@@ -8,85 +8,86 @@
     std::{fmt, rc::Rc, time::Duration},
 };
 
-/// One request in a scheduler's hands.
+/// Identifies a request within one scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// One part of a prompt. Requests that share a part and all parts before it share the work of
-/// reading them.
+/// A part of a prompt. Requests that have a part and all parts before it in common can share their
+/// prefill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Its content's hash.
+    /// The hash of its content.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What is known of a generation before it runs.
+/// The properties of a generation request that are known in advance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptShape {
-    /// The prompt's parts in order.
+    /// The parts of the prompt in order.
     pub parts: Vec<PromptPart>,
-    /// The tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens of the answer.
+    /// Maximum length of the answer in tokens.
     pub answer_tokens: u32,
 }
 
 impl PromptShape {
-    /// The parts that other requests may share: all but the last one.
+    /// Returns the parts that other requests may share: all but the last one.
     pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// The tokens of the parts that other requests may share.
+    /// Returns the number of tokens in the shared parts.
     pub fn shared_tokens(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// The tokens of the prompt that no other request shares.
-    pub fn own_tokens(&self) -> u32 {
+    /// Returns the number of prompt tokens outside the shared parts.
+    pub fn unshared_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_sub(self.shared_tokens())
     }
 }
 
-/// A request that is to be placed.
+/// A request to be placed.
 #[derive(Clone, Debug)]
 pub struct WorkItem {
-    /// The service that its route chose for it.
+    /// The service that the route selected for the request.
     pub service: ServiceName,
-    /// Its route.
+    /// The route of the request.
     pub route: Rc<TrafficRoute>,
-    /// The workspace of its caller, where callers have keys.
+    /// The workspace of the caller, if callers are identified by keys.
     pub workspace: Option<Rc<TrafficWorkspace>>,
-    /// When it arrived, at the first gateway.
+    /// When the request arrived at the first gateway.
     pub arrived: MonotonicTime,
-    /// When its caller stops waiting, or its route's timeout comes.
+    /// When the caller stops waiting or the timeout of the route expires.
     pub ends: MonotonicTime,
-    /// When the answer has to begin, since its caller leaves otherwise; `ends` at the latest.
+    /// When the answer has to begin, as the caller would leave otherwise. Not later than `ends`.
     pub first_byte_deadline: MonotonicTime,
-    /// Its prompt, where it has one.
+    /// The prompt, if the request has one.
     pub prompt: Option<PromptShape>,
-    /// Backend servers that it was sent to and that are not to be tried again.
+    /// Backend servers that must not get the request again.
     pub tried: Vec<BackendName>,
-    /// The only backend server that may get it, where it goes back to one.
+    /// The only eligible backend server, if the request returns to one that had it before.
     pub returns_to: Option<BackendName>,
-    /// Whether it may be sent to another region: not if it came from one.
+    /// Whether the request may be forwarded to another region. False if it came from one.
     pub may_forward: bool,
-    /// Whether it came in just now from its caller. Only then is it counted among the requests of
-    /// which a part may be repeated: counted again with each placement, or by the gateway of the
-    /// region that it is handed to, the parts of all gateways add up to more than is promised.
+    /// Whether the request has just arrived from its caller. Only new requests count for the repeat
+    /// budget. Counting a request again with each placement, or at the gateway that it is forwarded
+    /// to, would make the sum of all budgets exceed the promised one.
     pub is_new: bool,
 }
 
 impl WorkItem {
-    /// 0 is the most urgent. That of its workspace goes before that of its route.
+    /// Returns the priority, 0 being the most urgent. The priority of the workspace overrides that
+    /// of the route.
     pub fn priority(&self) -> u8 {
         let own = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// Whether the backend server may get it.
+    /// Returns whether the backend server may get the request.
     pub fn may_go_to(&self, name: &BackendName) -> bool {
         match &self.returns_to {
             Some(only) => only == name,
@@ -94,28 +95,29 @@
         }
     }
 
-    /// Whether any backend server of its service may get it.
+    /// Returns whether every backend server of the service may get the request.
     pub fn may_go_anywhere(&self) -> bool {
         self.tried.is_empty() && self.returns_to.is_none()
     }
 
-    /// Whether it may be served in `region`, by its route and by its workspace.
+    /// Returns whether both the route and the workspace allow `region`.
     pub fn allows(&self, region: &RegionName) -> bool {
         let workspace = self.workspace.as_ref();
         self.route.allows(region) && workspace.is_none_or(|workspace| workspace.allows(region))
     }
 }
 
-/// Why a request was turned away. It has not run.
+/// The reason for which a request was refused without having run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No backend server of its service is known that may serve it.
+    /// No known backend server may serve the request.
     NoBackend,
-    /// Those that there are have failed lately.
+    /// All eligible backend servers have failed recently.
     AllSuspect,
-    /// It would not be answered before its caller stops waiting.
+    /// The request would not be answered before its caller stops waiting.
     TooLate,
-    /// This gateway backs off from all that may take it, for longer than it can wait.
+    /// This gateway backs off from all eligible backend servers for longer than the request can
+    /// wait.
     Backoff,
 }
 
@@ -132,28 +134,28 @@
 
 impl FieldValue for RefusalReason {}
 
-/// How a send ended, as far as it tells of the backend server.
+/// The outcome of sending a request to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkOutcome {
-    /// It answered whole.
+    /// A complete answer was received.
     Answered,
-    /// It answered whole that it failed.
+    /// A complete answer was received that reports an error.
     Failed,
-    /// It said that it did not run it, being full.
+    /// The backend server rejected the request, without running it, because it was full.
     Shed,
-    /// Another one has its address.
+    /// A different backend server runs at the address.
     Misdirected,
-    /// It could not be reached.
+    /// No connection could be established.
     Unreachable,
     /// The connection broke after the request was sent.
     Broken,
-    /// Its answer was not one: bytes of another request, or no answer by the protocol.
+    /// The answer violated the protocol, or contained bytes of another request.
     Garbled,
-    /// It gave no answer in time.
+    /// No answer was received in time.
     Overdue {
-        /// How long it was waited for.
+        /// The time spent waiting.
         waited: Duration,
     },
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -48,7 +48,7 @@
     for seed in 0..500 {
         let (mut budget, share, now) = draw_budget(seed);
         let next = budget.next_grant(&share, now);
-        let is_granted = |at| budget.clone().look(&share, at).is_granted;
+        let is_granted = |at| budget.clone().peek(&share, at).is_granted;
         // A budget may have room for a moment only.
         assert!(next.is_none_or(is_granted), "seed {seed}: not granted at {next:?}");
         let end = next.unwrap_or(now + HORIZON);
--- a/crates/dispatch/tests/support/deployment.rs
+++ b/crates/dispatch/tests/support/deployment.rs
@@ -118,8 +118,8 @@
             repeat_ratio: 0.2,
             repeat_slack: 230.0,
             repeat_window: Duration::from_secs(10),
-            cold_over: 1.5,
-            cold_slack: 3.0,
+            cold_rate_factor: 1.5,
+            cold_rate_slack: 3.0,
         };
         let mut scheduler = Scheduler::new(settings);
         let pool = ServicePool {
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -96,8 +96,8 @@
         repeat_ratio: 0.2,
         repeat_slack: 50.0,
         repeat_window: Duration::from_secs(10),
-        cold_over: 1.5,
-        cold_slack: 3.0,
+        cold_rate_factor: 1.5,
+        cold_rate_slack: 3.0,
     }
 }
 
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -79,7 +79,7 @@
         let verdict = verdict.await.unwrap_or(Decision::Refuse {
             reason: RefusalReason::NoBackend,
             retry_after: Duration::from_secs(1),
-            facts: RefusalDetails::default(),
+            details: RefusalDetails::default(),
         });
         (sent, verdict)
     }
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -165,18 +165,18 @@
         &self,
         reason: RefusalReason,
         wait: Duration,
-        facts: RefusalDetails,
+        details: RefusalDetails,
         item: &WorkItem,
     ) {
         let event = self.event("request.refused").field("reason", reason);
         let event = event.field("priority", item.priority());
         let workspace = item.workspace.as_ref().map(|workspace| &workspace.name);
         let event = event.optional("workspace", workspace);
-        let event = event.field("known", facts.known).field("serving", facts.serving);
-        let event = event.field("suspect", facts.suspect).field("cold", facts.cold);
-        let event = event.field("backed_off", facts.backed_off);
-        let event = event.field("regions", facts.regions).field("paused", facts.paused);
-        let event = event.field("waiting", facts.waiting).optional("version", self.version);
+        let event = event.field("known", details.known).field("serving", details.serving);
+        let event = event.field("suspect", details.suspect).field("cold", details.cold);
+        let event = event.field("backed_off", details.backed_off);
+        let event = event.field("regions", details.regions).field("paused", details.paused);
+        let event = event.field("waiting", details.waiting).optional("version", self.version);
         self.events.emit(event.millis("retry_after_ms", wait));
     }
 
--- a/crates/proxy/src/journey/placing.rs
+++ b/crates/proxy/src/journey/placing.rs
@@ -49,11 +49,11 @@
             self.take_repeat()?;
         }
         match verdict {
-            Decision::Refuse { reason, retry_after, facts } => {
+            Decision::Refuse { reason, retry_after, details } => {
                 if self.ledger.has_run() {
                     return Err(self.unknown(UnknownReason::Overdue));
                 }
-                self.log.refused(reason, retry_after, facts, &self.item);
+                self.log.refused(reason, retry_after, details, &self.item);
                 Err(FinalWord::Refused(reason, retry_after))
             }
             Decision::Send { run, address, priority, expected_ms, copy } => {
--- a/crates/proxy/src/search.rs
+++ b/crates/proxy/src/search.rs
@@ -80,9 +80,11 @@
                 drop(ticket);
                 self.reserve(region).await
             }
-            Decision::Refuse { reason, facts, .. } => {
-                let event = self.refused().field("reason", reason).field("serving", facts.serving);
-                let event = event.field("suspect", facts.suspect).field("waiting", facts.waiting);
+            Decision::Refuse { reason, details, .. } => {
+                let event =
+                    self.refused().field("reason", reason).field("serving", details.serving);
+                let event =
+                    event.field("suspect", details.suspect).field("waiting", details.waiting);
                 self.proxy.events().emit(event);
                 None
             }
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -266,8 +266,8 @@
         repeat_ratio: 0.2,
         repeat_slack: 50.0,
         repeat_window: Duration::from_secs(10),
-        cold_over: 1.5,
-        cold_slack: 3.0,
+        cold_rate_factor: 1.5,
+        cold_rate_slack: 3.0,
     });
     let pool = ServicePool {
         name: service.clone(),
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -499,8 +499,8 @@
         repeat_ratio: 0.2,
         repeat_slack: settings.repeat_slack,
         repeat_window: Duration::from_secs(10),
-        cold_over: 1.5,
-        cold_slack: 3.0,
+        cold_rate_factor: 1.5,
+        cold_rate_slack: 3.0,
     });
     let service = ServiceName::try_from("pool").expect("a name");
     let pool = gullglade_traffic::ServicePool {
