--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -70,7 +70,11 @@
 
 impl fmt::Display for InvalidBackoff {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is no time to wait; it is a number of seconds, zero or more", self.0)
+        write!(
+            f,
+            "{} is not a valid back-off; it has to be a number of seconds, zero or more",
+            self.0
+        )
     }
 }
 
@@ -83,7 +87,7 @@
     until: Option<MonotonicTime>,
     /// The latest end of a back-off requested of another gateway. It does not bind this one.
     peer_until: Option<MonotonicTime>,
-    start: SlowStart,
+    slow_start: SlowStart,
 }
 
 /// The progress of the slow start after a back-off.
@@ -105,7 +109,7 @@
             return false;
         }
         self.until = Some(until);
-        self.start = SlowStart::default();
+        self.slow_start = SlowStart::default();
         true
     }
 
@@ -138,7 +142,7 @@
         now: MonotonicTime,
     ) -> Option<MonotonicTime> {
         let until = self.until.filter(|until| now.since(*until) < SLOW_START_LIMIT)?;
-        let SlowStart { sent, accepted, last_sent } = self.start;
+        let SlowStart { sent, accepted, last_sent } = self.slow_start;
         let next = match sent {
             0 => until + resume_delay(position()),
             _ if sent <= accepted * 2 => now,
@@ -150,21 +154,21 @@
     /// Records that this gateway sends a request.
     pub(crate) fn note_send(&mut self, now: MonotonicTime) {
         if self.until.is_some() {
-            self.start.sent += 1;
-            self.start.last_sent = now;
+            self.slow_start.sent += 1;
+            self.slow_start.last_sent = now;
         }
     }
 
     /// Records that a request of this gateway was accepted.
     pub(crate) fn note_accepted(&mut self, now: MonotonicTime) {
         // Answers to requests that were sent before the rejection do not count for the slow start.
-        if self.until.is_none_or(|until| now < until) || self.start.sent == 0 {
+        if self.until.is_none_or(|until| now < until) || self.slow_start.sent == 0 {
             return;
         }
-        self.start.accepted += 1;
-        if self.start.accepted >= SLOW_START_ACCEPTS {
+        self.slow_start.accepted += 1;
+        if self.slow_start.accepted >= SLOW_START_ACCEPTS {
             self.until = None;
-            self.start = SlowStart::default();
+            self.slow_start = SlowStart::default();
         }
     }
 }
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -53,7 +53,7 @@
     pub is_granted: bool,
     /// Requests of this gateway in the window.
     pub requests: usize,
-    /// Repeats granted by this gateway in the window before this one.
+    /// Repeats that this gateway was granted in the window so far.
     pub repeats: usize,
     /// The number of parts into which the allowance is divided.
     pub parts: usize,
@@ -125,20 +125,19 @@
     }
 
     fn note_settled(&mut self, now: MonotonicTime) {
-        let window_start = self.window_start();
+        let balance = self.balance();
         self.settled_count += 1;
-        while self.window_starts.back().is_some_and(|(_, later)| *later >= window_start) {
+        while self.window_starts.back().is_some_and(|(_, later)| *later >= balance) {
             self.window_starts.pop_back();
         }
-        self.window_starts.push_back((now, window_start));
+        self.window_starts.push_back((now, balance));
     }
 
     /// Returns whether [`take`](Self::take) would grant a repeat now.
     pub fn peek(&mut self, share: &AllowanceShare, now: MonotonicTime) -> RepeatDecision {
         self.expire(now);
-        let window_start = self.window_start();
-        let least =
-            self.window_starts.front().map_or(window_start, |(_, oldest)| oldest.min(window_start));
+        let balance = self.balance();
+        let least = self.window_starts.front().map_or(balance, |(_, oldest)| oldest.min(balance));
         let slack = USABLE_SHARE * share.part(self.slack, self.window, now);
         let taken = (self.granted_count + 1) as f64 - self.earned(self.request_count);
         RepeatDecision {
@@ -168,7 +167,7 @@
     }
 
     /// Returns the value to store for a window that begins now.
-    fn window_start(&self) -> f64 {
+    fn balance(&self) -> f64 {
         let earlier = self.request_count - self.requests.len() as u64;
         self.settled_count as f64 - self.earned(earlier)
     }
--- a/crates/dispatch/src/limit.rs
+++ b/crates/dispatch/src/limit.rs
@@ -54,7 +54,11 @@
 
 impl fmt::Display for InvalidLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is no rate; a limit is a number of requests a second, zero or more", self.0)
+        write!(
+            f,
+            "{} is not a valid limit; it has to be a number of requests per second, zero or more",
+            self.0
+        )
     }
 }
 
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -137,18 +137,18 @@
 
 impl BackendLoad {
     /// Returns the number of unfinished requests of this gateway.
-    pub fn own(&self) -> usize {
+    pub fn own_requests(&self) -> usize {
         self.sent.len()
     }
 
     /// Returns the estimated number of unfinished requests of all gateways.
-    pub fn total(&self, now: MonotonicTime) -> u32 {
-        let own = self.sent.len() as f64;
-        let Some((report, at)) = self.report else { return own as u32 };
+    pub fn total_requests(&self, now: MonotonicTime) -> u32 {
+        let own_requests = self.sent.len() as f64;
+        let Some((report, at)) = self.report else { return own_requests as u32 };
         let stated = f64::from(report.running + report.waiting);
         let others =
             (stated - f64::from(self.own_at_report)).max(0.0) + f64::from(self.others_since_report);
-        (own + decayed(others, now.since(at), REPORT_HALF_LIFE)).round() as u32
+        (own_requests + decayed(others, now.since(at), REPORT_HALF_LIFE)).round() as u32
     }
 
     /// Returns the expected time to first byte of a request sent now, milliseconds.
@@ -165,7 +165,7 @@
     }
 
     /// Records that a request was sent, by this gateway if `ticket` is given.
-    pub fn send(&mut self, ticket: Option<TicketId>, sent: SentRequest, now: MonotonicTime) {
+    pub fn note_send(&mut self, ticket: Option<TicketId>, sent: SentRequest, now: MonotonicTime) {
         let ahead_ms = self.ahead_ms(sent.priority, now);
         match ticket {
             Some(ticket) => {
@@ -223,8 +223,8 @@
 
     /// Returns the time to first byte of a request with nothing ahead of it, milliseconds.
     pub(crate) fn service_ms(&self, cost: WorkCost) -> f64 {
-        let reading = |tokens| self.prefill_ms(tokens) * self.prefill.slowdown();
-        cost.tokens.map_or(self.work_ms, reading)
+        let prefill_ms = |tokens| self.prefill_ms(tokens) * self.prefill.slowdown();
+        cost.tokens.map_or(self.work_ms, prefill_ms)
     }
 
     /// Records the first byte of an own request and learns from its delay. Returns `None` if the
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -56,7 +56,7 @@
     cache: CacheEstimate,
     health: HealthRecord,
     pacer: SendPacer,
-    stated: StatementRecord,
+    statements: StatementRecord,
 }
 
 /// The interval at which [`Scheduler::check_stall`] has to be called.
@@ -147,15 +147,15 @@
     /// Replaces the known backend servers of this region.
     pub fn set_backends(
         &mut self,
-        info: impl IntoIterator<Item = BackendInfo>,
+        announced: impl IntoIterator<Item = BackendInfo>,
         now: MonotonicTime,
     ) {
         let mut previous = std::mem::take(&mut self.backends);
-        let (ended, info): (Vec<_>, Vec<_>) =
-            info.into_iter().partition(|f| self.ended.contains(&f.run()));
+        let (ended, announced): (Vec<_>, Vec<_>) =
+            announced.into_iter().partition(|f| self.ended.contains(&f.run()));
         // Ended runs that are no longer announced are forgotten.
         self.ended = ended.iter().map(BackendInfo::run).collect();
-        for info in info {
+        for info in announced {
             // Load, cache contents and failures of an earlier incarnation do not apply to a new
             // one.
             let known = match previous.get(&info.name) {
@@ -167,7 +167,7 @@
             let backend = match known {
                 Some(backend) => Backend { info, ..backend },
                 None => Backend {
-                    stated: self.retained.take(&info.run()),
+                    statements: self.retained.take(&info.run()),
                     info,
                     load: BackendLoad::default(),
                     cache: CacheEstimate::default(),
@@ -178,7 +178,7 @@
             self.backends.insert(backend.info.name.clone(), backend);
         }
         for backend in previous.into_values() {
-            self.retained.retain(backend.info.run(), backend.stated, now);
+            self.retained.retain(backend.info.run(), backend.statements, now);
         }
         self.retained.expire(now);
     }
@@ -215,8 +215,9 @@
     /// Returns the capacity of one service, or `None` if no backend server accepts work for it.
     pub fn offer(&self, service: &ServiceName, now: MonotonicTime) -> Option<RegionInfo> {
         let is_trusted = |b: &Backend| !b.health.is_suspect(now) && !b.load.is_stalled(now);
-        let is_held =
-            |b: &Backend| b.stated.limit.limit().is_some() || b.stated.backoff.is_backed_off(now);
+        let is_held = |b: &Backend| {
+            b.statements.limit.limit().is_some() || b.statements.backoff.is_backed_off(now)
+        };
         let is_open = |b: &Backend| !is_held(b) && !self.is_cold(b, now);
         let healthy = |b: &&Backend| !b.info.is_silent && is_trusted(b) && is_open(b);
         let times: Vec<FirstByteTimes> = self
@@ -270,7 +271,7 @@
     /// Decides on the queued requests. Requests without a decision stay in the queue.
     pub fn poll(&mut self, now: MonotonicTime) -> Vec<(TicketId, Decision)> {
         self.wake = None;
-        let mut verdicts = Vec::new();
+        let mut decisions = Vec::new();
         let mut queue = std::mem::take(&mut self.waiting);
         // In overload there are always more late requests than capacity. Requests that can still
         // meet their objective go first; otherwise no request would meet it.
@@ -286,9 +287,9 @@
             }
             let Some(scan) = scans.get_mut(service) else { continue };
             match self.decide(&waiting, scan, now) {
-                Some(verdict) => {
-                    self.apply(&waiting, &verdict, now);
-                    verdicts.push((waiting.ticket, verdict));
+                Some(decision) => {
+                    self.apply(&waiting, &decision, now);
+                    decisions.push((waiting.ticket, decision));
                 }
                 None => {
                     scan.add_queued(&waiting.item);
@@ -296,7 +297,7 @@
                 }
             }
         }
-        verdicts
+        decisions
     }
 
     /// Starts a scan of the queued requests of one service. Every gateway of the region has such a
@@ -321,10 +322,10 @@
         let Some(backend) = self.sent_backend(ticket) else { return };
         // The rest applies to the first chunk only.
         let Some(sent) = backend.load.note_own_first_byte(ticket, now) else { return };
-        backend.stated.backoff.note_accepted(now);
+        backend.statements.backoff.note_accepted(now);
         backend.health.note_accepted(now);
         let load = backend.load.recent_report(SHARED_REPORT_MAX_AGE, now);
-        let limit = LimitUpdate::new(&backend.stated.limit, now);
+        let limit = LimitUpdate::new(&backend.statements.limit, now);
         let run = backend.info.run();
         let news = RequestUpdate::Begun { ago_us: 0, load, limit };
         self.queue_hint(run, sent, news, now);
@@ -359,7 +360,7 @@
         if let Some(load) = statements.load {
             backend.load.note_report(load, now);
         }
-        let changes = backend.stated.note(statements, now);
+        let changes = backend.statements.note(statements, now);
         let Some(sent) = backend.load.sent(ticket).filter(|_| !changes.is_empty()) else {
             return changes;
         };
@@ -376,7 +377,7 @@
         let Some(Placement { run, .. }) = self.sent.get(&ticket) else { return false };
         let backend = self.backends.get(&run.backend);
         backend.filter(|backend| backend.info.incarnation == run.incarnation).is_some_and(
-            |backend| self.may_serve(backend) && backend.stated.backoff.until(now).is_none(),
+            |backend| self.may_serve(backend) && backend.statements.backoff.until(now).is_none(),
         )
     }
 
@@ -539,7 +540,7 @@
             RequestUpdate::Sent { tokens, parts } => {
                 let cost = WorkCost { tokens, slots: backend.info.slots };
                 let other = SentRequest { request, cost, priority, sent };
-                backend.load.send(None, other, now);
+                backend.load.note_send(None, other, now);
                 let engine = self.services.get(&backend.info.service).and_then(|s| s.engine);
                 if let Some(engine) = engine {
                     backend.cache.note(&parts, engine.memory_tokens, now);
@@ -547,7 +548,7 @@
             }
             RequestUpdate::Begun { ago_us, load, limit } => {
                 let came = micros_ago(now, ago_us);
-                backend.stated.limit.note(limit.limit, micros_ago(now, limit.ago_us));
+                backend.statements.limit.note(limit.limit, micros_ago(now, limit.ago_us));
                 backend.load.note_first_byte(request, priority, sent, came);
                 if let Some(load) = load {
                     backend.load.note_report(load, came);
@@ -556,9 +557,9 @@
             RequestUpdate::Dropped => backend.load.note_dropped(request),
             RequestUpdate::Backoff { left_us } => {
                 let until = now + Duration::from_micros(left_us.into());
-                backend.stated.backoff.note_peer(until, now);
+                backend.statements.backoff.note_peer(until, now);
             }
-            RequestUpdate::Leaving => backend.stated.is_leaving = true,
+            RequestUpdate::Leaving => backend.statements.is_leaving = true,
         }
     }
 
@@ -568,8 +569,8 @@
         self.budgets.entry(service.clone()).or_insert_with(new)
     }
 
-    fn apply(&mut self, waiting: &Waiting, verdict: &Decision, now: MonotonicTime) {
-        let Decision::Send { run, copy, priority, .. } = verdict else { return };
+    fn apply(&mut self, waiting: &Waiting, decision: &Decision, now: MonotonicTime) {
+        let Decision::Send { run, copy, priority, .. } = decision else { return };
         let name = &run.backend;
         let engine = self.services.get(&waiting.item.service).and_then(|s| s.engine);
         let Some(backend) = self.backends.get_mut(name) else { return };
@@ -581,12 +582,12 @@
             priority: *priority,
             sent: now,
         };
-        backend.load.send(Some(waiting.ticket), sent, now);
+        backend.load.note_send(Some(waiting.ticket), sent, now);
         let parts = waiting.item.prompt.as_ref().map(PromptShape::shared_parts);
         let parts = parts.unwrap_or_default().to_vec();
         backend.health.note_send(now);
         backend.pacer.note(now);
-        backend.stated.backoff.note_send(now);
+        backend.statements.backoff.note_send(now);
         if let (Some(prompt), Some(engine)) = (&waiting.item.prompt, engine) {
             backend.cache.note(&prompt.parts, engine.memory_tokens, now);
         }
@@ -603,7 +604,7 @@
     /// Returns whether a backend server may get requests at all.
     fn may_serve(&self, backend: &Backend) -> bool {
         let info = &backend.info;
-        let is_serving = info.is_serving && !backend.stated.is_leaving;
+        let is_serving = info.is_serving && !backend.statements.is_leaving;
         is_serving && !self.evacuated.contains(&info.domain)
     }
 }
--- a/crates/dispatch/src/scheduler/decide.rs
+++ b/crates/dispatch/src/scheduler/decide.rs
@@ -115,7 +115,7 @@
             serving: serving().count(),
             suspect: serving().filter(|b| b.health.is_suspect(now)).count(),
             cold: serving().filter(|b| self.is_cold(b, now)).count(),
-            backed_off: serving().filter(|b| b.stated.backoff.until(now).is_some()).count(),
+            backed_off: serving().filter(|b| b.statements.backoff.until(now).is_some()).count(),
             regions: offers().count(),
             paused: offers().filter(|r| self.regions.is_paused(r, now)).count(),
             waiting: self.waiting.len(),
--- a/crates/dispatch/src/scheduler/place.rs
+++ b/crates/dispatch/src/scheduler/place.rs
@@ -132,28 +132,30 @@
         now: MonotonicTime,
     ) -> LocalChoice {
         if let Some(full) = scan.full(item) {
-            return later(full, scan, item);
+            return wait_for_capacity(full, scan, item);
         }
-        let eligible = |b: &&Backend| item.may_go_to(&b.info.name);
-        let pool: Vec<&Backend> = self.serving(&item.service).filter(eligible).collect();
-        if pool.is_empty() {
+        let is_eligible = |b: &&Backend| item.may_go_to(&b.info.name);
+        let eligible_backends: Vec<&Backend> =
+            self.serving(&item.service).filter(is_eligible).collect();
+        if eligible_backends.is_empty() {
             return LocalChoice::NoBackend;
         }
         // Backend servers with overdue announcements are used only if there are no others.
-        let is_any_announced = pool.iter().any(|b| !b.info.is_silent);
-        let announced = pool.into_iter().filter(|b| !b.info.is_silent || !is_any_announced);
+        let is_any_announced = eligible_backends.iter().any(|b| !b.info.is_silent);
+        let announced =
+            eligible_backends.into_iter().filter(|b| !b.info.is_silent || !is_any_announced);
         let (suspect, healthy): (Vec<&Backend>, Vec<&Backend>) =
             announced.partition(|b| b.health.is_suspect(now) || b.load.is_stalled(now));
         let (backed_off, open): (Vec<&Backend>, Vec<&Backend>) =
-            healthy.into_iter().partition(|b| b.stated.backoff.until(now).is_some());
+            healthy.into_iter().partition(|b| b.statements.backoff.until(now).is_some());
         // A suspect is retried soon, whereas a back-off may last for minutes.
         if open.is_empty() && !suspect.is_empty() {
             return LocalChoice::AllSuspect { recheck_at: now + SUSPECT_RECHECK };
         }
-        self.choose(item, scan, &open, &backed_off, now)
+        self.choose_backend(item, scan, &open, &backed_off, now)
     }
 
-    fn choose(
+    fn choose_backend(
         &self,
         item: &WorkItem,
         scan: &mut ServiceScan,
@@ -167,7 +169,7 @@
         let mut wait_ms = f64::MAX;
         let mut held_wait_ms = f64::MAX;
         let mut recheck_at = now + RECHECK_INTERVAL;
-        let ends = backed_off.iter().filter_map(|backend| backend.stated.backoff.until(now));
+        let ends = backed_off.iter().filter_map(|backend| backend.statements.backoff.until(now));
         let backoff_end = ends.min().filter(|_| open.is_empty());
         for backend in open.iter().chain(backed_off) {
             if let Some(SendHold { until, wait_ms }) = self.send_hold(backend, now) {
@@ -178,7 +180,7 @@
             let candidate = candidate(item, backend, &shared, &objectives, now);
             wait_ms = wait_ms.min(candidate.estimate.wait_ms);
             let is_better = best.as_ref().is_none_or(|(b, _)| candidate.cost_ms < b.cost_ms);
-            if is_better && self.has_room(backend, item, candidate.estimate.priority, now) {
+            if is_better && self.has_capacity(backend, item, candidate.estimate.priority, now) {
                 best = Some((candidate, &backend.info.name));
             }
         }
@@ -191,7 +193,7 @@
                 let wait_ms = wait_ms + RECHECK_INTERVAL.as_secs_f64() * 1_000.0;
                 let full = AllFull { wait_ms, recheck_at, backoff_end };
                 scan.note_full(item, full);
-                later(full, scan, item)
+                wait_for_capacity(full, scan, item)
             }
         }
     }
@@ -207,7 +209,7 @@
     }
 
     /// Returns whether a backend server has capacity for the request now.
-    fn has_room(
+    fn has_capacity(
         &self,
         backend: &Backend,
         item: &WorkItem,
@@ -216,14 +218,14 @@
     ) -> bool {
         let Some(service) = self.services.get(&item.service) else { return false };
         let connections = service.connection_limit as usize / self.gateways.len().max(1);
-        if backend.load.own() >= connections.max(1) {
+        if backend.load.own_requests() >= connections.max(1) {
             return false;
         }
-        let (utilization, backlog_limit_ms) = match service.engine {
+        let (max_utilization, backlog_limit_ms) = match service.engine {
             Some(_) => (1, BACKLOG_LIMIT_MS),
             None => (PLAIN_MAX_UTILIZATION, PLAIN_BACKLOG_LIMIT_MS),
         };
-        if backend.load.total(now) >= backend.info.slots.max(1) * utilization {
+        if backend.load.total_requests(now) >= backend.info.slots.max(1) * max_utilization {
             return false;
         }
         backend.load.ahead_ms(priority, now) < backlog_limit_ms
@@ -257,7 +259,10 @@
     }
 
     fn backoff_wait(&self, backend: &Backend, now: MonotonicTime) -> Option<MonotonicTime> {
-        backend.stated.backoff.next_send(|| self.gateways.position(&backend.info.name, now), now)
+        backend
+            .statements
+            .backoff
+            .next_send(|| self.gateways.position(&backend.info.name, now), now)
     }
 
     fn cold_wait(&self, backend: &Backend, now: MonotonicTime) -> Option<MonotonicTime> {
@@ -274,10 +279,10 @@
     }
 
     fn limit_wait(&self, backend: &Backend, now: MonotonicTime) -> Option<MonotonicTime> {
-        let bound = RateBound::stated(backend.stated.limit.limit()?);
+        let bound = RateBound::stated(backend.statements.limit.limit()?);
         let position = self.gateways.position(&backend.info.name, now);
         let next = self.next_send(backend, &bound, position, now);
-        let next = next.unwrap_or_else(|| backend.stated.limit.next_trial(position.rank));
+        let next = next.unwrap_or_else(|| backend.statements.limit.next_trial(position.rank));
         (next > now).then_some(next)
     }
 
@@ -312,14 +317,14 @@
             return None;
         }
         let priority = estimate.map_or(item.priority(), |estimate| estimate.priority);
-        let there_ms = |r: &RegionInfo| self.regions.first_byte_ms(r, priority, now);
+        let remote_ms = |r: &RegionInfo| self.regions.first_byte_ms(r, priority, now);
         let best = self
             .allowed_offers(item)
             .filter(|r| !self.regions.is_paused(r, now))
-            .min_by(|a, b| there_ms(a).total_cmp(&there_ms(b)))?;
+            .min_by(|a, b| remote_ms(a).total_cmp(&remote_ms(b)))?;
         match estimate {
             Some(estimate)
-                if there_ms(best) + estimate.remote_service_ms + FORWARD_MARGIN_MS
+                if remote_ms(best) + estimate.remote_service_ms + FORWARD_MARGIN_MS
                     >= estimate.expected_ms + estimate.load_penalty_ms =>
             {
                 None
@@ -367,7 +372,7 @@
     let EffectivePriority { priority, expected_ms } =
         EffectivePriority::for_backend(&backend.load, item, work, objectives, now);
     let wait_ms = expected_ms - backend.load.service_ms(work);
-    let whole = WorkCost { tokens: shape.map(|shape| shape.prompt_tokens), ..work };
+    let uncached = WorkCost { tokens: shape.map(|shape| shape.prompt_tokens), ..work };
     let (utilization, rejection_cost_ms) =
         (utilization(backend, now), rejection_cost_ms(backend, now));
     let estimate = LocalEstimate {
@@ -375,7 +380,7 @@
         expected_ms,
         wait_ms,
         load_penalty_ms: load_penalty(utilization, rejection_cost_ms),
-        remote_service_ms: backend.load.service_ms(whole),
+        remote_service_ms: backend.load.service_ms(uncached),
     };
     let prefill_tokens = match shared.likely_holder == Some(&backend.info.name) {
         true => shape.map(PromptShape::unshared_tokens),
@@ -385,8 +390,11 @@
         true => FAILURE_COST_MS,
         false => UNREPEATABLE_FAILURE_COST_MS,
     };
-    let peer_backoff_ms =
-        if backend.stated.backoff.is_peer_backing_off(now) { PEER_BACKOFF_COST_MS } else { 0.0 };
+    let peer_backoff_ms = if backend.statements.backoff.is_peer_backing_off(now) {
+        PEER_BACKOFF_COST_MS
+    } else {
+        0.0
+    };
     let cost_ms = expected_ms
         + peer_backoff_ms
         + rejection_cost_ms
@@ -411,7 +419,7 @@
 }
 
 /// Returns the choice to wait while all backend servers are full.
-fn later(full: AllFull, scan: &ServiceScan, item: &WorkItem) -> LocalChoice {
+fn wait_for_capacity(full: AllFull, scan: &ServiceScan, item: &WorkItem) -> LocalChoice {
     let AllFull { wait_ms, recheck_at, backoff_end } = full;
     let estimate = LocalEstimate {
         priority: item.priority(),
@@ -439,5 +447,5 @@
 
 /// Returns the ratio of requests at a backend server to its slots.
 fn utilization(backend: &Backend, now: MonotonicTime) -> f64 {
-    f64::from(backend.load.total(now)) / f64::from(backend.info.slots.max(1))
+    f64::from(backend.load.total_requests(now)) / f64::from(backend.info.slots.max(1))
 }
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Which backend servers may get a request next.
+//! Selection of the backend servers that may get a request next.
 
 use {
     gullglade_dispatch::{AttemptTracker, NextTarget, UsedBackend},
@@ -6,24 +6,24 @@
     std::collections::BTreeSet,
 };
 
-/// What becomes of the run under way.
+/// The end of the current run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RunFate {
-    /// It ends by itself, without a whole answer.
+enum RunEvent {
+    /// The run fails by itself, without a complete answer.
     Lost,
-    /// It is silent, and another run takes its place.
+    /// The run is silent and is replaced by another one.
     Replaced,
-    /// The same, where its gateway does not know which backend server it was at.
+    /// The run is replaced, and its gateway does not know the backend server.
     ReplacedUnnamed,
-    /// The backend server turns it away for now.
-    TurnedAway,
+    /// The backend server rejects the request for now.
+    Rejected,
 }
 
-const FATES: [RunFate; 4] =
-    [RunFate::Lost, RunFate::Replaced, RunFate::ReplacedUnnamed, RunFate::TurnedAway];
+const EVENTS: [RunEvent; 4] =
+    [RunEvent::Lost, RunEvent::Replaced, RunEvent::ReplacedUnnamed, RunEvent::Rejected];
 
-/// Fates of one request's runs, in order, that are played at most.
-const LONGEST: usize = 7;
+/// The longest sequence of events that is tested.
+const MAX_EVENTS: usize = 7;
 
 fn used(number: usize) -> UsedBackend {
     UsedBackend {
@@ -32,68 +32,68 @@
     }
 }
 
-/// A request whose runs meet given fates.
-struct LedgerPlay {
-    ledger: AttemptTracker,
-    /// The backend server of the run under way, and whether it had the request before.
+/// A request whose runs end with given events.
+struct AttemptModel {
+    tracker: AttemptTracker,
+    /// The backend server of the current run, and whether it had the request before.
     current: (usize, bool),
-    /// Backend servers that may have run it.
+    /// Backend servers that may have run the request.
     ran: BTreeSet<usize>,
-    /// Those that were given up and may answer yet.
-    owed: BTreeSet<usize>,
+    /// Backend servers whose runs were given up and which may still answer.
+    may_answer: BTreeSet<usize>,
     sends: usize,
 }
 
-impl LedgerPlay {
-    fn new(most: u32) -> Self {
+impl AttemptModel {
+    fn new(max_backends: u32) -> Self {
         Self {
-            ledger: AttemptTracker::new(most),
+            tracker: AttemptTracker::new(max_backends),
             current: (0, false),
             ran: BTreeSet::new(),
-            owed: BTreeSet::new(),
+            may_answer: BTreeSet::new(),
             sends: 1,
         }
     }
 
-    /// The request goes to a backend server that has not had it.
+    /// Sends the request to a backend server that has not had it.
     fn send_fresh(&mut self) {
         self.current = (self.sends, false);
         self.sends += 1;
     }
 
-    /// Follows the run under way to its end, and begins the next one; false where there is none.
-    fn step(&mut self, fate: RunFate) -> bool {
+    /// Ends the current run and starts the next one. Returns false if there is none.
+    fn step(&mut self, event: RunEvent) -> bool {
         let (at, is_return) = self.current;
-        match fate {
-            RunFate::Lost => self.ledger.note_ended(),
-            RunFate::Replaced | RunFate::ReplacedUnnamed => {
-                if !self.ledger.may_be_replaced() {
-                    // It is waited for, and lost in the end.
-                    return self.step(RunFate::Lost);
+        match event {
+            RunEvent::Lost => self.tracker.note_ended(),
+            RunEvent::Replaced | RunEvent::ReplacedUnnamed => {
+                if !self.tracker.may_be_replaced() {
+                    // The run is waited for until it fails.
+                    return self.step(RunEvent::Lost);
                 }
-                let is_named = fate == RunFate::Replaced;
-                self.ledger.note_given_up(is_named.then(|| used(at)));
+                let is_named = event == RunEvent::Replaced;
+                self.tracker.note_given_up(is_named.then(|| used(at)));
                 self.ran.insert(at);
-                self.owed.extend(is_named.then_some(at));
+                self.may_answer.extend(is_named.then_some(at));
                 self.send_fresh();
                 return true;
             }
-            RunFate::TurnedAway if is_return => self.ledger.note_return_refused(used(at)),
-            RunFate::TurnedAway => {
+            RunEvent::Rejected if is_return => self.tracker.note_return_refused(used(at)),
+            RunEvent::Rejected => {
                 self.send_fresh();
                 return true;
             }
         }
-        if fate == RunFate::Lost {
+        if event == RunEvent::Lost {
             self.ran.insert(at);
         } else {
-            self.owed.insert(at);
+            self.may_answer.insert(at);
         }
         self.begin_next()
     }
 
     fn begin_next(&mut self) -> bool {
-        match self.ledger.next_target() {
+        match self.tracker.next_target() {
             None => false,
             Some(NextTarget::Fresh) => {
                 self.send_fresh();
@@ -101,10 +101,10 @@
             }
             Some(NextTarget::Return(target)) => {
                 let target = target.clone();
-                self.ledger.note_return(&target);
+                self.tracker.note_return(&target);
                 let number = (0..self.sends).find(|number| used(*number) == target);
                 let number = number.expect("one that had the request");
-                assert!(self.owed.remove(&number), "{number} was not given up");
+                assert!(self.may_answer.remove(&number), "{number} was not given up");
                 self.current = (number, true);
                 true
             }
@@ -112,47 +112,55 @@
     }
 }
 
-/// All lists of fates up to the longest.
-fn all_fates() -> Vec<Vec<RunFate>> {
+/// Returns all sequences of events up to the longest.
+fn all_event_sequences() -> Vec<Vec<RunEvent>> {
     let mut all = vec![Vec::new()];
     let mut last = all.clone();
-    for _ in 0..LONGEST {
-        let longer = |fates: &Vec<RunFate>| FATES.map(|fate| [&fates[..], &[fate]].concat());
+    for _ in 0..MAX_EVENTS {
+        let longer = |events: &Vec<RunEvent>| EVENTS.map(|event| [&events[..], &[event]].concat());
         last = last.iter().flat_map(longer).collect();
         all.extend(last.iter().cloned());
     }
     all
 }
 
-/// Guards against a request that is given up although a backend server may answer it yet, and
-/// against one that is sent to more backend servers than its route allows.
+/// Guards against giving up a request although a backend server may still answer it, and against
+/// sending it to more backend servers than its route allows.
 #[test]
-fn a_request_ends_only_where_no_backend_server_may_answer_it_any_more() {
-    for most in 1..=3 {
-        for fates in all_fates() {
-            let mut play = LedgerPlay::new(most);
-            let mut goes_on = true;
-            for fate in &fates {
-                goes_on = play.step(*fate);
-                if !goes_on {
+fn request_ends_only_when_no_backend_server_may_answer() {
+    for max_backends in 1..=3 {
+        for events in all_event_sequences() {
+            let mut model = AttemptModel::new(max_backends);
+            let mut continues = true;
+            for event in &events {
+                continues = model.step(*event);
+                if !continues {
                     break;
                 }
             }
-            let what = format!("{most} allowed, {fates:?}");
-            assert!(play.ran.len() <= most as usize, "{what}: ran at {:?}", play.ran);
-            assert!(goes_on || play.owed.is_empty(), "{what}: {:?} may answer", play.owed);
-            assert!(goes_on || play.ran.len() == most as usize, "{what}: {:?}", play.ran);
+            let what = format!("{max_backends} allowed, {events:?}");
+            assert!(model.ran.len() <= max_backends as usize, "{what}: ran at {:?}", model.ran);
+            assert!(
+                continues || model.may_answer.is_empty(),
+                "{what}: {:?} may answer",
+                model.may_answer
+            );
+            assert!(
+                continues || model.ran.len() == max_backends as usize,
+                "{what}: {:?}",
+                model.ran
+            );
         }
     }
 }
 
-/// Guards against a request that goes to and fro between two silent backend servers.
+/// Guards against a request that alternates between two silent backend servers.
 #[test]
-fn a_request_returns_once_to_each_backend_server_at_most() {
-    let mut play = LedgerPlay::new(2);
-    assert!(play.step(RunFate::Replaced));
-    assert!(play.step(RunFate::Lost), "no return");
-    assert_eq!(play.current, (0, true));
-    assert!(!play.ledger.may_be_replaced());
-    assert!(!play.step(RunFate::Lost), "a second return");
+fn request_returns_at_most_once_to_each_backend_server() {
+    let mut model = AttemptModel::new(2);
+    assert!(model.step(RunEvent::Replaced));
+    assert!(model.step(RunEvent::Lost), "no return");
+    assert_eq!(model.current, (0, true));
+    assert!(!model.tracker.may_be_replaced());
+    assert!(!model.step(RunEvent::Lost), "a second return");
 }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Back-off that backend servers request with their rejections.
+//! Back-off that backend servers request when they reject requests.
 
 mod support;
 
@@ -8,29 +8,29 @@
     std::ops::Range,
     support::{
         at,
-        backoff_play::{BackoffOutcome, BackoffPlay, BackoffScenario, RejectPhase},
-        item, route, scheduler, setting,
+        backoff_simulation::{BackoffOutcome, BackoffScenario, BackoffSimulation, RejectPhase},
+        env_number, item, route, scheduler,
     },
 };
 
-/// The rule: no more than these requests from one gateway in a back-off that was requested of it.
-const ALLOWED: usize = 2;
+/// The required limit: the requests from one gateway during a back-off that was requested of it.
+const REQUIRED_LIMIT: usize = 2;
 
-/// What this project promises: none that was placed after the rejection was read.
-const PROMISED: usize = 0;
+/// The limit that this project promises: none that was placed after the rejection was read.
+const PROMISED_LIMIT: usize = 0;
 
-fn play(scenario: &BackoffScenario, seed: u64) -> BackoffOutcome {
-    BackoffPlay::new(scenario, seed).play()
+fn simulate(scenario: &BackoffScenario, seed: u64) -> BackoffOutcome {
+    BackoffSimulation::new(scenario, seed).simulate()
 }
 
 fn phase(engine: usize, during: Range<u64>, backoff_ms: u64) -> RejectPhase {
     RejectPhase { engine, during, backoff_ms: Some(backoff_ms) }
 }
 
-/// Engines that requested a back-off of a gateway were sent more requests by it than before, as one
-/// that rejects at once looks idle.
+/// Guards against gateways that send more requests to an engine after it requested a back-off,
+/// because an engine that rejects at once looks idle.
 #[test]
-fn a_backend_server_gets_nothing_in_the_backoff_that_it_requested() {
+fn no_requests_are_sent_during_a_requested_backoff() {
     struct Case {
         what: &'static str,
         scenario: BackoffScenario,
@@ -49,36 +49,40 @@
         Case { what: "many gateways", scenario: many(60, 2.0) },
         Case { what: "very many gateways", scenario: many(300, 0.4) },
     ];
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for Case { what, scenario } in cases {
         for seed in 0..3 {
-            let most = play(&scenario, seed).most_in_backoff;
-            if most > PROMISED {
-                broken.push(format!("{what}, seed {seed}: {most}, {ALLOWED} allowed"));
+            let most = simulate(&scenario, seed).most_in_backoff;
+            if most > PROMISED_LIMIT {
+                violations.push(format!("{what}, seed {seed}: {most}, {REQUIRED_LIMIT} allowed"));
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// A time of 500 ms and more that begins at a multiple of the play's step.
-fn some_time(random: &SeededRandom, length_ms: u64) -> Range<u64> {
+/// Returns a period of at least 500 ms that starts at a multiple of the simulation step.
+fn random_period(random: &SeededRandom, length_ms: u64) -> Range<u64> {
     let start = 1_000 + random.below(length_ms / 10) * 5;
     start..start + 500 + random.below(400) * 5
 }
 
-fn any_scenario(seed: u64) -> BackoffScenario {
+fn random_scenario(seed: u64) -> BackoffScenario {
     const LENGTH_MS: u64 = 8_000;
     let random = SeededRandom::new(seed);
     let (gateways, engines) = (1 + random.below(4) as usize, 1 + random.below(4) as usize);
     let any_engine = |_| random.below(engines as u64) as usize;
     let phases = (0..1 + random.below(5)).map(|index| {
         let backoff_ms = (random.below(5) > 0).then(|| 300 + random.below(3_500));
-        RejectPhase { engine: any_engine(index), during: some_time(&random, LENGTH_MS), backoff_ms }
+        RejectPhase {
+            engine: any_engine(index),
+            during: random_period(&random, LENGTH_MS),
+            backoff_ms,
+        }
     });
     let restarts = (0..random.below(3))
-        .map(|_| (random.below(gateways as u64) as usize, some_time(&random, LENGTH_MS).start));
-    let lost = (0..random.below(3)).map(|i| (any_engine(i), some_time(&random, LENGTH_MS)));
+        .map(|_| (random.below(gateways as u64) as usize, random_period(&random, LENGTH_MS).start));
+    let lost = (0..random.below(3)).map(|i| (any_engine(i), random_period(&random, LENGTH_MS)));
     BackoffScenario {
         gateways,
         engines,
@@ -94,35 +98,36 @@
     }
 }
 
-/// A back-off was forgotten after a lost announcement, a restart of another gateway or a second rejection.
+/// Guards against losing a back-off after a lost announcement, a restart of another gateway or a
+/// second rejection.
 #[test]
-fn backoff_is_kept_in_any_order_of_faults() {
-    let plays = setting("GULLGLADE_BACKOFF_PLAYS", 300);
-    let most = |seed: &u64| play(&any_scenario(*seed), *seed).most_in_backoff;
-    let broken: Vec<u64> = (0..plays).filter(|seed| most(seed) > PROMISED).collect();
-    assert!(broken.is_empty(), "seeds {broken:?}");
+fn backoff_holds_in_any_order_of_faults() {
+    let plays = env_number("GULLGLADE_BACKOFF_PLAYS", 300);
+    let most = |seed: &u64| simulate(&random_scenario(*seed), *seed).most_in_backoff;
+    let violations: Vec<u64> = (0..plays).filter(|seed| most(seed) > PROMISED_LIMIT).collect();
+    assert!(violations.is_empty(), "seeds {violations:?}");
 }
 
-/// Requests were turned away until the end of a long back-off, though others of the service that had
-/// just failed were to be tried again within half a second.
+/// Guards against refusing requests until the end of a long back-off although other backend servers
+/// of the service, which have just failed, are due for a retry within half a second.
 #[test]
-fn suspects_are_tried_before_the_end_of_a_long_backoff() {
+fn suspects_are_retried_before_the_end_of_a_long_backoff() {
     let mut run = scheduler(0, 1, 2, 0.0);
     let place = |run: &mut Scheduler, ms: u64| {
         let ticket = run.submit(item(&route(0, 1_200, 2_500), None, at(ms)), at(ms));
-        let verdict = run.poll(at(ms)).pop().map(|(_, verdict)| verdict);
-        if verdict.is_none() {
+        let decision = run.poll(at(ms)).pop().map(|(_, decision)| decision);
+        if decision.is_none() {
             run.withdraw(ticket);
         }
-        (ticket, verdict)
+        (ticket, decision)
     };
     let backoff = StatedBackoff::try_from(30.0).ok();
     let stated = BackendStatements { backoff, ..BackendStatements::default() };
     let (rejected, _) = place(&mut run, 10_000);
-    let (broken, _) = place(&mut run, 10_000);
+    let (violations, _) = place(&mut run, 10_000);
     run.note_statements(rejected, &stated, at(10_001));
     run.end(rejected, WorkOutcome::Shed, at(10_001));
-    run.end(broken, WorkOutcome::Broken, at(10_001));
+    run.end(violations, WorkOutcome::Broken, at(10_001));
     let (_, waits) = place(&mut run, 10_010);
     assert_eq!(waits, None, "the suspect is tried again soon");
     let (_, sent) = place(&mut run, 10_500);
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -1,19 +1,20 @@
-//! The rate of a cold backend server, over all gateways of its region.
+//! The request rate of a cold backend server, over all gateways of its region.
 
 mod support;
 
 use support::{
-    cold_play::{ColdPlay, ColdScenario, PER_SECOND},
-    most_within,
+    cold_simulation::{ColdScenario, ColdSimulation, PER_SECOND},
+    max_within,
 };
 
-/// What a cold engine bears in a second by the settings of the tests.
+/// The limit per second of a cold engine with the settings of the tests.
 const ALLOWED: f64 = PER_SECOND * 1.5 + 3.0;
 
-/// Cold engines got more than they bear while most gateways lost power: others took over the parts
-/// of dead ones within the second in which those still sent, and new runs began alone.
+/// Guards against overload of cold engines while most gateways lose power. It occurs if others take
+/// over the shares of dead gateways within the second in which those still sent, or if new runs
+/// assume that they are alone.
 #[test]
-fn a_cold_engine_is_spared_while_gateways_are_killed() {
+fn cold_rate_holds_while_gateways_are_killed() {
     struct Case {
         what: &'static str,
         gateways: usize,
@@ -32,18 +33,18 @@
         },
         Case { what: "all at once", gateways: 12, kills: &[(6_000, 1.0, 300)] },
     ];
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for Case { what, gateways, kills } in cases {
         let scenario = ColdScenario { gateways, kills: kills.to_vec(), length_ms: 12_000 };
         for seed in 0..8 {
-            let arrivals = ColdPlay::new(&scenario, seed).play();
-            let most = most_within(&arrivals, 1_000);
+            let arrivals = ColdSimulation::new(&scenario, seed).simulate();
+            let most = max_within(&arrivals, 1_000);
             if most as f64 > ALLOWED {
-                broken
+                violations
                     .push(format!("{what}, {gateways} gateways, seed {seed}: {most} in a second"));
             }
             assert!(arrivals.len() >= 12, "{what}, {gateways} gateways: it gets its part");
         }
     }
-    assert!(broken.is_empty(), "{ALLOWED} allowed:\n{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{ALLOWED} allowed:\n{}", violations.join("\n"));
 }
--- a/crates/dispatch/tests/copying.rs
+++ b/crates/dispatch/tests/copying.rs
@@ -1,4 +1,4 @@
-//! Shared parts that are copied from another engine.
+//! Copies of shared prompt parts from another engine.
 
 mod support;
 
@@ -7,13 +7,13 @@
     gullglade_traffic::{EngineProfile, ServicePool},
     gullglade_units::MonotonicTime,
     std::{collections::BTreeSet, rc::Rc, time::Duration},
-    support::{at, facts, item, pool, prompt, route, scheduler, sent_hint},
+    support::{at, backend_info, item, pool, prompt, route, scheduler, sent_hint},
 };
 
-/// Tokens that an engine copies in a millisecond.
+/// Tokens that an engine copies per millisecond.
 const COPY_RATE: f64 = 2_000.0;
 
-/// The tokens of a shared part.
+/// Length of the shared part in tokens.
 const SHARED: u32 = 13_000;
 
 fn copying_scheduler(engines: usize, rate: f64) -> Scheduler {
@@ -33,14 +33,14 @@
     item(&route(1, 1_200, 10_000), Some(prompt(7, SHARED, 2_000, id)), now)
 }
 
-/// Where a request is sent, and what is copied.
+/// Places a request. Returns the backend server and the copy.
 fn place(scheduler: &mut Scheduler, id: u64, now: MonotonicTime) -> (String, Option<PromptCopy>) {
     let ticket = scheduler.submit(work(id, now), now);
-    let verdict = scheduler.poll(now).into_iter().find(|(t, _)| *t == ticket).map(|(_, v)| v);
-    let Some(Decision::Send { run, copy, expected_ms, .. }) = verdict else {
-        panic!("{verdict:?}")
+    let decision = scheduler.poll(now).into_iter().find(|(t, _)| *t == ticket).map(|(_, v)| v);
+    let Some(Decision::Send { run, copy, expected_ms, .. }) = decision else {
+        panic!("{decision:?}")
     };
-    // The first byte comes when it was expected, so that nothing else is learned from it.
+    // The first byte arrives as predicted, so the scheduler learns no offset from it.
     let first_byte = MonotonicTime(now.0 + Duration::from_secs_f64(expected_ms / 1_000.0));
     scheduler.note_progress(ticket, first_byte);
     scheduler.end(ticket, WorkOutcome::Answered, first_byte);
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn an_engine_copies_what_another_one_holds() {
-    // The load: the engine that holds a long shared part is full at a peak. Symptom without: the
-    // part is read again at another engine, 217 ms in which nothing else there gets on.
+fn shared_part_is_copied_from_a_full_engine() {
+    // The load: the engine that holds a long shared part is full at a peak. Without copies the
+    // prefill is repeated on another engine, which blocks it for 217 ms.
     struct Case {
         what: &'static str,
         rate: f64,
-        /// Whether the holder is full when the second request comes.
+        /// Whether the holder is full when the second request arrives.
         is_full: bool,
-        /// Whether the holder is gone from the region then.
+        /// Whether the holder has left the region by then.
         is_gone: bool,
         expected_tokens: Option<u32>,
     }
@@ -98,24 +98,24 @@
             scheduler.note_hints(vec![sent_hint(holder, 120_000, &[])], at(1_000));
         }
         if case.is_gone {
-            scheduler.set_backends([facts(1 - holder)], at(0));
+            scheduler.set_backends([backend_info(1 - holder)], at(0));
         }
         let (_, copy) = place(&mut scheduler, 2, at(1_000));
         let tokens = copy.map(|copy| copy.tokens);
         assert_eq!(tokens, case.expected_tokens, "{}", case.what);
         if let Some(copy) = copy {
-            assert_eq!(copy.from, facts(holder).address, "{}", case.what);
-            // 6.5 ms of copying are 390 tokens of reading.
+            assert_eq!(copy.from, backend_info(holder).address, "{}", case.what);
+            // The copy takes 6.5 ms, the prefill time of 390 tokens.
             assert!((380..=400).contains(&copy.cost_tokens), "{}: {copy:?}", case.what);
         }
     }
 }
 
 #[test]
-fn a_gateway_that_knows_of_no_holder_asks_the_likely_one() {
-    // The load: gateways were restarted and know nothing; the engine to which they all would send
-    // a shared part is full. What is only likely is copied where it is there, and counted as
-    // reading.
+fn restarted_gateway_copies_from_the_likely_holder() {
+    // The load: gateways were restarted and know nothing, and the engine that they would all select
+    // for a shared part is full. A copy from this likely holder is tried, and its cost is that of a
+    // prefill.
     let mut before = copying_scheduler(4, COPY_RATE);
     let (holder, _) = place(&mut before, 1, at(0));
     let holder: usize = holder[2..].parse().expect("engines are numbered");
@@ -125,17 +125,17 @@
     let (other, copy) = place(&mut restarted, 2, at(10));
     assert_ne!(other, format!("i-{holder}"));
     let copy = copy.expect("a copy is tried");
-    assert_eq!((copy.from, copy.cost_tokens), (facts(holder).address, SHARED));
+    assert_eq!((copy.from, copy.cost_tokens), (backend_info(holder).address, SHARED));
 
-    // A suspect is asked for nothing.
+    // Nothing is copied from a suspect.
     let mut restarted = copying_scheduler(4, COPY_RATE);
     restarted.set_backends(
         (0..4).map(|index| {
             let is_silent = index == holder;
-            BackendInfo { is_silent, ..facts(index) }
+            BackendInfo { is_silent, ..backend_info(index) }
         }),
         at(0),
     );
     let (_, copy) = place(&mut restarted, 3, at(10));
-    assert!(copy.is_none_or(|copy| copy.from != facts(holder).address), "{copy:?}");
+    assert!(copy.is_none_or(|copy| copy.from != backend_info(holder).address), "{copy:?}");
 }
--- a/crates/dispatch/tests/departure.rs
+++ b/crates/dispatch/tests/departure.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say with their answers that they leave.
+//! Backend servers that state in an answer that they are leaving.
 
 mod support;
 
@@ -7,34 +7,35 @@
         BackendInfo, BackendStatements, Decision, Scheduler, TicketId, WorkOutcome,
     },
     gullglade_units::Incarnation,
-    support::{at, backend, facts, item, place_prompt, route, scheduler},
+    support::{at, backend, backend_info, item, place_prompt, route, scheduler},
 };
 
 const LEAVING: BackendStatements =
     BackendStatements { is_signed: true, load: None, limit: None, backoff: None, is_leaving: true };
 
-/// Has engine 0 of `engines` say to `run` that it leaves.
-fn leave(run: &mut Scheduler, engines: usize, ms: u64) -> TicketId {
-    run.set_backends([facts(0)], at(ms));
+/// Makes engine 0 of `engines` state to `run` that it is leaving.
+fn announce_leaving(run: &mut Scheduler, engines: usize, ms: u64) -> TicketId {
+    run.set_backends([backend_info(0)], at(ms));
     let (ticket, _) = place_prompt(run, ms).expect("the only one");
     run.note_statements(ticket, &LEAVING, at(ms));
     run.note_progress(ticket, at(ms));
-    run.set_backends((0..engines).map(facts), at(ms));
+    run.set_backends((0..engines).map(backend_info), at(ms));
     ticket
 }
 
-/// Requests to engine 0 while `run` has many in progress everywhere.
-fn requests_there(run: &mut Scheduler, from_ms: u64) -> usize {
+/// Returns the number of requests placed on engine 0 while `run` places many.
+fn requests_to_engine_0(run: &mut Scheduler, from_ms: u64) -> usize {
     let places = (0..40).filter_map(|step| place_prompt(run, from_ms + step));
     places.filter(|(_, name)| *name == backend(0)).count()
 }
 
-/// An engine that said with an answer that it leaves was given work until its announcement said so.
+/// Guards against sending requests to an engine that stated in an answer that it is leaving, until
+/// its announcement says so.
 #[test]
-fn a_run_that_said_that_it_leaves_gets_nothing_new() {
+fn leaving_run_gets_no_new_requests() {
     struct Case {
         what: &'static str,
-        /// What happens after it said so.
+        /// The event after the statement.
         then: fn(&mut Scheduler),
         gets_work: bool,
     }
@@ -42,19 +43,19 @@
         Case { what: "nothing", then: |_| {}, gets_work: false },
         Case {
             what: "announced as serving",
-            then: |run| run.set_backends([facts(0), facts(1)], at(10_500)),
+            then: |run| run.set_backends([backend_info(0), backend_info(1)], at(10_500)),
             gets_work: false,
         },
         Case {
             what: "not announced for a while",
             then: |run| {
-                run.set_backends([facts(1)], at(10_500));
-                run.set_backends([facts(0), facts(1)], at(11_000));
+                run.set_backends([backend_info(1)], at(10_500));
+                run.set_backends([backend_info(0), backend_info(1)], at(11_000));
             },
             gets_work: false,
         },
         Case {
-            what: "told by another answer that it serves",
+            what: "stated by another answer that it serves",
             then: |run| {
                 let (ticket, _) = place_prompt(run, 10_100).expect("the other one");
                 let stated = BackendStatements { is_leaving: false, ..LEAVING };
@@ -65,56 +66,60 @@
         Case {
             what: "another run under its name",
             then: |run| {
-                let later = BackendInfo { incarnation: Incarnation(1), ..facts(0) };
-                run.set_backends([later, facts(1)], at(10_500));
+                let later = BackendInfo { incarnation: Incarnation(1), ..backend_info(0) };
+                run.set_backends([later, backend_info(1)], at(10_500));
             },
             gets_work: true,
         },
     ];
     for Case { what, then, gets_work } in cases {
         let mut run = scheduler(0, 1, 2, 0.0);
-        leave(&mut run, 2, 10_000);
+        announce_leaving(&mut run, 2, 10_000);
         then(&mut run);
-        let there = requests_there(&mut run, 12_000);
+        let there = requests_to_engine_0(&mut run, 12_000);
         assert_eq!(there > 0, gets_work, "{what}: {there}");
     }
 }
 
-/// A departure was known to the gateway alone that had passed the answer on.
+/// Guards against a departure that is known only to the gateway that received the answer.
 #[test]
 fn other_gateways_learn_of_a_departure() {
     let mut first = scheduler(0, 2, 2, 0.0);
-    leave(&mut first, 2, 10_000);
+    announce_leaving(&mut first, 2, 10_000);
     let hints = first.take_hints(at(10_010));
     for is_announced in [true, false] {
         let mut second = scheduler(1, 2, 2, 0.0);
         if !is_announced {
-            second.set_backends([facts(1)], at(0));
+            second.set_backends([backend_info(1)], at(0));
         }
         second.note_hints(hints.clone(), at(10_020));
-        second.set_backends([facts(0), facts(1)], at(10_030));
-        assert_eq!(requests_there(&mut second, 11_000), 0, "announced before: {is_announced}");
+        second.set_backends([backend_info(0), backend_info(1)], at(10_030));
+        assert_eq!(
+            requests_to_engine_0(&mut second, 11_000),
+            0,
+            "announced before: {is_announced}"
+        );
     }
 }
 
-/// What ran at an engine that leaves was given up.
+/// Guards against giving up the running requests of an engine that is leaving.
 #[test]
-fn what_runs_at_an_engine_that_leaves_ends_as_usual() {
+fn requests_on_a_leaving_engine_complete() {
     let mut run = scheduler(0, 1, 2, 0.0);
-    let ticket = leave(&mut run, 2, 10_000);
+    let ticket = announce_leaving(&mut run, 2, 10_000);
     assert_eq!(run.counts(), (0, 1));
     run.end(ticket, WorkOutcome::Answered, at(10_900));
     assert_eq!(run.counts(), (0, 0));
 }
 
-/// All that there were left, and requests waited for them until their time was over.
+/// Guards against requests that wait until their deadline although all backend servers are leaving.
 #[test]
-fn where_all_leave_a_request_is_turned_away_at_once() {
+fn request_is_refused_at_once_if_all_backend_servers_leave() {
     let mut run = scheduler(0, 1, 1, 0.0);
-    leave(&mut run, 1, 10_000);
+    announce_leaving(&mut run, 1, 10_000);
     let ticket = run.submit(item(&route(0, 1_200, 2_500), None, at(10_500)), at(10_500));
-    let verdicts = run.poll(at(10_500));
-    let [(refused, Decision::Refuse { .. })] = &verdicts[..] else { panic!("{verdicts:?}") };
+    let decisions = run.poll(at(10_500));
+    let [(refused, Decision::Refuse { .. })] = &decisions[..] else { panic!("{decisions:?}") };
     assert_eq!(*refused, ticket);
     assert!(run.offers(at(10_500)).is_empty(), "nothing is offered to other regions");
 }
--- a/crates/dispatch/tests/deployment.rs
+++ b/crates/dispatch/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! Peaks of whole deployments, replayed in virtual time.
+//! Simulation of peak loads of whole deployments in virtual time.
 
 mod support;
 
@@ -14,9 +14,9 @@
         step_ms: 2.77,
         slot_ms: 0.0145,
         context_ms: 0.00762,
-        read_rate: 85.2,
+        prefill_rate: 85.2,
         chunk: 1_024.0,
-        pairs_ms: 0.275,
+        attention_ms: 0.275,
         tokens_per_event: 6,
         copy_rate: 570.0,
     }
@@ -45,9 +45,9 @@
     ]
 }
 
-/// Three regions of 47 gateways and 26 engines in all, of which one is at its peak from the start
-/// and the smallest one for three seconds: together they ask for seven tenths of what all engines
-/// can read.
+/// Three regions with 47 gateways and 26 engines in all. One is at its peak from the start and the
+/// smallest one for three seconds. Their total load is seven tenths of the prefill capacity of all
+/// engines.
 fn regions() -> Vec<RegionModel> {
     let region = |name, gateways, engines, per_second: &[f64]| RegionModel {
         name,
@@ -74,20 +74,24 @@
 }
 
 fn show(outcome: &Outcome) {
-    println!("worth {:.3}, {:.2} million tokens read again", outcome.worth(), outcome.read_again);
+    println!(
+        "worth {:.3}, {:.2} million tokens read again",
+        outcome.worth(),
+        outcome.repeated_prefill
+    );
     for kind in &outcome.kinds {
-        let [low, median, high] = [0.1, 0.5, 0.9].map(|part| kind.miss_ms(part));
+        let [low, median, high] = [0.1, 0.5, 0.9].map(|part| kind.prediction_error_ms(part));
         println!("  {:.3} of its worth, {kind}", kind.earned / kind.owed);
         println!("  later than expected by {low:.0}/{median:.0}/{high:.0} ms (p10/p50/p90)");
     }
 }
 
 #[test]
-fn long_prompts_are_served_at_the_peak_of_a_region() {
-    // The load: a region's peak, which its engines cannot serve alone, while two others have room.
-    // Symptom without: long prompts wait behind short, urgent ones that have time, or at engines
-    // that are busier than their gateway knows.
-    let outcomes: Vec<Outcome> = (1..3).map(|seed| peak(seed).play()).collect();
+fn long_prompts_are_served_at_a_regional_peak() {
+    // The load: a region at its peak, whose engines cannot serve it alone, while two others have
+    // capacity. Guards against long prompts that wait behind short, urgent ones that have time, or
+    // on engines that are busier than their gateway knows.
+    let outcomes: Vec<Outcome> = (1..3).map(|seed| peak(seed).simulate()).collect();
     outcomes.iter().for_each(show);
     let mean = |kind: usize| {
         let share = |o: &Outcome| o.kinds[kind].earned / o.kinds[kind].owed;
@@ -95,31 +99,31 @@
     };
     let (long, short) = (mean(0), mean(1));
     println!("of their worth: {long:.3} of long prompts, {short:.3} of short ones");
-    // 0.67 where gateways told each other of sends alone and kept to the routes' ranks.
+    // 0.67 if gateways only exchange hints of sends and keep the priorities of the routes.
     assert!(long > 0.83, "{long}");
     assert!(short > 0.99, "{short}");
 }
 
 #[test]
-fn first_bytes_come_when_they_were_expected() {
-    // The load: the same. Symptom without: long prompts came 144 to 284 ms later than expected in
-    // the median, and a tenth of them over 600 ms. Cause: each of 17 gateways saw only its own first
-    // bytes, one in a second from an engine.
-    let outcome = peak(5).play();
+fn first_byte_predictions_are_accurate_at_a_peak() {
+    // The same load. Guards against late first bytes: with only its own first bytes, about one per
+    // second and engine, each of 17 gateways predicted those of long prompts 144 to 284 ms too
+    // early in the median, and a tenth of them by more than 600 ms.
+    let outcome = peak(5).simulate();
     show(&outcome);
     for kind in &outcome.kinds {
-        let (median, high) = (kind.miss_ms(0.5), kind.miss_ms(0.9));
+        let (median, high) = (kind.prediction_error_ms(0.5), kind.prediction_error_ms(0.9));
         assert!(median.abs() < 10.0, "{median} ms");
         assert!(high < 160.0, "{high} ms");
     }
 }
 
 #[test]
-fn engines_that_crash_at_a_peak_cost_little() {
-    // The load: the same, and a quarter of all engines crash and come back cold.
+fn engine_crashes_at_a_peak_cost_little() {
+    // The same load, while a quarter of all engines crash and come back cold.
     let crash = Some(CrashModel { at_ms: 3_000, for_ms: 2_000, every: 4 });
-    let outcome = Deployment { crash, ..peak(3) }.play();
+    let outcome = Deployment { crash, ..peak(3) }.simulate();
     show(&outcome);
-    // 0.74 where gateways told each other of sends alone and kept to the routes' ranks.
+    // 0.74 if gateways only exchange hints of sends and keep the priorities of the routes.
     assert!(outcome.worth() > 0.84, "{}", outcome.worth());
 }
--- a/crates/dispatch/tests/grants.rs
+++ b/crates/dispatch/tests/grants.rs
@@ -1,4 +1,4 @@
-//! When a budget that is used up has a repeat again.
+//! The time at which an exhausted budget grants a repeat again.
 
 use {
     gullglade_dispatch::{AllowanceShare, RepeatArrival, RepeatBudget},
@@ -8,12 +8,12 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The longest that the next grant is looked for here.
+/// The longest time over which the next grant is searched for.
 const HORIZON: Duration = Duration::from_secs(60);
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// A budget after a random history of requests and repeats, its share, and the time.
+/// Returns a budget after a random history of requests and repeats, its share, and the time.
 fn draw_budget(seed: u64) -> (RepeatBudget, AllowanceShare, MonotonicTime) {
     let random = SeededRandom::new(seed);
     let slack = random.below(4) as f64;
@@ -41,15 +41,16 @@
     (budget, share, now)
 }
 
-/// Guards against a wait for a repeat that never comes, and against one that is longer than needed.
+/// Guards against waiting for a repeat that is never granted, and against waiting longer than
+/// needed.
 #[test]
-fn the_next_grant_is_the_first_moment_at_which_a_repeat_is_granted() {
+fn next_grant_is_the_first_time_at_which_a_repeat_is_granted() {
     let (mut waits, mut none) = (0, 0);
     for seed in 0..500 {
         let (mut budget, share, now) = draw_budget(seed);
         let next = budget.next_grant(&share, now);
         let is_granted = |at| budget.clone().peek(&share, at).is_granted;
-        // A budget may have room for a moment only.
+        // A budget may grant a repeat for a moment only, so the exact time is checked.
         assert!(next.is_none_or(is_granted), "seed {seed}: not granted at {next:?}");
         let end = next.unwrap_or(now + HORIZON);
         let mut at = now;
--- a/crates/dispatch/tests/handover.rs
+++ b/crates/dispatch/tests/handover.rs
@@ -1,4 +1,4 @@
-//! How long a silent run is kept beside the one that replaces it.
+//! Timing of the handover from a silent run to its replacement.
 
 use {
     gullglade_dispatch::{HandoverDelays, HandoverTimes},
@@ -9,17 +9,17 @@
     Duration::from_millis(millis)
 }
 
-/// The longest that two runs of a request may be at work together.
-const MOST_TOGETHER: Duration = ms(400);
+/// The longest time for which two runs of a request may exist.
+const MAX_CONCURRENT: Duration = ms(400);
 
 #[test]
-fn a_run_is_kept_for_as_long_as_its_replacement_may_still_fail_at_once() {
-    // The old run was ended before the new one could say that it was turned away.
+fn old_run_is_kept_until_its_replacement_could_have_failed() {
+    // Guards against ending the old run before a rejection of the new one can arrive.
     struct Case {
         what: &'static str,
         cancel_ms: u64,
         begin_ms: u64,
-        /// The words to be answered; `None` where the old run has to end first.
+        /// The number of probes, or `None` if the old run has to end first.
         probes: Option<u32>,
     }
     let case = |what, cancel_ms, begin_ms, probes| Case { what, cancel_ms, begin_ms, probes };
@@ -42,18 +42,19 @@
 }
 
 #[test]
-fn every_handover_of_a_day_with_lost_links_keeps_its_bounds() {
-    // Both runs went on beside each other, or the new one ended before it could be kept.
+fn all_handover_times_stay_within_their_bounds() {
+    // Guards against two runs that continue concurrently, and against a lease of the new run that
+    // ends before it can be confirmed.
     for cancel_ms in (0..400).step_by(5) {
         for begin_ms in (0..400).step_by(5) {
             let (cancel, begin) = (ms(cancel_ms), ms(begin_ms));
             let Some(times) = (HandoverDelays { cancel, begin }).times() else { continue };
             let HandoverTimes { overlap, probes, probe_timeout, lease, .. } = times;
             let what = format!("{cancel_ms} ms, {begin_ms} ms: {times:?}");
-            assert!(overlap.saturating_sub(begin) + cancel <= MOST_TOGETHER, "{what}");
-            assert!(begin * 2 * probes <= overlap, "no time for the words: {what}");
-            assert!(probe_timeout >= begin * 2, "no time for one word: {what}");
-            // Told at the end of the overlap, and once more where that is lost.
+            assert!(overlap.saturating_sub(begin) + cancel <= MAX_CONCURRENT, "{what}");
+            assert!(begin * 2 * probes <= overlap, "no time for the probes: {what}");
+            assert!(probe_timeout >= begin * 2, "no time for one probe: {what}");
+            // The confirmation is sent at the end of the overlap, and once more if it is lost.
             assert!(lease >= overlap + times.commit_timeout, "{what}");
         }
     }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers state, over all gateways of their region.
+//! Rate limits that backend servers state, over all gateways of their region.
 
 mod support;
 
@@ -6,24 +6,24 @@
     gullglade_dispatch::StatedLimit,
     support::{
         at,
-        limit_play::{LimitOutcome, LimitPlay, LimitScenario},
+        limit_simulation::{LimitOutcome, LimitScenario, LimitSimulation},
         place_prompt, stating_limit,
     },
 };
 
-/// The rule's bound on the sends in a window of four seconds.
+/// The required limit of the sends in a window of four seconds.
 fn allowed(limit: f64) -> f64 {
     1.5 * limit * 4.0 + 5.0
 }
 
-fn play(scenario: &LimitScenario, seed: u64) -> LimitOutcome {
-    LimitPlay::new(scenario, seed).play()
+fn simulate(scenario: &LimitScenario, seed: u64) -> LimitOutcome {
+    LimitSimulation::new(scenario, seed).simulate()
 }
 
-/// Engines that said that they take one request a second got ten, as their statement was passed
-/// on to callers and read by no gateway.
+/// Guards against stated limits that are passed on to callers and not applied by gateways: engines
+/// with a limit of one request per second got ten.
 #[test]
-fn a_stated_limit_is_kept_by_all_gateways_together() {
+fn stated_limit_holds_for_all_gateways_together() {
     struct Case {
         what: &'static str,
         gateways: usize,
@@ -41,7 +41,7 @@
         Case { what: "many, high limit", gateways: 22, per_second: 8.0, limited: 2, limit: 20.0 },
         Case { what: "very many", gateways: 60, per_second: 3.0, limited: 2, limit: 1.2 },
     ];
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for Case { what, gateways, per_second, limited, limit } in cases {
         let scenario = LimitScenario {
             gateways,
@@ -52,35 +52,37 @@
             length_ms: 60_000,
         };
         for seed in 0..4 {
-            let most = play(&scenario, seed).most;
+            let most = simulate(&scenario, seed).most;
             if most as f64 > allowed(limit) {
                 let allowed = allowed(limit);
-                broken.push(format!("{what}, seed {seed}: {most} in a window, {allowed} allowed"));
+                violations
+                    .push(format!("{what}, seed {seed}: {most} in a window, {allowed} allowed"));
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Engines in need were given nothing at all, or stayed without work after they had recovered.
+/// Guards against engines that get no requests under a limit, or stay idle after they have
+/// recovered.
 #[test]
-fn an_engine_with_a_limit_gets_its_part_and_all_work_again_afterwards() {
+fn limited_engine_gets_its_share_and_full_load_after_recovery() {
     struct Case {
         what: &'static str,
         gateways: usize,
         per_second: f64,
         limit: f64,
-        /// All gateways give it work again within this.
-        back_ms: u64,
+        /// The time within which all gateways send requests again.
+        recovery_ms: u64,
     }
     let cases = [
-        Case { what: "small", gateways: 3, per_second: 14.0, limit: 2.0, back_ms: 3_000 },
-        Case { what: "one gateway", gateways: 1, per_second: 40.0, limit: 2.0, back_ms: 3_000 },
-        Case { what: "large", gateways: 22, per_second: 5.0, limit: 4.0, back_ms: 8_000 },
-        Case { what: "very large", gateways: 60, per_second: 3.0, limit: 4.0, back_ms: 12_000 },
-        Case { what: "nothing", gateways: 3, per_second: 14.0, limit: 0.0, back_ms: 30_000 },
+        Case { what: "small", gateways: 3, per_second: 14.0, limit: 2.0, recovery_ms: 3_000 },
+        Case { what: "one gateway", gateways: 1, per_second: 40.0, limit: 2.0, recovery_ms: 3_000 },
+        Case { what: "large", gateways: 22, per_second: 5.0, limit: 4.0, recovery_ms: 8_000 },
+        Case { what: "very large", gateways: 60, per_second: 3.0, limit: 4.0, recovery_ms: 12_000 },
+        Case { what: "nothing", gateways: 3, per_second: 14.0, limit: 0.0, recovery_ms: 30_000 },
     ];
-    for Case { what, gateways, per_second, limit, back_ms } in cases {
+    for Case { what, gateways, per_second, limit, recovery_ms } in cases {
         let scenario = LimitScenario {
             gateways,
             per_second,
@@ -90,30 +92,32 @@
             length_ms: 60_000,
         };
         for seed in 0..3 {
-            let LimitOutcome { while_limited, back_ms: back, .. } = play(&scenario, seed);
+            let LimitOutcome { sends_while_limited, recovery_ms: back, .. } =
+                simulate(&scenario, seed);
             for engine in 0..2 {
                 let due = 0.5 * limit * 20.0;
-                let got = while_limited[engine];
+                let got = sends_while_limited[engine];
                 assert!(got as f64 >= due, "{what}, seed {seed}: {got} of {due}");
                 let back = back[engine].unwrap_or(u64::MAX);
-                assert!(back <= back_ms, "{what}, seed {seed}: back after {back} ms");
+                assert!(back <= recovery_ms, "{what}, seed {seed}: back after {back} ms");
             }
         }
     }
 }
 
-/// A first byte lifted a limit, though the head of its answer had come before the limit was stated.
+/// Guards against a first byte that lifts a limit although the head of its answer was received
+/// before the limit was stated.
 #[test]
-fn an_answer_that_began_before_a_limit_was_stated_does_not_lift_it() {
+fn older_answer_does_not_lift_a_limit() {
     let scheduler = |index| support::scheduler(index, 2, 1, 0.0);
-    let (mut early, mut told) = (scheduler(0), scheduler(1));
+    let (mut early, mut limited) = (scheduler(0), scheduler(1));
     let (first, _) = place_prompt(&mut early, 10_000).expect("sent");
     early.note_statements(first, &stating_limit(None), at(10_050));
-    let (second, _) = place_prompt(&mut told, 10_010).expect("sent");
+    let (second, _) = place_prompt(&mut limited, 10_010).expect("sent");
     let none = StatedLimit::try_from(0.0).ok();
-    told.note_statements(second, &stating_limit(none), at(10_080));
+    limited.note_statements(second, &stating_limit(none), at(10_080));
     early.note_progress(first, at(10_100));
     let hints = early.take_hints(at(10_110));
-    told.note_hints(hints, at(10_120));
-    assert_eq!(place_prompt(&mut told, 10_200), None, "the limit holds");
+    limited.note_hints(hints, at(10_120));
+    assert_eq!(place_prompt(&mut limited, 10_200), None, "the limit holds");
 }
--- a/crates/dispatch/tests/patience.rs
+++ b/crates/dispatch/tests/patience.rs
@@ -1,4 +1,4 @@
-//! Requests whose callers leave before the first event.
+//! Requests whose callers disconnect before the first event.
 
 mod support;
 
@@ -13,32 +13,32 @@
     Duration::from_millis(millis)
 }
 
-/// Guards against a moment to give up that comes after the caller has left, or long before.
+/// Guards against giving up after the caller has left, or long before.
 #[test]
-fn an_answer_begins_before_its_caller_leaves_or_is_given_up() {
+fn first_byte_deadline_precedes_the_departure_of_the_caller() {
     struct Case {
-        ends: u64,
-        patience: Option<u64>,
+        deadline: u64,
+        event_timeout: Option<u64>,
         first_byte_deadline: u64,
     }
     let cases = [
-        Case { ends: 12_000, patience: None, first_byte_deadline: 12_000 },
-        Case { ends: 12_000, patience: Some(4_800), first_byte_deadline: 4_000 },
-        Case { ends: 3_000, patience: Some(4_800), first_byte_deadline: 3_000 },
-        Case { ends: 12_000, patience: Some(2_400), first_byte_deadline: 2_000 },
-        Case { ends: 12_000, patience: Some(600), first_byte_deadline: 500 },
-        Case { ends: 12_000, patience: Some(0), first_byte_deadline: 0 },
+        Case { deadline: 12_000, event_timeout: None, first_byte_deadline: 12_000 },
+        Case { deadline: 12_000, event_timeout: Some(4_800), first_byte_deadline: 4_000 },
+        Case { deadline: 3_000, event_timeout: Some(4_800), first_byte_deadline: 3_000 },
+        Case { deadline: 12_000, event_timeout: Some(2_400), first_byte_deadline: 2_000 },
+        Case { deadline: 12_000, event_timeout: Some(600), first_byte_deadline: 500 },
+        Case { deadline: 12_000, event_timeout: Some(0), first_byte_deadline: 0 },
     ];
-    for Case { ends, patience, first_byte_deadline } in cases {
+    for Case { deadline, event_timeout, first_byte_deadline } in cases {
         let arrived = MonotonicTime(ms(1_000));
-        let found = deadline_for_first_byte(arrived, arrived + ms(ends), patience.map(ms));
-        assert_eq!(found, arrived + ms(first_byte_deadline), "{ends} {patience:?}");
+        let found = deadline_for_first_byte(arrived, arrived + ms(deadline), event_timeout.map(ms));
+        assert_eq!(found, arrived + ms(first_byte_deadline), "{deadline} {event_timeout:?}");
     }
 }
 
-/// Guards against callers who wait in a queue that is longer than their patience.
+/// Guards against callers that wait in a queue for longer than their timeout.
 #[test]
-fn a_request_that_would_begin_after_its_caller_has_left_is_turned_away_at_once() {
+fn request_is_refused_at_once_if_its_answer_would_begin_too_late() {
     struct Case {
         first_byte_deadline: u64,
         is_refused: bool,
@@ -52,16 +52,16 @@
     ];
     for Case { first_byte_deadline, is_refused } in cases {
         let mut scheduler = scheduler(0, 22, ENGINES, 0.0);
-        // Reading what others have sent takes the engines most of a second.
+        // The prefill of the requests of other gateways takes the engines most of a second.
         let hints = (0..ENGINES).map(|index| sent_hint(index, 60_000, &[])).collect();
         scheduler.note_hints(hints, at(1_000));
         let mut work = item(&route(1, 2_000, 10_000), Some(prompt(1, 5_000, 6_000, 1)), at(1_000));
         work.first_byte_deadline = at(1_000) + ms(first_byte_deadline);
         let ticket = scheduler.submit(work, at(1_000));
-        let verdict = scheduler.poll(at(1_001)).into_iter().find(|(t, _)| *t == ticket);
-        let reason = verdict.map(|(_, verdict)| match verdict {
+        let decision = scheduler.poll(at(1_001)).into_iter().find(|(t, _)| *t == ticket);
+        let reason = decision.map(|(_, decision)| match decision {
             Decision::Refuse { reason, .. } => reason,
-            verdict => panic!("{first_byte_deadline}: {verdict:?}"),
+            decision => panic!("{first_byte_deadline}: {decision:?}"),
         });
         assert_eq!(reason, is_refused.then_some(RefusalReason::TooLate), "{first_byte_deadline}");
     }
--- a/crates/dispatch/tests/regions.rs
+++ b/crates/dispatch/tests/regions.rs
@@ -1,4 +1,4 @@
-//! When work leaves its region, by what is known of the others.
+//! Forwarding to other regions based on their known capacity.
 
 mod support;
 
@@ -7,10 +7,10 @@
         BackendInfo, Decision, FirstByteTimes, RegionInfo, Scheduler, WorkOutcome,
     },
     std::time::Duration,
-    support::{at, facts, item, prompt, region, route, scheduler, service},
+    support::{at, backend_info, item, prompt, region, route, scheduler, service},
 };
 
-fn told(millis: &[u32]) -> RegionInfo {
+fn reported(millis: &[u32]) -> RegionInfo {
     RegionInfo {
         region: region("columbia"),
         service: service("pool"),
@@ -19,88 +19,96 @@
     }
 }
 
-/// A gateway before one engine that has a second of reading ahead, whatever the priority.
-fn busy(there: RegionInfo) -> Scheduler {
+/// Returns a gateway with one engine that has a second of prefill ahead for every priority.
+fn busy_scheduler(remote: RegionInfo) -> Scheduler {
     let mut scheduler = scheduler(0, 1, 1, 0.0);
     let urgent = route(0, 5_000, 10_000);
     scheduler.submit(item(&urgent, Some(prompt(1, 5_000, 60_000, 1)), at(0)), at(0));
     scheduler.poll(at(0));
-    scheduler.set_regions(vec![there]);
+    scheduler.set_regions(vec![remote]);
     scheduler
 }
 
-/// Whether a request of `priority` that comes at `ms` leaves.
-fn leaves(scheduler: &mut Scheduler, priority: u8, ms: u64) -> bool {
+/// Returns whether a request of `priority` that arrives at `ms` is forwarded.
+fn is_forwarded(scheduler: &mut Scheduler, priority: u8, ms: u64) -> bool {
     let work = item(&route(priority, 800, 10_000), Some(prompt(9, 500, 500, 9)), at(ms));
     let ticket = scheduler.submit(work, at(ms));
-    let verdicts = scheduler.poll(at(ms));
-    let is_away =
-        verdicts.iter().any(|(t, v)| *t == ticket && matches!(v, Decision::Forward { .. }));
+    let decisions = scheduler.poll(at(ms));
+    let was_forwarded =
+        decisions.iter().any(|(t, v)| *t == ticket && matches!(v, Decision::Forward { .. }));
     scheduler.withdraw(ticket);
-    is_away
+    was_forwarded
 }
 
 #[test]
-fn less_urgent_work_stays_away_from_a_region_that_is_full_of_urgent_work() {
-    // Symptom: at a peak long prompts were sent to a region that had no room for them either, and
-    // came back refused half a second later. Cause: what a region offered was told for the most
-    // urgent work alone, which waits behind nothing.
-    let mut scheduler = busy(told(&[10, 3_000]));
-    assert!(leaves(&mut scheduler, 0, 1), "the urgent one has room there");
-    assert!(!leaves(&mut scheduler, 1, 1), "the other one would wait there too");
+fn less_urgent_requests_are_not_forwarded_to_a_region_full_of_urgent_ones() {
+    // Guards against forwarding long prompts to a region without capacity for them, which refused
+    // them half a second later. It occurs if a region reports its time only for the most urgent
+    // priority, which waits behind nothing.
+    let mut scheduler = busy_scheduler(reported(&[10, 3_000]));
+    assert!(is_forwarded(&mut scheduler, 0, 1), "the urgent one has room there");
+    assert!(!is_forwarded(&mut scheduler, 1, 1), "the other one would wait there too");
 }
 
 #[test]
-fn what_came_with_a_forward_goes_before_what_was_told_until_it_is_old() {
-    // Symptom: all gateways of a region at its peak filled another one within the second in which
-    // nobody had told them yet that it was full.
-    let mut scheduler = busy(told(&[10]));
+fn offer_of_a_forward_overrides_reports_until_it_expires() {
+    // Guards against all gateways of a region at its peak filling another one within the second
+    // before a report shows that it is full.
+    let mut scheduler = busy_scheduler(reported(&[10]));
     let full = FirstByteTimes::from_millis(&[4_000]);
     scheduler.note_region_offer(&region("columbia"), &service("pool"), full, at(2));
-    assert!(!leaves(&mut scheduler, 1, 3));
-    assert!(!leaves(&mut scheduler, 1, 200));
-    let mut later = busy(told(&[10]));
+    assert!(!is_forwarded(&mut scheduler, 1, 3));
+    assert!(!is_forwarded(&mut scheduler, 1, 200));
+    let mut later = busy_scheduler(reported(&[10]));
     later.note_region_offer(&region("columbia"), &service("pool"), full, at(2));
     let long = item(&route(0, 5_000, 10_000), Some(prompt(2, 5_000, 80_000, 2)), at(1_090));
     later.submit(long, at(1_090));
     later.poll(at(1_090));
-    assert!(leaves(&mut later, 1, 1_100), "a second later it may have room again");
+    assert!(is_forwarded(&mut later, 1, 1_100), "a second later it may have room again");
 }
 
 #[test]
-fn a_region_that_turns_one_service_away_still_gets_the_others() {
-    // Symptom: long prompts waited here for engines while another region's engines were free.
-    // Sequence: that region turned away a plain request, and got nothing at all for 0.2 s, again
-    // and again. Cause: one pause for all services.
+fn refusal_of_one_service_does_not_pause_the_others() {
+    // Guards against one pause for all services: a region that refused a plain request got no
+    // requests at all for 0.2 s, again and again, and long prompts waited here while its engines
+    // were idle.
     struct Case {
         refused: &'static str,
-        leaves: bool,
+        is_forwarded: bool,
     }
-    let cases = [Case { refused: "desk", leaves: true }, Case { refused: "pool", leaves: false }];
+    let cases = [
+        Case { refused: "desk", is_forwarded: true },
+        Case { refused: "pool", is_forwarded: false },
+    ];
     for case in cases {
-        let mut scheduler = busy(told(&[10]));
+        let mut scheduler = busy_scheduler(reported(&[10]));
         let pause = Duration::from_millis(200);
         scheduler.pause_service(&region("columbia"), &service(case.refused), pause, at(1));
-        assert_eq!(leaves(&mut scheduler, 1, 2), case.leaves, "{} refused", case.refused);
+        assert_eq!(
+            is_forwarded(&mut scheduler, 1, 2),
+            case.is_forwarded,
+            "{} refused",
+            case.refused
+        );
     }
 }
 
 #[test]
-fn backend_servers_that_would_get_no_work_are_not_offered() {
-    // Symptom: a region whose only backend server of a service was suspect still offered it, and
-    // turned away what came.
+fn unusable_backend_servers_are_not_offered() {
+    // Guards against a region that offers a service whose only backend server is suspect, and
+    // refuses the forwarded requests.
     struct Case {
         name: &'static str,
         change: fn(&mut Scheduler),
         offered: u32,
     }
     let cases = [
-        Case { name: "all sound", change: |_| {}, offered: 2 },
+        Case { name: "all healthy", change: |_| {}, offered: 2 },
         Case {
             name: "one silent",
             change: |s| {
-                let silent = BackendInfo { is_silent: true, ..facts(0) };
-                s.set_backends([silent, facts(1)], at(0));
+                let silent = BackendInfo { is_silent: true, ..backend_info(0) };
+                s.set_backends([silent, backend_info(1)], at(0));
             },
             offered: 1,
         },
@@ -116,8 +124,8 @@
         Case {
             name: "one cold",
             change: |s| {
-                let cold = BackendInfo { cold_until: at(9_000), ..facts(0) };
-                s.set_backends([cold, facts(1)], at(0));
+                let cold = BackendInfo { cold_until: at(9_000), ..backend_info(0) };
+                s.set_backends([cold, backend_info(1)], at(0));
             },
             offered: 1,
         },
@@ -132,7 +140,7 @@
 }
 
 #[test]
-fn times_are_told_in_whole_milliseconds_and_read_by_processes_of_another_version() {
+fn first_byte_times_are_compatible_across_versions() {
     struct Case {
         millis: &'static [u32],
         read: [f64; 5],
--- a/crates/dispatch/tests/repeats.rs
+++ b/crates/dispatch/tests/repeats.rs
@@ -1,6 +1,6 @@
-//! Repeats of all gateways together, by the count that the operators hold them to.
+//! Repeats of all gateways together, counted by the rule of the operators.
 //!
-//! `GULLGLADE_REPEAT_SEEDS` sets how many random plays run, `GULLGLADE_SEED` where they start.
+//! `GULLGLADE_REPEAT_SEEDS` sets the number of random simulations, `GULLGLADE_SEED` the first seed.
 
 mod support;
 
@@ -8,56 +8,61 @@
     gullglade_units::{RandomSource, SeededRandom},
     std::ops::Range,
     support::{
-        repeat_play::{
-            Delay, Freeze, Kill, REGIONS, RepeatPlay, RepeatScenario, Trouble, WINDOW_MS,
+        env_number,
+        repeat_simulation::{
+            Delay, Faults, Kill, REGIONS, RepeatScenario, RepeatSimulation, Stall, WINDOW_MS,
         },
-        setting,
     },
 };
 
 const DEFAULT_PLAYS: u64 = 60;
 const LENGTH_MS: u64 = 34_000;
 
-fn scenario(gateways: usize, per_second: f64, trouble: Trouble) -> RepeatScenario {
-    RepeatScenario { gateways, per_second, length_ms: LENGTH_MS, trouble }
+fn scenario(gateways: usize, per_second: f64, faults: Faults) -> RepeatScenario {
+    RepeatScenario { gateways, per_second, length_ms: LENGTH_MS, faults }
 }
 
-/// The plays of a case that broke the bound, a line each.
-fn broken(what: &str, scenario: &RepeatScenario, seeds: impl Iterator<Item = u64>) -> Vec<String> {
+/// Runs the simulations of a case and returns a line for each one that violated the limit.
+fn violations(
+    what: &str,
+    scenario: &RepeatScenario,
+    seeds: impl Iterator<Item = u64>,
+) -> Vec<String> {
     seeds
-        .filter_map(|seed| Some((seed, RepeatPlay::new(scenario, seed).play()?)))
+        .filter_map(|seed| Some((seed, RepeatSimulation::new(scenario, seed).simulate()?)))
         .filter(|(_, worst)| worst.part() > 1.0)
         .map(|(seed, worst)| format!("{what}, seed {seed}: {worst:?} of {scenario:?}"))
         .collect()
 }
 
-/// While backend servers turned requests away and gateways were killed one after another, a
-/// service got more repeats than allowed: each run of a gateway began with a share of its own.
+/// Guards against budgets that start anew with each run of a gateway: while backend servers
+/// rejected requests and gateways were killed one after another, a service got more repeats than
+/// allowed.
 #[test]
-fn repeats_of_all_runs_of_all_gateways_stay_within_their_budget() {
+fn repeats_of_all_runs_stay_within_the_fleet_budget() {
     struct Case {
         what: &'static str,
         per_second: f64,
-        trouble: Trouble,
+        faults: Faults,
     }
-    let failing = || Trouble { failures: vec![(12_000..23_000, 0.95)], ..Trouble::default() };
+    let failing = || Faults { failures: vec![(12_000..23_000, 0.95)], ..Faults::default() };
     let kill = |at_ms| Kill { at_ms, share: 0.95, down_ms: 500 };
     let cases = [
-        Case { what: "every send fails", per_second: 300.0, trouble: failing() },
+        Case { what: "every send fails", per_second: 300.0, faults: failing() },
         Case {
             what: "gateways are killed in series",
             per_second: 300.0,
-            trouble: Trouble { kills: [13_200, 16_200, 19_200].map(kill).into(), ..failing() },
+            faults: Faults { kills: [13_200, 16_200, 19_200].map(kill).into(), ..failing() },
         },
         Case {
             what: "the same with few requests",
             per_second: 40.0,
-            trouble: Trouble { kills: [13_200, 16_200, 19_200].map(kill).into(), ..failing() },
+            faults: Faults { kills: [13_200, 16_200, 19_200].map(kill).into(), ..failing() },
         },
         Case {
             what: "callers move to another region",
             per_second: 300.0,
-            trouble: Trouble {
+            faults: Faults {
                 moves: vec![(0, [1.0, 0.0, 0.0]), (13_000, [0.0, 1.0, 0.0])],
                 ..failing()
             },
@@ -65,37 +70,37 @@
         Case {
             what: "control processes start again",
             per_second: 40.0,
-            trouble: Trouble { control_restarts: vec![12_500, 16_000], ..failing() },
+            faults: Faults { control_restarts: vec![12_500, 16_000], ..failing() },
         },
         Case {
             what: "regions are cut off from each other",
             per_second: 40.0,
-            trouble: Trouble { cut: Some(11_000..24_000), ..failing() },
+            faults: Faults { partition: Some(11_000..24_000), ..failing() },
         },
         Case {
             what: "gateways are killed in a cut",
             per_second: 40.0,
-            trouble: Trouble {
+            faults: Faults {
                 kills: vec![kill(4_000)],
-                cut: Some(3_000..24_000),
-                ..Trouble { failures: vec![(15_000..26_000, 0.95)], ..Trouble::default() }
+                partition: Some(3_000..24_000),
+                ..Faults { failures: vec![(15_000..26_000, 0.95)], ..Faults::default() }
             },
         },
     ];
     let mut lines = Vec::new();
-    for Case { what, per_second, trouble } in cases {
+    for Case { what, per_second, faults } in cases {
         for gateways in [8, 100, 300] {
-            let scenario = scenario(gateways, per_second, trouble.clone());
-            lines.extend(broken(what, &scenario, 0..3));
+            let scenario = scenario(gateways, per_second, faults.clone());
+            lines.extend(violations(what, &scenario, 0..3));
         }
     }
     assert!(lines.is_empty(), "{}", lines.join("\n"));
 }
 
-/// While a link or a full region held up sends, repeats that had been granted in two windows
-/// arrived in one.
+/// Guards against repeats granted in two windows that arrive in one, because a link or a full
+/// region delayed them.
 #[test]
-fn repeats_that_arrive_late_stay_within_their_budget() {
+fn late_repeats_stay_within_the_budget() {
     struct Case {
         what: &'static str,
         delays: Vec<Delay>,
@@ -119,93 +124,93 @@
     for Case { what, delays } in cases {
         for (gateways, per_second) in [(8, 300.0), (8, 1_200.0), (100, 2_400.0)] {
             let failures = vec![(4_000..34_000, 0.95)];
-            let trouble = Trouble { failures, delays: delays.clone(), ..Trouble::default() };
-            lines.extend(broken(what, &scenario(gateways, per_second, trouble), 0..3));
+            let faults = Faults { failures, delays: delays.clone(), ..Faults::default() };
+            lines.extend(violations(what, &scenario(gateways, per_second, faults), 0..3));
         }
     }
     assert!(lines.is_empty(), "{}", lines.join("\n"));
 }
 
-/// Gateways that had stood still took requests of long ago for those of now.
+/// Guards against counting requests at the time of reading after a stall of the gateway.
 #[test]
-fn requests_that_are_read_late_earn_repeats_of_their_own_time() {
+fn requests_read_after_a_stall_earn_repeats_at_their_send_time() {
     struct Case {
         what: &'static str,
         bursts: Vec<(Range<u64>, f64)>,
-        freezes: Vec<Freeze>,
+        stalls: Vec<Stall>,
         failures: Range<u64>,
     }
-    let freeze = |time| Freeze { time, share: 0.9 };
+    let stall = |time| Stall { time, share: 0.9 };
     let cases = [
         Case {
-            what: "they stand still in a burst, and few callers come after it",
+            what: "they stall in a burst, and few callers come after it",
             bursts: vec![(6_000..10_000, 4.0), (10_000..34_000, 0.1)],
-            freezes: vec![freeze(6_000..12_000)],
+            stalls: vec![stall(6_000..12_000)],
             failures: 4_000..34_000,
         },
         Case {
-            what: "they stand still twice",
+            what: "they stall twice",
             bursts: vec![(4_000..8_000, 4.0), (8_000..34_000, 0.1)],
-            freezes: vec![freeze(4_000..8_500), freeze(9_000..14_000)],
+            stalls: vec![stall(4_000..8_500), stall(9_000..14_000)],
             failures: 4_000..34_000,
         },
         Case {
             what: "sends fail when the burst is over",
             bursts: vec![(4_000..8_000, 4.0), (8_000..34_000, 0.2)],
-            freezes: vec![freeze(4_000..9_000)],
+            stalls: vec![stall(4_000..9_000)],
             failures: 18_100..34_000,
         },
     ];
     let mut lines = Vec::new();
-    for Case { what, bursts, freezes, failures } in cases {
+    for Case { what, bursts, stalls, failures } in cases {
         for (gateways, per_second) in [(8, 300.0), (8, 1_200.0), (100, 2_400.0)] {
             let failures = vec![(failures.clone(), 0.95)];
-            let (bursts, freezes) = (bursts.clone(), freezes.clone());
-            let trouble = Trouble { failures, bursts, freezes, ..Trouble::default() };
-            lines.extend(broken(what, &scenario(gateways, per_second, trouble), 0..3));
+            let (bursts, stalls) = (bursts.clone(), stalls.clone());
+            let faults = Faults { failures, bursts, stalls, ..Faults::default() };
+            lines.extend(violations(what, &scenario(gateways, per_second, faults), 0..3));
         }
     }
     assert!(lines.is_empty(), "{}", lines.join("\n"));
 }
 
-/// Any of these troubles at any time, several at once.
+/// Any of these faults at any time, several at once.
 #[test]
-fn repeats_stay_within_their_budget_under_troubles_at_random() {
-    play_at_random(random_scenario);
+fn repeats_stay_within_the_budget_under_random_faults() {
+    simulate_random(random_scenario);
 }
 
-/// The same, with links that hold up sends and gateways that stand still.
+/// The same, with links that delay sends and gateways that stall.
 #[test]
-fn repeats_stay_within_their_budget_under_late_arrivals_at_random() {
-    play_at_random(|random| {
+fn repeats_stay_within_the_budget_with_random_late_arrivals() {
+    simulate_random(|random| {
         let mut scenario = random_scenario(random);
-        add_late_arrivals(&mut scenario.trouble, random);
+        add_late_arrivals(&mut scenario.faults, random);
         scenario
     });
 }
 
-fn play_at_random(scenario: impl Fn(&SeededRandom) -> RepeatScenario) {
-    let first = setting("GULLGLADE_SEED", 0);
-    let plays = setting("GULLGLADE_REPEAT_SEEDS", DEFAULT_PLAYS);
+fn simulate_random(scenario: impl Fn(&SeededRandom) -> RepeatScenario) {
+    let first = env_number("GULLGLADE_SEED", 0);
+    let plays = env_number("GULLGLADE_REPEAT_SEEDS", DEFAULT_PLAYS);
     let mut lines = Vec::new();
     for seed in first..first + plays {
         let scenario = scenario(&SeededRandom::new(seed));
-        lines.extend(broken("at random", &scenario, [seed].into_iter()));
+        lines.extend(violations("at random", &scenario, [seed].into_iter()));
     }
     assert!(lines.is_empty(), "{} of {plays}:\n{}", lines.len(), lines.join("\n"));
 }
 
-fn add_late_arrivals(trouble: &mut Trouble, random: &SeededRandom) {
+fn add_late_arrivals(faults: &mut Faults, random: &SeededRandom) {
     let time = |longest: u64| {
         let from = random.below(LENGTH_MS);
         from..from + 500 + random.below(longest)
     };
     for _ in 0..random.below(4) {
         let (time, share) = (time(WINDOW_MS / 2), 0.2 + 0.8 * random.unit());
-        trouble.delays.push(Delay { time, share, is_known: random.below(2) > 0 });
+        faults.delays.push(Delay { time, share, is_known: random.below(2) > 0 });
     }
     for _ in 0..random.below(3) {
-        trouble.freezes.push(Freeze { time: time(WINDOW_MS / 2), share: random.unit() });
+        faults.stalls.push(Stall { time: time(WINDOW_MS / 2), share: random.unit() });
     }
 }
 
@@ -223,14 +228,14 @@
         down_ms: 200 + below(3_000),
     };
     let weights = || std::array::from_fn::<f64, REGIONS, _>(|_| 0.02 + random.unit().powi(3));
-    let trouble = Trouble {
+    let faults = Faults {
         failures: (0..=below(2)).map(|_| (time(14_000), 0.4 + 0.6 * random.unit())).collect(),
         bursts: (0..below(3)).map(|_| (time(9_000), 0.2 + 3.0 * random.unit())).collect(),
         kills: (0..below(5)).map(kill).collect(),
-        cut: (below(2) > 0).then(|| time(20_000)),
+        partition: (below(2) > 0).then(|| time(20_000)),
         control_restarts: (0..below(3)).map(|_| below(LENGTH_MS)).collect(),
         moves: (0..below(4)).map(|_| (below(LENGTH_MS), weights())).collect(),
-        ..Trouble::default()
+        ..Faults::default()
     };
-    scenario(gateways, per_second, trouble)
+    scenario(gateways, per_second, faults)
 }
--- a/crates/dispatch/tests/replay.rs
+++ b/crates/dispatch/tests/replay.rs
@@ -1,22 +1,22 @@
-//! Loads, replayed in virtual time over several gateways that share engines.
+//! Load replays in virtual time over several gateways that share engines.
 
 mod support;
 
 use {
     std::time::Duration,
-    support::{Class, ClassResult, Replay, route},
+    support::{ClassResult, Replay, RequestClass, route},
 };
 
-fn classes(factor: f64) -> Vec<Class> {
+fn classes(factor: f64) -> Vec<RequestClass> {
     vec![
-        Class {
+        RequestClass {
             route: route(1, 800, 10_000),
             per_second: 12.0 * factor,
             shared_tokens: 5_000,
             own_tokens: 6_000,
             generate_ms: 1_400,
         },
-        Class {
+        RequestClass {
             route: route(0, 1_200, 2_500),
             per_second: 60.0 * factor,
             shared_tokens: 500,
@@ -26,13 +26,13 @@
     ]
 }
 
-/// A region of four gateways and six engines at its peak, `factor` times over.
+/// A region of four gateways and six engines, with its peak load multiplied by `factor`.
 fn peak(factor: f64, seed: u64) -> Replay {
     Replay {
         gateways: 4,
         engines: 6,
         classes: classes(factor),
-        subjects: 50,
+        shared_count: 50,
         seconds: 12,
         has_hints: true,
         has_idle_region: false,
@@ -42,15 +42,16 @@
 }
 
 fn replay(factor: f64, has_hints: bool, seed: u64) -> Vec<ClassResult> {
-    Replay { has_hints, ..peak(factor, seed) }.play()
+    Replay { has_hints, ..peak(factor, seed) }.simulate()
 }
 
 fn share(results: &[ClassResult]) -> f64 {
-    let (met, asked) = results.iter().fold((0, 0), |(m, a), r| (m + r.in_objective, a + r.asked));
-    met as f64 / asked as f64
+    let (met, submitted) =
+        results.iter().fold((0, 0), |(m, a), r| (m + r.in_objective, a + r.submitted));
+    met as f64 / submitted as f64
 }
 
-/// The part of long prompts in their objective, mean over seeds.
+/// Returns the share of long prompts within their objective, as the mean over seeds.
 fn long_share(factor: f64, has_hints: bool) -> f64 {
     let shares: Vec<f64> =
         (0..3).map(|seed| share(&replay(factor, has_hints, seed)[..1])).collect();
@@ -58,16 +59,16 @@
 }
 
 #[test]
-fn gateways_that_tell_each_other_of_their_sends_place_long_prompts_better() {
-    // The load: a region's peak, long and short prompts over four gateways and six engines.
+fn hints_improve_the_placement_of_long_prompts() {
+    // The load: long and short prompts at a regional peak, over four gateways and six engines.
     let (with, without) = (long_share(1.0, true), long_share(1.0, false));
     println!("long prompts in objective: {with:.3} with hints, {without:.3} without");
     assert!(with > without + 0.02, "{with} against {without}");
 }
 
 #[test]
-fn urgent_work_is_served_first_when_there_is_more_than_room() {
-    // The load: nearly twice what the engines can read.
+fn urgent_requests_are_served_first_in_overload() {
+    // The load: nearly twice the prefill capacity of the engines.
     let results = replay(1.9, true, 1);
     println!("{results:?}");
     let [long, short] = [share(&results[..1]), share(&results[1..])];
@@ -76,8 +77,8 @@
 }
 
 #[test]
-fn nothing_is_turned_away_while_there_is_room() {
-    // The load: a third of what the engines can read.
+fn nothing_is_refused_below_capacity() {
+    // The load: a third of the prefill capacity of the engines.
     let results = replay(0.5, true, 2);
     println!("{results:?}");
     assert!(results.iter().all(|r| r.refused == 0), "{results:?}");
@@ -85,37 +86,37 @@
 }
 
 #[test]
-fn who_cannot_be_served_in_time_is_told_at_once() {
-    // The load: five times what the engines can read. Whoever cannot be served in time is told
-    // while it can still go elsewhere, and what is served is mostly served in its objective: the
-    // room goes to those that can still meet it.
+fn requests_that_cannot_be_served_in_time_are_refused_early() {
+    // The load: five times the prefill capacity of the engines. Requests that cannot be served in
+    // time are refused while they can still go elsewhere, and most of the served ones meet their
+    // objective.
     let mut load = classes(5.0);
     load.iter_mut().for_each(|class| class.route = route(0, 300, 10_000));
     let replay = Replay {
         gateways: 2,
         engines: 2,
         classes: load,
-        subjects: 10,
+        shared_count: 10,
         seconds: 8,
         has_hints: true,
         has_idle_region: false,
         restarted_ms: None,
         seed: 3,
     };
-    let results = replay.play();
+    let results = replay.simulate();
     println!("{results:?}");
     let refused: usize = results.iter().map(|r| r.refused).sum();
     assert!(refused > 0, "{results:?}");
-    let longest = results.iter().map(|r| r.longest_hold).max().expect("classes");
-    assert!(longest <= Duration::from_millis(900), "held for {longest:?} and then turned away");
+    let longest = results.iter().map(|r| r.max_queue_time).max().expect("classes");
+    assert!(longest <= Duration::from_millis(900), "refused after {longest:?}");
 }
 
 #[test]
-fn a_region_at_its_peak_shares_its_work_with_one_that_is_idle() {
-    // The load: a region's peak at a fifth more than its engines can read, beside a region that is
-    // idle. Work that leaves only once it is nearly late here is late there.
+fn region_at_its_peak_forwards_to_an_idle_region() {
+    // The load: a regional peak at a fifth more than the prefill capacity of the engines, beside an
+    // idle region. Requests that are forwarded only when nearly late would arrive late.
     let replay = Replay { has_idle_region: true, ..peak(1.2, 4) };
-    let results = replay.play();
+    let results = replay.simulate();
     println!("{results:?}");
     let [long, short] = [share(&results[..1]), share(&results[1..])];
     assert!(long > 0.95, "long prompts in their objective: {long}");
@@ -124,41 +125,40 @@
 }
 
 #[test]
-fn a_quiet_region_keeps_its_work() {
-    // The load: two fifths of the peak, beside a region that is idle. Leaving costs the way there
-    // and back, and the shared parts are read once more; only what would wait here may leave.
+fn region_below_capacity_keeps_its_requests() {
+    // The load: two fifths of the peak, beside an idle region. Forwarding costs a round trip and
+    // another prefill of the shared parts, so only requests that would wait here may be forwarded.
     let replay = Replay { has_idle_region: true, ..peak(0.4, 5) };
-    let results = replay.play();
+    let results = replay.simulate();
     println!("{results:?}");
-    let away: usize = results.iter().map(|r| r.away).sum();
-    let asked: usize = results.iter().map(|r| r.asked).sum();
-    assert!(away * 12 < asked, "{away} of {asked} left");
+    let forwarded: usize = results.iter().map(|r| r.forwarded).sum();
+    let submitted: usize = results.iter().map(|r| r.submitted).sum();
+    assert!(forwarded * 12 < submitted, "{forwarded} of {submitted} left");
     assert!(share(&results) > 0.98, "{results:?}");
 }
 
 #[test]
-fn shared_parts_stay_where_they_were_read() {
-    // The load: a region's peak, with 50 shared parts of 5,000 tokens over six engines. A choice by
-    // the time to the first byte alone moves a part to another engine for every short queue, and
-    // each move reads it again.
-    let results = peak(1.0, 6).play();
+fn shared_parts_stay_on_their_engine() {
+    // The load: a regional peak, with 50 shared parts of 5,000 tokens over six engines. Placement
+    // by time to first byte alone moves a part to another engine for every short queue, and each
+    // move repeats its prefill.
+    let results = peak(1.0, 6).simulate();
     println!("{results:?}");
-    let again: u64 = results.iter().map(|r| r.read_again).sum();
-    let shared: u64 = results
-        .iter()
-        .zip(classes(1.0))
-        .fold(0, |sum, (result, class)| sum + result.asked as u64 * u64::from(class.shared_tokens));
+    let again: u64 = results.iter().map(|r| r.repeated_prefill).sum();
+    let shared: u64 = results.iter().zip(classes(1.0)).fold(0, |sum, (result, class)| {
+        sum + result.submitted as u64 * u64::from(class.shared_tokens)
+    });
     println!("{again} of {shared} shared tokens were read again");
     assert!(again * 20 < shared, "{again} of {shared} shared tokens were read again");
     assert!(share(&results) > 0.97, "{results:?}");
 }
 
 #[test]
-fn restarted_gateways_find_shared_parts_where_they_are() {
-    // The load: a region's long prompts over 29 shared parts that fit into its engines, while all
-    // gateways are restarted at once, as after a loss of power.
-    let read_again = |restarted_ms, seed| {
-        let class = Class {
+fn restarted_gateways_find_cached_parts() {
+    // The load: long prompts of a region with 29 shared parts that fit into its engines, while all
+    // gateways are restarted at once, as after a power failure.
+    let repeated_prefill = |restarted_ms, seed| {
+        let class = RequestClass {
             route: route(1, 1_200, 10_000),
             per_second: 12.0,
             shared_tokens: 13_300,
@@ -169,19 +169,20 @@
             gateways: 3,
             engines: 4,
             classes: vec![class],
-            subjects: 29,
+            shared_count: 29,
             seconds: 16,
             has_hints: true,
             has_idle_region: false,
             restarted_ms,
             seed,
         };
-        load.play()[0].read_again
+        load.simulate()[0].repeated_prefill
     };
-    let sum = |restarted_ms| (0..4).map(|seed| read_again(restarted_ms, seed)).sum::<u64>() / 4;
+    let sum =
+        |restarted_ms| (0..4).map(|seed| repeated_prefill(restarted_ms, seed)).sum::<u64>() / 4;
     let (steady, restarted) = (sum(None), sum(Some(8_000)));
     println!("tokens of shared parts read again: {steady}, with a restart {restarted}");
-    // All 29 parts are 386,000 tokens. Without a common order of the engines 296,000 more are read
-    // again than without a restart.
+    // All 29 parts have 386,000 tokens. Without a common order of the engines, the prefill of
+    // 296,000 more tokens is repeated than without a restart.
     assert!(restarted < steady + 180_000, "{restarted} against {steady}");
 }
--- a/crates/dispatch/tests/rules.rs
+++ b/crates/dispatch/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What a scheduler must keep under every load: shared limits, suspects, ended runs, residency.
+//! Invariants of a scheduler under any load: shared limits, suspects, ended runs, allowed regions.
 
 mod support;
 
@@ -11,8 +11,8 @@
     gullglade_units::{Incarnation, MonotonicTime, RandomSource, SeededRandom},
     std::{collections::BTreeSet, rc::Rc, time::Duration},
     support::{
-        at, backend, facts, gateway, item, pool, prompt, region, route, scheduler, sent_hint,
-        service,
+        at, backend, backend_info, gateway, item, pool, prompt, region, route, scheduler,
+        sent_hint, service,
     },
 };
 
@@ -20,20 +20,21 @@
     let work =
         item(&route(1, 800, 10_000), Some(prompt(1, 5_000, 1_000, now.0.as_millis() as u64)), now);
     let ticket = scheduler.submit(work, now);
-    let verdict = scheduler.poll(now).into_iter().find(|(t, _)| *t == ticket);
-    (ticket, verdict.map(|(_, verdict)| verdict))
+    let decision = scheduler.poll(now).into_iter().find(|(t, _)| *t == ticket);
+    (ticket, decision.map(|(_, decision)| decision))
 }
 
-fn sent_to(verdict: &Option<Decision>) -> Option<&str> {
-    match verdict {
+fn sent_to(decision: &Option<Decision>) -> Option<&str> {
+    match decision {
         Some(Decision::Send { run, .. }) => Some(run.backend.as_str()),
         _ => None,
     }
 }
 
 #[test]
-fn all_gateways_together_spare_a_cold_engine() {
-    // A gateway that stood still sent the end of one window right before the whole of the next.
+fn cold_rate_holds_for_all_gateways_together() {
+    // Guards against a stalled gateway that sends at the end of one window, right before those of
+    // the next.
     const PER_SECOND: f64 = 3.3;
     const ALLOWED: usize = 7;
     for gateways in [1, 2, 4, 7, 12, 30] {
@@ -42,7 +43,7 @@
             let mut arrivals = Vec::new();
             for index in 0..gateways {
                 let mut scheduler = scheduler(index, gateways, 1, PER_SECOND);
-                let mut cold = facts(0);
+                let mut cold = backend_info(0);
                 cold.cold_until = at(60_000);
                 scheduler.set_backends([cold], at(0));
                 let mut stall = 0;
@@ -50,8 +51,8 @@
                     if random.below(200) == 0 {
                         stall = ms + random.below(300);
                     }
-                    let (ticket, verdict) = place(&mut scheduler, at(ms));
-                    if sent_to(&verdict).is_some() {
+                    let (ticket, decision) = place(&mut scheduler, at(ms));
+                    if sent_to(&decision).is_some() {
                         arrivals.push(ms.max(stall));
                         scheduler.end(ticket, WorkOutcome::Answered, at(ms));
                     }
@@ -69,39 +70,40 @@
 }
 
 #[test]
-fn engines_of_a_returned_failure_domain_count_as_cold_until_they_say_otherwise() {
-    // Engines that restarted during an evacuation crashed before they announced that they are cold.
+fn engines_of_a_returned_failure_domain_count_as_cold() {
+    // Guards against crashes of engines that restarted during an evacuation and have not announced
+    // yet that they are cold.
     let mut scheduler = scheduler(0, 1, 1, 3.3);
-    let domain = facts(0).domain;
+    let domain = backend_info(0).domain;
     let evacuated = Rc::new(BTreeSet::from([domain]));
     scheduler.set_configuration([pool(3.3)], &evacuated, at(0));
-    let (_, verdict) = place(&mut scheduler, at(10_010));
-    assert!(matches!(verdict, Some(Decision::Refuse { reason: RefusalReason::NoBackend, .. })));
+    let (_, decision) = place(&mut scheduler, at(10_010));
+    assert!(matches!(decision, Some(Decision::Refuse { reason: RefusalReason::NoBackend, .. })));
     scheduler.set_configuration([pool(3.3)], &Rc::new(BTreeSet::new()), at(11_000));
     let sends = (0..20).filter(|i| {
-        let (ticket, verdict) = place(&mut scheduler, at(11_000 + i));
+        let (ticket, decision) = place(&mut scheduler, at(11_000 + i));
         scheduler.withdraw(ticket);
-        sent_to(&verdict).is_some()
+        sent_to(&decision).is_some()
     });
     assert_eq!(sends.count(), 1);
 }
 
 #[test]
-fn a_run_that_is_over_gets_nothing_more_though_it_is_still_announced() {
-    // Each refresh brought a run back that had been found to be over.
+fn ended_run_gets_no_requests_while_still_announced() {
+    // Guards against a refresh of the announcements that brings back a run known to have ended.
     let mut scheduler = scheduler(0, 1, 2, 0.0);
-    let (ticket, verdict) = place(&mut scheduler, at(0));
-    let first = sent_to(&verdict).expect("sent").to_owned();
+    let (ticket, decision) = place(&mut scheduler, at(0));
+    let first = sent_to(&decision).expect("sent").to_owned();
     scheduler.end(ticket, WorkOutcome::Misdirected, at(1));
-    scheduler.set_backends((0..2).map(facts), at(0));
+    scheduler.set_backends((0..2).map(backend_info), at(0));
     for ms in 2..40 {
-        let (_, verdict) = place(&mut scheduler, at(ms));
-        assert_ne!(sent_to(&verdict), Some(first.as_str()));
+        let (_, decision) = place(&mut scheduler, at(ms));
+        assert_ne!(sent_to(&decision), Some(first.as_str()));
     }
 }
 
 #[test]
-fn a_suspect_is_left_alone_and_tried_again() {
+fn suspect_is_avoided_and_retried() {
     struct Case {
         outcome: WorkOutcome,
         is_suspect: bool,
@@ -116,13 +118,13 @@
     ];
     for case in cases {
         let mut scheduler = scheduler(0, 1, 2, 0.0);
-        let (ticket, verdict) = place(&mut scheduler, at(0));
-        let bad = sent_to(&verdict).expect("sent").to_owned();
+        let (ticket, decision) = place(&mut scheduler, at(0));
+        let bad = sent_to(&decision).expect("sent").to_owned();
         scheduler.end(ticket, case.outcome, at(1));
         let mut later = Vec::new();
         for ms in 0..10 {
-            let (ticket, verdict) = place(&mut scheduler, at(10 + ms));
-            later.push(sent_to(&verdict).map(str::to_owned));
+            let (ticket, decision) = place(&mut scheduler, at(10 + ms));
+            later.push(sent_to(&decision).map(str::to_owned));
             scheduler.end(ticket, WorkOutcome::Answered, at(11 + ms));
         }
         let is_used = later.iter().flatten().any(|name| *name == bad);
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn repeats_of_all_gateways_stay_within_the_shared_budget() {
+fn repeat_budget_holds_for_all_gateways_together() {
     const WINDOW: Duration = Duration::from_secs(10);
     for gateways in [1, 4, 20, 64] {
         let mut requests = 0;
@@ -159,22 +161,34 @@
 }
 
 #[test]
-fn work_leaves_its_region_only_where_that_serves_it_better() {
+fn request_is_forwarded_only_if_it_is_served_better_elsewhere() {
     struct Case {
         engines: usize,
-        there_ms: Option<u32>,
+        remote_ms: Option<u32>,
         may_forward: bool,
         homes: &'static [&'static str],
-        is_away: bool,
+        is_forwarded: bool,
     }
     let (any, near, far): (&[&str], &[&str], &[&str]) = (&[], &["puget"], &["columbia"]);
     let cases = [
-        Case { engines: 1, there_ms: Some(0), may_forward: true, homes: any, is_away: false },
-        Case { engines: 0, there_ms: Some(0), may_forward: true, homes: any, is_away: true },
-        Case { engines: 0, there_ms: Some(0), may_forward: false, homes: any, is_away: false },
-        Case { engines: 0, there_ms: Some(0), may_forward: true, homes: near, is_away: false },
-        Case { engines: 1, there_ms: Some(0), may_forward: true, homes: far, is_away: true },
-        Case { engines: 0, there_ms: None, may_forward: true, homes: any, is_away: false },
+        Case { engines: 1, remote_ms: Some(0), may_forward: true, homes: any, is_forwarded: false },
+        Case { engines: 0, remote_ms: Some(0), may_forward: true, homes: any, is_forwarded: true },
+        Case {
+            engines: 0,
+            remote_ms: Some(0),
+            may_forward: false,
+            homes: any,
+            is_forwarded: false,
+        },
+        Case {
+            engines: 0,
+            remote_ms: Some(0),
+            may_forward: true,
+            homes: near,
+            is_forwarded: false,
+        },
+        Case { engines: 1, remote_ms: Some(0), may_forward: true, homes: far, is_forwarded: true },
+        Case { engines: 0, remote_ms: None, may_forward: true, homes: any, is_forwarded: false },
     ];
     for (index, case) in cases.iter().enumerate() {
         let mut scheduler = scheduler(0, 1, case.engines, 0.0);
@@ -184,20 +198,20 @@
             backends: 3,
             first_byte: FirstByteTimes::from_millis(&[first_byte_ms]),
         };
-        scheduler.set_regions(case.there_ms.into_iter().map(offer).collect());
+        scheduler.set_regions(case.remote_ms.into_iter().map(offer).collect());
         let mut route = (*route(1, 800, 10_000)).clone();
         route.homes = case.homes.iter().map(|home| region(home)).collect();
         let mut work = item(&Rc::new(route), None, at(0));
         work.may_forward = case.may_forward;
         scheduler.submit(work, at(0));
-        let verdicts = scheduler.poll(at(0));
-        let is_away = matches!(verdicts.first(), Some((_, Decision::Forward { .. })));
-        assert_eq!(is_away, case.is_away, "case {index}: {verdicts:?}");
+        let decisions = scheduler.poll(at(0));
+        let is_forwarded = matches!(decisions.first(), Some((_, Decision::Forward { .. })));
+        assert_eq!(is_forwarded, case.is_forwarded, "case {index}: {decisions:?}");
     }
 }
 
 #[test]
-fn an_overfull_region_sends_away_what_it_would_serve_too_late() {
+fn overloaded_region_forwards_late_requests() {
     let mut scheduler = scheduler(0, 1, 1, 0.0);
     scheduler.set_regions(vec![RegionInfo {
         region: region("columbia"),
@@ -206,19 +220,19 @@
         first_byte: FirstByteTimes::from_millis(&[20]),
     }]);
     let route = route(1, 800, 10_000);
-    let verdicts: Vec<_> = (0..40)
+    let decisions: Vec<_> = (0..40)
         .flat_map(|i| {
             scheduler.submit(item(&route, Some(prompt(i, 5_000, 6_000, i)), at(0)), at(0));
             scheduler.poll(at(0))
         })
-        .map(|(_, verdict)| matches!(verdict, Decision::Forward { .. }))
+        .map(|(_, decision)| matches!(decision, Decision::Forward { .. }))
         .collect();
-    assert!(!verdicts[0], "the first one is served here");
-    assert!(verdicts.iter().filter(|is_away| **is_away).count() > 25, "{verdicts:?}");
+    assert!(!decisions[0], "the first one is served here");
+    assert!(decisions.iter().filter(|is_forwarded| **is_forwarded).count() > 25, "{decisions:?}");
 }
 
 #[test]
-fn who_is_turned_away_is_told_when_to_come_back_and_not_all_at_once() {
+fn refused_callers_get_spread_retry_times() {
     let mut scheduler = scheduler(0, 1, 0, 0.0);
     let waits: BTreeSet<Duration> = (0..20)
         .filter_map(|ms| match place(&mut scheduler, at(ms)).1 {
@@ -231,9 +245,9 @@
 }
 
 #[test]
-fn the_less_urgent_wait_behind_the_more_urgent() {
+fn less_urgent_requests_wait_behind_urgent_ones() {
     let mut scheduler = scheduler(0, 1, 1, 0.0);
-    let mut small = facts(0);
+    let mut small = backend_info(0);
     small.slots = 1;
     scheduler.set_backends([small], at(0));
     let (first, _) = place(&mut scheduler, at(0));
@@ -251,12 +265,12 @@
 }
 
 #[test]
-fn what_may_run_only_once_goes_where_nothing_broke_lately() {
-    // An engine that breaks one answer in some got its full share of what can't be sent again.
+fn unrepeatable_requests_avoid_recent_failures() {
+    // Guards against placing unrepeatable requests on an engine that breaks some of its answers.
     struct Case {
         name: &'static str,
         kind: RequestKind,
-        /// When it is placed, after the break.
+        /// Time of the placement after the failure, milliseconds.
         at: u64,
         avoids: bool,
     }
@@ -274,42 +288,43 @@
         Case { name: "once only, long after", kind: stream, at: 20_000, avoids: false },
     ];
     for Case { name, kind, at: millis, avoids } in cases {
-        // Two engines: the first one breaks an answer and then gives a good one.
+        // The first of two engines breaks an answer and then gives a good one.
         let mut scheduler = scheduler(0, 1, 1, 0.0);
         for (ms, outcome) in [(0, WorkOutcome::Broken), (1_000, WorkOutcome::Answered)] {
-            let (ticket, verdict) = place(&mut scheduler, at(ms));
-            assert_eq!(sent_to(&verdict), Some("i-0"), "{name}");
+            let (ticket, decision) = place(&mut scheduler, at(ms));
+            assert_eq!(sent_to(&decision), Some("i-0"), "{name}");
             scheduler.end(ticket, outcome, at(ms + 10));
         }
-        scheduler.set_backends([facts(0), facts(1)], at(0));
-        // The other one has 200 ms of reading ahead.
+        scheduler.set_backends([backend_info(0), backend_info(1)], at(0));
+        // The other engine has 200 ms of prefill ahead.
         scheduler.note_hints(vec![sent_hint(1, 12_000, &[])], at(millis));
         let route = TrafficRoute { kind, ..(*route(1, 800, 10_000)).clone() };
         let shape = prompt(7, 500, 500, 7);
         let ticket = scheduler.submit(item(&Rc::new(route), Some(shape), at(millis)), at(millis));
-        let verdicts = scheduler.poll(at(millis));
-        let verdict = verdicts.into_iter().find(|(t, _)| *t == ticket).map(|(_, v)| v);
+        let decisions = scheduler.poll(at(millis));
+        let decision = decisions.into_iter().find(|(t, _)| *t == ticket).map(|(_, v)| v);
         let expected = if avoids { "i-1" } else { "i-0" };
-        assert_eq!(sent_to(&verdict), Some(expected), "{name}");
+        assert_eq!(sent_to(&decision), Some(expected), "{name}");
     }
 }
 
 #[test]
-fn a_run_that_starts_again_under_its_name_is_judged_anew() {
-    // Load, suspicion and held parts of a run that had crashed were taken for the next one's.
+fn new_incarnation_starts_with_a_clean_record() {
+    // Guards against attributing load, suspicion and cache contents of a crashed run to the next
+    // one.
     struct Case {
         what: &'static str,
-        /// How the send to the earlier run ends, before or after the later one is announced.
+        /// The outcome of the send to the earlier run, before or after the later one is announced.
         outcome: WorkOutcome,
         is_before: bool,
-        /// Reading that another gateway tells of as sent to the earlier run, tokens.
+        /// Prefill tokens that another gateway reports as sent to the earlier run.
         late_hint: u32,
     }
     let cases = [
         Case { what: "suspicion", outcome: WorkOutcome::Broken, is_before: true, late_hint: 0 },
         Case { what: "late failure", outcome: WorkOutcome::Broken, is_before: false, late_hint: 0 },
         Case {
-            what: "late word that another run answers there",
+            what: "late report that another run answers there",
             outcome: WorkOutcome::Misdirected,
             is_before: false,
             late_hint: 0,
@@ -323,37 +338,38 @@
     ];
     for case in cases {
         let mut scheduler = scheduler(0, 1, 1, 0.0);
-        let (ticket, verdict) = place(&mut scheduler, at(0));
-        assert_eq!(sent_to(&verdict), Some("i-0"), "{}", case.what);
+        let (ticket, decision) = place(&mut scheduler, at(0));
+        assert_eq!(sent_to(&decision), Some("i-0"), "{}", case.what);
         if case.is_before {
             scheduler.end(ticket, case.outcome, at(10));
         }
         let later = Incarnation(20);
-        scheduler.set_backends([BackendInfo { incarnation: later, ..facts(0) }], at(0));
+        scheduler.set_backends([BackendInfo { incarnation: later, ..backend_info(0) }], at(0));
         if !case.is_before {
             scheduler.end(ticket, case.outcome, at(20));
         }
         let parts = prompt(1, 5_000, 1_000, 0);
         let hint = sent_hint(0, case.late_hint, parts.shared_parts());
         scheduler.note_hints(vec![hint], at(25));
-        let (_, verdict) = place(&mut scheduler, at(30));
-        let Some(Decision::Send { expected_ms, .. }) = verdict else {
-            panic!("{}: {verdict:?}", case.what)
+        let (_, decision) = place(&mut scheduler, at(30));
+        let Some(Decision::Send { expected_ms, .. }) = decision else {
+            panic!("{}: {decision:?}", case.what)
         };
-        // All 6,000 tokens at the first guess of 60 a millisecond: it holds nothing yet, and
-        // nothing is ahead.
+        // All 6,000 tokens at the initial rate of 60 per millisecond, with nothing cached and
+        // nothing ahead.
         assert!((99.0..101.0).contains(&expected_ms), "{}: {expected_ms}", case.what);
     }
 }
 
 #[test]
-fn a_long_prompt_goes_in_front_of_urgent_ones_that_have_time() {
-    // At a peak long prompts began after seconds, while urgent ones had time left.
+fn long_prompt_overtakes_urgent_ones_that_have_time() {
+    // Guards against long prompts that begin seconds late at a peak while urgent ones have time
+    // left.
     struct Case {
         name: &'static str,
         /// The objective of the urgent route, milliseconds.
         urgent_objective: u64,
-        /// The tokens of the long prompt.
+        /// Number of tokens in the long prompt.
         tokens: u32,
         expected: u8,
     }
@@ -369,42 +385,42 @@
         scheduler.poll(at(0));
         let work = item(&route(1, 800, 10_000), Some(prompt(2, 500, tokens - 500, 2)), at(0));
         let ticket = scheduler.submit(work, at(0));
-        let verdicts = scheduler.poll(at(0));
-        let sent = verdicts.iter().find(|(t, _)| *t == ticket).map(|(_, verdict)| verdict);
+        let decisions = scheduler.poll(at(0));
+        let sent = decisions.iter().find(|(t, _)| *t == ticket).map(|(_, decision)| decision);
         let Some(Decision::Send { priority, .. }) = sent else { panic!("{name}: {sent:?}") };
         assert_eq!(*priority, expected, "{name}");
     }
 }
 
 #[test]
-fn an_engine_that_stands_still_gets_no_work() {
-    // An engine that had gone dark seemed idle, and got more work.
+fn stalled_engine_gets_no_requests() {
+    // Guards against a stalled engine that looks idle and gets more requests.
     struct Case {
         name: &'static str,
-        /// When the word of another gateway's first byte from that engine comes, if it does.
-        heard_ms: Option<u64>,
-        /// When the next request comes.
+        /// When a first-byte hint of another gateway for that engine arrives, if any.
+        hint_ms: Option<u64>,
+        /// When the next request arrives.
         at_ms: u64,
         avoids: bool,
     }
     let cases = [
-        Case { name: "at once", heard_ms: None, at_ms: 200, avoids: false },
-        Case { name: "overdue", heard_ms: None, at_ms: 1_000, avoids: true },
-        Case { name: "others are answered", heard_ms: Some(900), at_ms: 1_000, avoids: false },
+        Case { name: "at once", hint_ms: None, at_ms: 200, avoids: false },
+        Case { name: "overdue", hint_ms: None, at_ms: 1_000, avoids: true },
+        Case { name: "others are answered", hint_ms: Some(900), at_ms: 1_000, avoids: false },
     ];
-    for Case { name, heard_ms, at_ms, avoids } in cases {
+    for Case { name, hint_ms, at_ms, avoids } in cases {
         let mut scheduler = scheduler(0, 2, 1, 0.0);
-        let (_, verdict) = place(&mut scheduler, at(0));
-        assert_eq!(sent_to(&verdict), Some("i-0"), "{name}");
-        if let Some(ms) = heard_ms {
+        let (_, decision) = place(&mut scheduler, at(0));
+        assert_eq!(sent_to(&decision), Some("i-0"), "{name}");
+        if let Some(ms) = hint_ms {
             let limit = LimitUpdate { limit: None, ago_us: 0 };
             let news = RequestUpdate::Begun { ago_us: 0, load: None, limit };
             scheduler.note_hints(vec![BackendHint { news, ..sent_hint(0, 0, &[]) }], at(ms));
         }
-        // The other engine holds nothing of the prompt, so that a sound first one is preferred.
-        scheduler.set_backends([facts(0), facts(1)], at(0));
-        let (_, verdict) = place(&mut scheduler, at(at_ms));
+        // The other engine has nothing cached, so a healthy first one is preferred.
+        scheduler.set_backends([backend_info(0), backend_info(1)], at(0));
+        let (_, decision) = place(&mut scheduler, at(at_ms));
         let expected = if avoids { "i-1" } else { "i-0" };
-        assert_eq!(sent_to(&verdict), Some(expected), "{name}");
+        assert_eq!(sent_to(&decision), Some(expected), "{name}");
     }
 }
--- a/crates/dispatch/tests/silence.rs
+++ b/crates/dispatch/tests/silence.rs
@@ -1,4 +1,4 @@
-//! What is done about a run from which nothing comes.
+//! Actions on a run that produces no output.
 
 use {
     gullglade_dispatch::{SilenceAction, SilentRun},
@@ -9,7 +9,7 @@
     Duration::from_millis(millis)
 }
 
-/// A run whose patience is over, at a backend server that is silent to all.
+/// A run whose timeout has passed, at a backend server that is silent to all gateways.
 const DUE: SilentRun = SilentRun {
     silence: ms(1_200),
     timeout: ms(1_200),
@@ -21,25 +21,25 @@
     searched_ago: Duration::ZERO,
 };
 
-/// The same, at a backend server that answers others, for a while longer.
+/// The same at a backend server that answers other requests, with a longer timeout.
 const AT_WORK: SilentRun = SilentRun { is_at_work: true, busy_timeout: Some(ms(2_400)), ..DUE };
 
 #[test]
-fn a_run_at_work_or_without_a_successor_is_waited_for() {
-    // Streams were ended after a pause while their backend servers were at work on them.
+fn working_or_irreplaceable_run_is_waited_for() {
+    // Guards against ending a stream after a pause while its backend server is working on it.
     struct Case {
         what: &'static str,
         run: SilentRun,
-        step: SilenceAction,
+        action: SilenceAction,
     }
     let wait = |millis| SilenceAction::Wait(ms(millis));
-    let case = |what, run, step| Case { what, run, step };
+    let case = |what, run, action| Case { what, run, action };
     let cases = [
         case("nothing came for the usual time", DUE, SilenceAction::Search),
         case("far longer", SilentRun { silence: ms(9_000), ..DUE }, SilenceAction::Search),
         case("not yet", SilentRun { silence: ms(1_199), ..DUE }, wait(1)),
         case("something just came", SilentRun { silence: ms(0), ..DUE }, wait(1_200)),
-        case("no patience", SilentRun { silence: ms(0), timeout: ms(0), ..DUE }, {
+        case("zero timeout", SilentRun { silence: ms(0), timeout: ms(0), ..DUE }, {
             SilenceAction::Search
         }),
         case("its server answers others", SilentRun { is_at_work: true, ..DUE }, wait(100)),
@@ -49,7 +49,7 @@
             wait(100),
         ),
         case(
-            "the same, to the end of its time",
+            "the same, shortly before the request expires",
             SilentRun { is_at_work: true, left: ms(30), ..DUE },
             wait(30),
         ),
@@ -59,27 +59,27 @@
             wait(1_000),
         ),
         case(
-            "its server answers others, and it was waited for nearly as long as such ones are",
+            "its server answers others, and the longer timeout has nearly passed",
             SilentRun { silence: ms(2_399), ..AT_WORK },
             wait(100),
         ),
         case(
-            "its server answers others, and it hangs",
+            "its server answers others, and the longer timeout has passed",
             SilentRun { silence: ms(2_400), ..AT_WORK },
             SilenceAction::Search,
         ),
         case(
-            "nothing may follow it",
+            "it may not be replaced",
             SilentRun { may_be_replaced: false, silence: ms(9_000), ..DUE },
             wait(20_000),
         ),
         case(
-            "nothing may follow it, and its server answers others",
+            "it may not be replaced, and its server answers others",
             SilentRun { may_be_replaced: false, is_at_work: true, ..DUE },
             wait(20_000),
         ),
         case(
-            "its time ends before its patience",
+            "the request expires before its timeout",
             SilentRun { silence: ms(0), left: ms(700), ..DUE },
             wait(700),
         ),
@@ -104,17 +104,17 @@
             wait(100),
         ),
         case(
-            "a search has just failed, near the end of its time",
+            "a search has just failed, shortly before the request expires",
             SilentRun { searches: 4, left: ms(90), ..DUE },
             wait(90),
         ),
     ];
-    for Case { what, run, step } in cases {
-        assert_eq!(run.next_action(), step, "{what}: {run:?}");
+    for Case { what, run, action } in cases {
+        assert_eq!(run.next_action(), action, "{what}: {run:?}");
     }
 }
 
-/// Every combination of some values of all facts.
+/// Returns all combinations of some values of the fields.
 fn all_runs() -> impl Iterator<Item = SilentRun> {
     let times = [0, 1, 99, 100, 250, 1_199, 1_200, 1_201, 5_000].map(ms);
     let flags = [false, true];
@@ -142,8 +142,8 @@
 }
 
 #[test]
-fn every_wait_is_within_the_time_that_is_left_and_not_empty() {
-    // A gateway that waits for no time at all looks at a silent run again and again.
+fn waits_are_nonzero_and_within_the_remaining_time() {
+    // Guards against busy loops: a gateway with a wait of zero checks a silent run again and again.
     for run in all_runs() {
         match run.next_action() {
             SilenceAction::Wait(wait) => {
@@ -158,50 +158,54 @@
     }
 }
 
-/// What a run did that was silent for `lasts`, whose searches all fail after `search`.
-struct SilencePlay {
+/// The actions on a run that is silent for `lasts`, whose searches all fail after `search`.
+struct SilenceCounts {
     searches: u32,
     steps: u32,
 }
 
-fn play(lasts: Duration, search: Duration, at_work: impl Fn(Duration) -> bool) -> SilencePlay {
-    let mut played = SilencePlay { searches: 0, steps: 0 };
+fn simulate(
+    lasts: Duration,
+    search: Duration,
+    at_work: impl Fn(Duration) -> bool,
+) -> SilenceCounts {
+    let mut counts = SilenceCounts { searches: 0, steps: 0 };
     let (mut now, mut searched) = (Duration::ZERO, Duration::ZERO);
     while now < lasts {
         let run = SilentRun {
             silence: now,
             is_at_work: at_work(now),
             left: lasts - now,
-            searches: played.searches,
+            searches: counts.searches,
             searched_ago: now - searched,
             ..DUE
         };
-        played.steps += 1;
+        counts.steps += 1;
         match run.next_action() {
             SilenceAction::Wait(wait) => now += wait,
             SilenceAction::Search => {
                 now += search;
                 searched = now;
-                played.searches += 1;
+                counts.searches += 1;
             }
         }
     }
-    played
+    counts
 }
 
 #[test]
-fn a_silent_run_causes_few_searches() {
-    // Searches that fail would be repeated each millisecond.
+fn silent_run_causes_few_searches() {
+    // Guards against repeating failed searches every millisecond.
     const LASTS: Duration = Duration::from_secs(10);
-    const MOST_SEARCHES: u32 = 20;
+    const MAX_SEARCHES: u32 = 20;
     for search in [0, 1, 110, 600, 3_000].map(ms) {
-        let silent = play(LASTS, search, |_| false);
-        assert!((1..=MOST_SEARCHES).contains(&silent.searches), "{search:?}: {}", silent.searches);
-        let flickers = play(LASTS, search, |now| now.as_millis() % 300 < 150);
-        assert!(flickers.searches <= MOST_SEARCHES, "{search:?}: {}", flickers.searches);
-        assert!(flickers.steps <= 10 * MOST_SEARCHES, "{search:?}: {} steps", flickers.steps);
+        let silent = simulate(LASTS, search, |_| false);
+        assert!((1..=MAX_SEARCHES).contains(&silent.searches), "{search:?}: {}", silent.searches);
+        let flickers = simulate(LASTS, search, |now| now.as_millis() % 300 < 150);
+        assert!(flickers.searches <= MAX_SEARCHES, "{search:?}: {}", flickers.searches);
+        assert!(flickers.steps <= 10 * MAX_SEARCHES, "{search:?}: {} steps", flickers.steps);
     }
-    let at_work = play(LASTS, Duration::ZERO, |_| true);
+    let at_work = simulate(LASTS, Duration::ZERO, |_| true);
     assert_eq!(at_work.searches, 0);
-    assert!(at_work.steps <= 100, "{} looks in {LASTS:?}", at_work.steps);
+    assert!(at_work.steps <= 100, "{} steps in {LASTS:?}", at_work.steps);
 }
--- a/crates/dispatch/tests/stall.rs
+++ b/crates/dispatch/tests/stall.rs
@@ -1,14 +1,16 @@
-//! What is known of when requests were sent that are read after a stall.
+//! Bounds on the send time of requests that are read after a stall.
 
 use {gullglade_dispatch::StallDetector, gullglade_units::MonotonicTime, std::time::Duration};
 
-/// Requests that had waited for a gateway that stood still were taken for requests of now.
+/// Guards against treating requests that waited for a stalled gateway as sent at the time of
+/// reading.
 #[test]
-fn requests_that_are_read_after_a_stall_may_be_as_old_as_the_stall() {
+fn requests_read_after_a_stall_may_be_as_old_as_the_stall() {
     struct Case {
         what: &'static str,
         checks: &'static [u64],
-        /// When requests are read, and the earliest time at which they may have been sent.
+        /// Times at which requests are read, with the earliest time at which they may have been
+        /// sent.
         reads: &'static [(u64, u64)],
     }
     let cases = [
--- a/crates/dispatch/tests/support/backoff_play.rs
+++ b/crates/dispatch/tests/support/backoff_simulation.rs
@@ -1,9 +1,10 @@
-//! Gateways of one region before engines that reject work and request a back-off.
+//! Simulation of the gateways of one region and engines that reject requests and request a
+//! back-off.
 
 use {
     super::{
-        at, backend_index, chances, count_within, facts, item, most_within, prompt, route,
-        scheduler,
+        arrival_chances, at, backend_index, backend_info, count_within, item, max_within, prompt,
+        route, scheduler,
     },
     gullglade_dispatch::{
         BackendHint, BackendStatements, Decision, Scheduler, StatedBackoff, TicketId, WorkItem,
@@ -16,21 +17,21 @@
 
 const STEP_MS: u64 = 5;
 const SLOTS: usize = 32;
-/// The most gateways that one tells its news to.
-const AUDIENCE: usize = 40;
-/// Sends that were on their way when the back-off was requested are not counted.
-const ON_THE_WAY_MS: u64 = 500;
-/// The most sends of one request.
-const MOST_SENDS: u32 = 4;
-/// From the end of a phase on, the span whose arrivals are looked at.
-const RETURN_MS: u64 = 1_000;
+/// The maximum number of gateways that a gateway sends its hints to.
+const HINT_FANOUT: usize = 40;
+/// Sends in transit when the back-off was requested are not counted.
+const IN_TRANSIT_MS: u64 = 500;
+/// The maximum number of sends per request.
+const MAX_SENDS: u32 = 4;
+/// The time after the end of a phase over which arrivals are counted.
+const RECOVERY_WINDOW_MS: u64 = 1_000;
 
-/// A time in which an engine turns everything away.
+/// A period in which an engine rejects all requests.
 #[derive(Clone, Debug)]
 pub(crate) struct RejectPhase {
     pub(crate) engine: usize,
     pub(crate) during: Range<u64>,
-    /// What it asks for with each rejection, if it does.
+    /// The back-off that it requests with each rejection, if any.
     pub(crate) backoff_ms: Option<u64>,
 }
 
@@ -38,26 +39,27 @@
 pub(crate) struct BackoffScenario {
     pub(crate) gateways: usize,
     pub(crate) engines: usize,
-    /// Requests a second at each gateway.
+    /// Requests per second at each gateway.
     pub(crate) per_second: f64,
-    /// How long a request may take.
+    /// The timeout of a request.
     pub(crate) timeout_ms: u64,
-    /// How long an engine works on one.
+    /// Service time of a request.
     pub(crate) work_ms: u64,
     pub(crate) phases: Vec<RejectPhase>,
     pub(crate) length_ms: u64,
-    /// The longest way to an engine.
+    /// The maximum one-way delay to an engine.
     pub(crate) link_ms: u64,
-    /// The part of the notices that get lost.
+    /// The share of hints that are lost.
     pub(crate) lost: f64,
-    /// Gateways that start again, and when.
+    /// Gateways that restart, with the time.
     pub(crate) restarts: Vec<(usize, u64)>,
-    /// Engines whose announcements fail to arrive for a while, and when.
+    /// Engines whose announcements are lost for a period.
     pub(crate) unannounced: Vec<(usize, Range<u64>)>,
 }
 
 impl BackoffScenario {
-    /// Three gateways and four engines of which two request a back-off of three seconds, for six.
+    /// Three gateways and four engines, of which two request a back-off of three seconds for six
+    /// seconds.
     pub(crate) fn small() -> Self {
         let phase = |engine| RejectPhase { engine, during: 4_000..10_000, backoff_ms: Some(3_000) };
         Self {
@@ -76,27 +78,27 @@
     }
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 pub(crate) struct BackoffOutcome {
-    /// The most requests from one gateway to one engine in a back-off that the engine had
-    /// requested of it, but for those on their way.
+    /// The most requests from one gateway to one engine during a back-off that the engine had
+    /// requested of it, except for those in transit.
     pub(crate) most_in_backoff: usize,
-    pub(crate) asked: usize,
+    pub(crate) submitted: usize,
     pub(crate) served: usize,
     pub(crate) rejections: usize,
     pub(crate) refused: usize,
-    /// The longest that a request was held before it was turned away.
-    pub(crate) longest_hold_ms: u64,
-    /// Of refusals while all engines turn everything away: the times after which to come back.
+    /// The longest time between the arrival and the refusal of a request.
+    pub(crate) max_queue_time_ms: u64,
+    /// Retry times of refusals while all engines reject requests.
     pub(crate) retries_ms: Vec<u64>,
-    /// The most arrivals in 50 ms at one engine in the second after a phase.
+    /// The most arrivals within 50 ms at one engine in the second after a phase.
     pub(crate) burst: usize,
-    /// Arrivals at the engines of phases in the second after the phase.
+    /// Arrivals at the engines of all phases in the second after each phase.
     pub(crate) returned: usize,
 }
 
-struct Travel {
+struct Message {
     due_ms: u64,
     gateway: usize,
     run: u32,
@@ -118,20 +120,20 @@
 }
 
 struct Caller {
-    asked_ms: u64,
+    submitted_ms: u64,
     sends: u32,
     work: WorkItem,
 }
 
-pub(crate) struct BackoffPlay<'a> {
+pub(crate) struct BackoffSimulation<'a> {
     scenario: &'a BackoffScenario,
     random: SeededRandom,
     route: Rc<TrafficRoute>,
     gateways: Vec<Scheduler>,
-    /// How often each gateway has started.
+    /// Number of restarts of each gateway.
     runs: Vec<u32>,
     callers: HashMap<(usize, TicketId), Caller>,
-    travels: Vec<Travel>,
+    messages: Vec<Message>,
     running: Vec<usize>,
     hints: Vec<(u64, usize, Vec<BackendHint>)>,
     arrivals: Vec<(u64, usize, usize)>,
@@ -140,7 +142,7 @@
     now_ms: u64,
 }
 
-impl<'a> BackoffPlay<'a> {
+impl<'a> BackoffSimulation<'a> {
     pub(crate) fn new(scenario: &'a BackoffScenario, seed: u64) -> Self {
         let BackoffScenario { gateways: count, engines, timeout_ms, .. } = *scenario;
         Self {
@@ -150,7 +152,7 @@
             gateways: (0..count).map(|index| scheduler(index, count, engines, 0.0)).collect(),
             runs: vec![0; count],
             callers: HashMap::new(),
-            travels: Vec::new(),
+            messages: Vec::new(),
             running: vec![0; engines],
             hints: Vec::new(),
             arrivals: Vec::new(),
@@ -160,16 +162,16 @@
         }
     }
 
-    pub(crate) fn play(mut self) -> BackoffOutcome {
+    pub(crate) fn simulate(mut self) -> BackoffOutcome {
         while self.now_ms < self.scenario.length_ms {
             self.restart_gateways();
             self.announce();
-            self.take_requests();
-            self.take_travels();
+            self.submit_requests();
+            self.deliver_messages();
             for gateway in 0..self.gateways.len() {
                 self.decide(gateway);
             }
-            self.tell_neighbours();
+            self.send_hints();
             self.now_ms += STEP_MS;
         }
         self.finish()
@@ -180,11 +182,11 @@
         phases.find(|phase| phase.engine == engine && phase.during.contains(&self.now_ms))
     }
 
-    fn is_nobody_taking(&self) -> bool {
+    fn are_all_rejecting(&self) -> bool {
         (0..self.scenario.engines).all(|engine| self.phase(engine).is_some())
     }
 
-    /// A gateway that starts again knows nothing, and nothing was requested of it.
+    /// A restarted gateway knows nothing, and back-offs requested before do not apply to it.
     fn restart_gateways(&mut self) {
         let BackoffScenario { gateways: count, engines, .. } = *self.scenario;
         for (index, _) in self.scenario.restarts.iter().filter(|(_, ms)| *ms == self.now_ms) {
@@ -207,19 +209,19 @@
         };
         for gateway in &mut self.gateways {
             let engines = (0..self.scenario.engines).filter(is_known);
-            gateway.set_backends(engines.map(facts), at(now_ms));
+            gateway.set_backends(engines.map(backend_info), at(now_ms));
         }
     }
 
-    fn take_requests(&mut self) {
+    fn submit_requests(&mut self) {
         let now = at(self.now_ms);
         for index in 0..self.gateways.len() {
-            for chance in chances(self.scenario.per_second * STEP_MS as f64 / 1_000.0) {
+            for chance in arrival_chances(self.scenario.per_second * STEP_MS as f64 / 1_000.0) {
                 if self.random.unit() < chance {
                     let number = self.random.below(1 << 40);
                     let work = item(&self.route, Some(prompt(number % 40, 200, 300, number)), now);
-                    self.outcome.asked += 1;
-                    self.submit(index, Caller { asked_ms: self.now_ms, sends: 0, work });
+                    self.outcome.submitted += 1;
+                    self.submit(index, Caller { submitted_ms: self.now_ms, sends: 0, work });
                 }
             }
         }
@@ -231,22 +233,22 @@
     }
 
     fn decide(&mut self, gateway: usize) {
-        for (ticket, verdict) in self.gateways[gateway].poll(at(self.now_ms)) {
+        for (ticket, decision) in self.gateways[gateway].poll(at(self.now_ms)) {
             let Some(caller) = self.callers.get_mut(&(gateway, ticket)) else { continue };
-            match verdict {
+            match decision {
                 Decision::Send { run, .. } => {
                     caller.sends += 1;
                     let engine = backend_index(&run.backend);
-                    let due_ms = self.now_ms + self.way_ms();
-                    self.travel(due_ms, gateway, engine, ticket, Step::Arrive);
+                    let due_ms = self.now_ms + self.link_delay_ms();
+                    self.message(due_ms, gateway, engine, ticket, Step::Arrive);
                 }
                 Decision::Forward { .. } => unreachable!("no other region is known"),
                 Decision::Refuse { retry_after, .. } => {
-                    let held = self.now_ms - caller.asked_ms;
+                    let held = self.now_ms - caller.submitted_ms;
                     self.callers.remove(&(gateway, ticket));
                     self.outcome.refused += 1;
-                    self.outcome.longest_hold_ms = self.outcome.longest_hold_ms.max(held);
-                    if self.is_nobody_taking() {
+                    self.outcome.max_queue_time_ms = self.outcome.max_queue_time_ms.max(held);
+                    if self.are_all_rejecting() {
                         self.outcome.retries_ms.push(retry_after.as_millis() as u64);
                     }
                 }
@@ -254,25 +256,32 @@
         }
     }
 
-    fn way_ms(&self) -> u64 {
+    fn link_delay_ms(&self) -> u64 {
         1 + self.random.below(self.scenario.link_ms)
     }
 
-    fn travel(&mut self, due_ms: u64, gateway: usize, engine: usize, ticket: TicketId, what: Step) {
+    fn message(
+        &mut self,
+        due_ms: u64,
+        gateway: usize,
+        engine: usize,
+        ticket: TicketId,
+        what: Step,
+    ) {
         let run = self.runs[gateway];
-        self.travels.push(Travel { due_ms, gateway, run, engine, ticket, what });
+        self.messages.push(Message { due_ms, gateway, run, engine, ticket, what });
     }
 
-    fn take_travels(&mut self) {
+    fn deliver_messages(&mut self) {
         let now_ms = self.now_ms;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.travels).into_iter().partition(|t| t.due_ms <= now_ms);
-        self.travels = later;
-        for travel in due {
-            match travel.what {
-                Step::Arrive => self.arrive(&travel),
+            std::mem::take(&mut self.messages).into_iter().partition(|t| t.due_ms <= now_ms);
+        self.messages = later;
+        for message in due {
+            match message.what {
+                Step::Arrive => self.arrive(&message),
                 Step::Answer(stated, outcome) => {
-                    let Travel { gateway, run, engine, ticket, .. } = travel;
+                    let Message { gateway, run, engine, ticket, .. } = message;
                     if outcome == WorkOutcome::Answered {
                         self.running[engine] -= 1;
                     }
@@ -284,8 +293,8 @@
         }
     }
 
-    fn arrive(&mut self, travel: &Travel) {
-        let Travel { gateway, engine, ticket, run, .. } = *travel;
+    fn arrive(&mut self, message: &Message) {
+        let Message { gateway, engine, ticket, run, .. } = *message;
         self.arrivals.push((self.now_ms, gateway, engine));
         let phase = self.phase(engine).cloned();
         let (stated, outcome, work_ms) = match phase {
@@ -293,7 +302,7 @@
                 let backoff = backoff_ms.map(|ms| StatedBackoff::try_from(ms as f64 / 1_000.0));
                 let backoff = backoff.map(|backoff| backoff.expect("a time"));
                 if let Some(backoff_ms) = backoff_ms.filter(|_| run == self.runs[gateway]) {
-                    let during = self.now_ms + ON_THE_WAY_MS..self.now_ms + backoff_ms;
+                    let during = self.now_ms + IN_TRANSIT_MS..self.now_ms + backoff_ms;
                     self.requested.push(RequestedBackoff { gateway, engine, during });
                 }
                 let stated = BackendStatements { backoff, ..BackendStatements::default() };
@@ -308,9 +317,9 @@
                 (stated, WorkOutcome::Answered, self.scenario.work_ms)
             }
         };
-        let due_ms = self.now_ms + work_ms + self.way_ms();
+        let due_ms = self.now_ms + work_ms + self.link_delay_ms();
         let what = Step::Answer(stated, outcome);
-        self.travels.push(Travel { due_ms, gateway, run, engine, ticket, what });
+        self.messages.push(Message { due_ms, gateway, run, engine, ticket, what });
     }
 
     fn answer(
@@ -333,23 +342,23 @@
             _ => {
                 self.outcome.rejections += 1;
                 caller.work.is_new = false;
-                if caller.sends < MOST_SENDS {
+                if caller.sends < MAX_SENDS {
                     self.submit(gateway, caller);
                 }
             }
         }
     }
 
-    fn tell_neighbours(&mut self) {
+    fn send_hints(&mut self) {
         let count = self.gateways.len();
         for from in 0..count {
             let hints = self.gateways[from].take_hints(at(self.now_ms));
             if hints.is_empty() {
                 continue;
             }
-            for step in 1..=AUDIENCE.min(count - 1) {
+            for step in 1..=HINT_FANOUT.min(count - 1) {
                 if self.random.unit() >= self.scenario.lost {
-                    let due_ms = self.now_ms + 10 + self.way_ms();
+                    let due_ms = self.now_ms + 10 + self.link_delay_ms();
                     self.hints.push((due_ms, (from + step) % count, hints.clone()));
                 }
             }
@@ -372,10 +381,11 @@
             let there = self.arrivals.iter().filter(|(_, _, e)| e == engine);
             let times: Vec<u64> = there.map(|(ms, ..)| *ms).collect();
             let end = during.end;
-            let back = times.iter().copied().filter(|ms| (end..end + RETURN_MS).contains(ms));
+            let back =
+                times.iter().copied().filter(|ms| (end..end + RECOVERY_WINDOW_MS).contains(ms));
             let back: Vec<u64> = back.collect();
-            self.outcome.burst = self.outcome.burst.max(most_within(&back, 50));
-            self.outcome.returned += count_within(&times, end, RETURN_MS);
+            self.outcome.burst = self.outcome.burst.max(max_within(&back, 50));
+            self.outcome.returned += count_within(&times, end, RECOVERY_WINDOW_MS);
         }
         self.outcome
     }
--- a/crates/dispatch/tests/support/deployment.rs
+++ b/crates/dispatch/tests/support/deployment.rs
@@ -1,8 +1,11 @@
-//! A deployment of several regions in virtual time: callers, gateways that tell each other what
-//! they send, engines, and work that leaves its region.
+//! Simulation of a deployment of several regions in virtual time: callers, gateways that exchange
+//! hints, engines, and forwarding between regions.
 
 use {
-    super::{at, backend, engine::EngineModel, facts, gateway, play::Play, region, route, service},
+    super::{
+        at, backend, backend_info, engine::EngineModel, gateway, region, route, service,
+        simulation::Simulation,
+    },
     gullglade_dispatch::{BackendInfo, Scheduler, SchedulerSettings},
     gullglade_traffic::{ColdRules, EngineProfile, RequestKind, ServicePool, TrafficRoute},
     gullglade_units::Incarnation,
@@ -15,7 +18,7 @@
     pub(crate) name: &'static str,
     pub(crate) gateways: usize,
     pub(crate) engines: usize,
-    /// Requests a second, by second; the last one stays.
+    /// Requests per second, by second of the simulation. The last value applies to the rest.
     pub(crate) per_second: Vec<f64>,
 }
 
@@ -23,59 +26,63 @@
 #[derive(Clone)]
 pub(crate) struct KindModel {
     pub(crate) route: Rc<TrafficRoute>,
-    /// Its part of all requests.
+    /// Its share of all requests.
     pub(crate) share: f64,
-    /// Shared parts: how many different ones, and their mean tokens.
+    /// The shared parts: number of distinct parts, and their mean length in tokens.
     pub(crate) chain: Vec<(u64, f64)>,
-    /// The mean and the spread of the prompt's own tokens, and the most.
+    /// Mean, spread and maximum of the unshared tokens of the prompt.
     pub(crate) own: (f64, f64, f64),
-    /// The mean and the spread of events of an answer, and the most.
+    /// Mean, spread and maximum of the number of events of an answer.
     pub(crate) events: (f64, f64, f64),
     pub(crate) worth: f64,
     pub(crate) late_worth: f64,
 }
 
-/// What became of one kind of request.
+/// The results for one kind of request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KindOutcome {
-    pub(crate) asked: usize,
+    pub(crate) submitted: usize,
     pub(crate) in_time: usize,
     pub(crate) late_first: usize,
     pub(crate) late_pause: usize,
     pub(crate) refused: usize,
     pub(crate) failed: usize,
-    pub(crate) away: usize,
+    pub(crate) forwarded: usize,
     pub(crate) owed: f64,
     pub(crate) earned: f64,
-    /// The same of the largest tenth.
+    /// The same for the largest tenth of the requests.
     pub(crate) large_owed: f64,
     pub(crate) large_earned: f64,
-    pub(crate) misses_ms: Vec<f64>,
+    pub(crate) prediction_errors_ms: Vec<f64>,
 }
 
 impl KindOutcome {
-    /// The part `part` of its first bytes came later than expected by less than this, milliseconds.
-    pub(crate) fn miss_ms(&self, part: f64) -> f64 {
-        let mut misses = self.misses_ms.clone();
-        misses.sort_by(f64::total_cmp);
-        misses[((misses.len() - 1) as f64 * part) as usize]
+    /// Returns the quantile `part` of the delay of first bytes beyond the prediction, milliseconds.
+    pub(crate) fn prediction_error_ms(&self, part: f64) -> f64 {
+        let mut errors = self.prediction_errors_ms.clone();
+        errors.sort_by(f64::total_cmp);
+        errors[((errors.len() - 1) as f64 * part) as usize]
     }
 }
 
 impl fmt::Display for KindOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { asked, in_time, late_first, late_pause, refused, failed, away, .. } = self;
-        write!(f, "{asked} asked, {in_time} in time, late by first byte {late_first}, ")?;
-        write!(f, "by a pause {late_pause}, {refused} refused, {failed} failed, {away} away")
+        let Self { submitted, in_time, late_first, late_pause, refused, failed, forwarded, .. } =
+            self;
+        write!(f, "{submitted} submitted, {in_time} in time, late by first byte {late_first}, ")?;
+        write!(
+            f,
+            "by a pause {late_pause}, {refused} refused, {failed} failed, {forwarded} forwarded"
+        )
     }
 }
 
-/// Engines that crash and come back.
+/// A crash of engines that restart later.
 #[derive(Clone, Copy)]
 pub(crate) struct CrashModel {
     pub(crate) at_ms: u64,
     pub(crate) for_ms: u64,
-    /// One engine in so many.
+    /// One in this number of engines crashes.
     pub(crate) every: usize,
 }
 
@@ -91,14 +98,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
     pub(crate) kinds: Vec<KindOutcome>,
-    /// Millions of tokens read, and of shared parts that some engine had read before.
-    pub(crate) read: f64,
-    pub(crate) read_again: f64,
-    /// Worth earned of what was owed, by two seconds of arrival.
+    /// Millions of prefill tokens in total, and of shared parts processed before by some engine.
+    pub(crate) prefilled: f64,
+    pub(crate) repeated_prefill: f64,
+    /// Worth earned and worth owed, per two seconds of arrival.
     pub(crate) windows: Vec<(f64, f64)>,
     pub(crate) by_region: Vec<(f64, f64)>,
-    /// The part of each region's engines' time that they read.
-    pub(crate) reading: Vec<f64>,
+    /// The share of time that the engines of each region spend on prefill.
+    pub(crate) prefill_share: Vec<f64>,
 }
 
 impl Outcome {
@@ -142,23 +149,23 @@
         self.regions[..region_index].iter().map(|r| r.gateways).sum()
     }
 
-    pub(super) fn engine_facts(&self, index: usize, run: u64, cold_until: u64) -> BackendInfo {
+    pub(super) fn engine_info(&self, index: usize, run: u64, cold_until: u64) -> BackendInfo {
         BackendInfo {
             name: backend(index),
             incarnation: Incarnation(run),
             slots: self.engine.slots as u32,
             address: ([10, 0, 1, index as u8], 8_080).into(),
             cold_until: at(cold_until),
-            ..facts(0)
+            ..backend_info(0)
         }
     }
 
-    pub(crate) fn play(&self) -> Outcome {
-        Play::new(self).play()
+    pub(crate) fn simulate(&self) -> Outcome {
+        Simulation::new(self).simulate()
     }
 }
 
-/// A route of streams.
+/// Returns a route of streams.
 pub(crate) fn stream_route(
     priority: u8,
     objective: u64,
--- a/crates/dispatch/tests/support/engine.rs
+++ b/crates/dispatch/tests/support/engine.rs
@@ -1,52 +1,53 @@
-//! A model engine in virtual time that reads prompts in chunks between the tokens of what runs.
+//! Model of an engine in virtual time with chunked prefill between the tokens of running
+//! generations.
 
 use {
     gullglade_dispatch::{PromptPart, PromptShape, TicketId},
     std::collections::HashMap,
 };
 
-/// How an engine works.
+/// Parameters of an engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineModel {
     pub(crate) slots: usize,
     pub(crate) memory_tokens: u64,
-    /// A step without reading, milliseconds: in all, for each request that generates, and for each
-    /// thousand tokens that those refer to.
+    /// Duration of a step without prefill, milliseconds: fixed part, per generating request, and
+    /// per thousand tokens of their contexts.
     pub(crate) step_ms: f64,
     pub(crate) slot_ms: f64,
     pub(crate) context_ms: f64,
-    /// Prompt tokens read in a millisecond, and at most in one step.
-    pub(crate) read_rate: f64,
+    /// Prefill tokens per millisecond, and the maximum per step.
+    pub(crate) prefill_rate: f64,
     pub(crate) chunk: f64,
-    /// What a million pairs of a token that is read and one before it add, milliseconds.
-    pub(crate) pairs_ms: f64,
+    /// Attention cost of a million pairs of a prefill token and an earlier token, milliseconds.
+    pub(crate) attention_ms: f64,
     pub(crate) tokens_per_event: u32,
-    /// Tokens copied from another engine in a millisecond.
+    /// Tokens copied from another engine per millisecond.
     pub(crate) copy_rate: f64,
 }
 
-/// Whose request it is: the gateway and its ticket.
+/// The gateway of a request and its ticket.
 pub(crate) type Owner = (usize, TicketId);
 
-/// One request at an engine.
+/// A request at an engine.
 #[derive(Clone, Debug)]
 struct Job {
     owner: Owner,
     priority: u8,
     order: u64,
     parts: Vec<PromptPart>,
-    /// The tokens in memory, once they are read.
+    /// Number of tokens in memory after the prefill.
     context: f64,
     unread: f64,
-    /// It copies until then.
+    /// The end of its copy.
     copies_until: f64,
     answer_left: u32,
-    made: u32,
+    generated: u32,
 }
 
-/// Something that a gateway sees.
+/// An event that the gateway observes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum EngineNews {
+pub(crate) enum EngineEvent {
     Event { owner: Owner, at: f64 },
     End { owner: Owner, at: f64 },
 }
@@ -57,12 +58,12 @@
     batch: Vec<Job>,
     held: HashMap<u64, (u32, f64)>,
     step_end: f64,
-    /// Prompt tokens that the step reads, by owner.
+    /// Prefill tokens of the current step, by owner.
     reading: Vec<(Owner, f64)>,
     is_stepping: bool,
-    orders: u64,
-    /// Tokens read, of all and of shared parts.
-    pub(crate) read_tokens: f64,
+    next_order: u64,
+    /// Total prefill tokens, including those of shared parts.
+    pub(crate) prefill_tokens: f64,
     pub(crate) busy_ms: f64,
 }
 
@@ -76,24 +77,24 @@
             step_end: 0.0,
             reading: Vec::new(),
             is_stepping: false,
-            orders: 0,
-            read_tokens: 0.0,
+            next_order: 0,
+            prefill_tokens: 0.0,
             busy_ms: 0.0,
         }
     }
 
-    /// The load that it states: requests that run, and those that wait.
+    /// Returns the numbers of running and of queued requests.
     pub(crate) fn load(&self) -> (u32, u32) {
         (self.batch.len() as u32, self.waiting.len() as u32)
     }
 
-    /// The tokens at the beginning of a prompt that it holds.
+    /// Returns the number of leading prompt tokens that are cached.
     pub(crate) fn held_tokens(&self, shape: &PromptShape) -> u32 {
         let held = shape.shared_parts().iter().take_while(|p| self.held.contains_key(&p.id));
         held.map(|p| p.tokens).sum()
     }
 
-    /// Takes a request; `copied`: tokens that it copies from another engine.
+    /// Queues a request, of which `copied` tokens are copied from another engine.
     pub(crate) fn take(
         &mut self,
         owner: Owner,
@@ -103,32 +104,32 @@
         copied: u32,
         now: f64,
     ) {
-        self.orders += 1;
+        self.next_order += 1;
         let held = self.held_tokens(shape);
         let unread = shape.prompt_tokens.saturating_sub(held + copied);
         self.waiting.push(Job {
             owner,
             priority,
-            order: self.orders,
+            order: self.next_order,
             parts: shape.shared_parts().to_vec(),
             context: f64::from(shape.prompt_tokens),
             unread: f64::from(unread).max(1.0),
             copies_until: now + f64::from(copied) / self.model.copy_rate.max(1.0),
             answer_left: answer.max(1),
-            made: 0,
+            generated: 0,
         });
         if !self.is_stepping {
             self.step_end = now;
         }
     }
 
-    /// Its caller has gone.
+    /// Drops a request whose caller has left.
     pub(crate) fn cancel(&mut self, owner: Owner) {
         self.waiting.retain(|j| j.owner != owner);
         self.batch.retain(|j| j.owner != owner);
     }
 
-    /// Loses everything; whose requests it had.
+    /// Drops all state and returns the owners of the lost requests.
     pub(crate) fn crash(&mut self) -> Vec<Owner> {
         let lost = self.waiting.drain(..).chain(self.batch.drain(..)).map(|j| j.owner).collect();
         self.held.clear();
@@ -136,12 +137,12 @@
         lost
     }
 
-    /// Works until `now`.
-    pub(crate) fn advance(&mut self, now: f64) -> Vec<EngineNews> {
-        let mut news = Vec::new();
+    /// Runs the engine until `now`.
+    pub(crate) fn advance(&mut self, now: f64) -> Vec<EngineEvent> {
+        let mut events = Vec::new();
         while self.step_end <= now {
             if self.is_stepping {
-                self.finish_step(&mut news);
+                self.finish_step(&mut events);
             }
             self.is_stepping = self.begin_step();
             if !self.is_stepping {
@@ -149,7 +150,7 @@
                 break;
             }
         }
-        news
+        events
     }
 
     fn admit(&mut self) {
@@ -206,27 +207,27 @@
         let took = model.step_ms
             + model.slot_ms * running.len() as f64
             + model.context_ms * contexts / 1_000.0
-            + read / model.read_rate
-            + pairs / 1e6 * model.pairs_ms;
-        self.read_tokens += read;
+            + read / model.prefill_rate
+            + pairs / 1e6 * model.attention_ms;
+        self.prefill_tokens += read;
         self.busy_ms += if read > 0.0 { took } else { 0.0 };
         self.step_end += took;
         true
     }
 
-    fn finish_step(&mut self, news: &mut Vec<EngineNews>) {
+    fn finish_step(&mut self, events: &mut Vec<EngineEvent>) {
         let at = self.step_end;
         let mut begun = Vec::new();
         for job in &mut self.batch {
             if job.unread <= 0.0 {
-                job.made += 1;
+                job.generated += 1;
                 job.context += 1.0;
                 job.answer_left -= 1;
-                if job.made % self.model.tokens_per_event == 0 || job.answer_left == 0 {
-                    news.push(EngineNews::Event { owner: job.owner, at });
+                if job.generated % self.model.tokens_per_event == 0 || job.answer_left == 0 {
+                    events.push(EngineEvent::Event { owner: job.owner, at });
                 }
                 if job.answer_left == 0 {
-                    news.push(EngineNews::End { owner: job.owner, at });
+                    events.push(EngineEvent::End { owner: job.owner, at });
                 }
                 continue;
             }
@@ -236,7 +237,7 @@
             };
             job.unread -= tokens;
             if job.unread <= 0.0 {
-                news.push(EngineNews::Event { owner: job.owner, at });
+                events.push(EngineEvent::Event { owner: job.owner, at });
                 begun.push(job.parts.clone());
             }
         }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,15 +1,14 @@
-//! Load in virtual time: engines that read prompts one after the other, and gateways that share
-//! them.
+//! Load simulation in virtual time: engines with sequential prefill, and gateways that share them.
 
 #![allow(dead_code)] // Each test program uses a part of it.
 
-pub(crate) mod backoff_play;
-pub(crate) mod cold_play;
+pub(crate) mod backoff_simulation;
+pub(crate) mod cold_simulation;
 pub(crate) mod deployment;
 pub(crate) mod engine;
-pub(crate) mod limit_play;
-mod play;
-pub(crate) mod repeat_play;
+pub(crate) mod limit_simulation;
+pub(crate) mod repeat_simulation;
+mod simulation;
 
 use {
     gullglade_dispatch::{
@@ -30,40 +29,42 @@
     },
 };
 
-/// Prompt tokens that an engine reads in a millisecond, with nothing else to do.
-const READ_RATE: f64 = 85.0;
+/// Prefill tokens per millisecond of an otherwise idle engine.
+const PREFILL_RATE: f64 = 85.0;
 
-/// Hints are gathered for this long, milliseconds.
-const HINT_GATHER: u64 = 8;
+/// Hints are batched for this long.
+const HINT_BATCH_MS: u64 = 8;
 
-/// The time that a hint takes from one gateway to another, with its gathering.
-const HINT_DELAY: u64 = HINT_GATHER + 1;
+/// The delay of a hint between gateways, including batching.
+const HINT_DELAY_MS: u64 = HINT_BATCH_MS + 1;
 
-/// The time to another region and back, milliseconds.
-const AWAY_DELAY: u64 = 112;
+/// Round-trip time to another region.
+const REGION_RTT_MS: u64 = 112;
 
 pub(crate) fn at(millis: u64) -> MonotonicTime {
     MonotonicTime(Duration::from_millis(millis))
 }
 
-/// How many of the ascending `times` lie in the window of `length` milliseconds from `from` on.
+/// Returns how many of the ascending `times` are in the window of `length` milliseconds that starts
+/// at `from`.
 pub(crate) fn count_within(times: &[u64], from: u64, length: u64) -> usize {
     let end = times.partition_point(|at| *at < from + length);
     end - times.partition_point(|at| *at < from)
 }
 
-/// The most of the ascending `times` in any window of `length` milliseconds.
-pub(crate) fn most_within(times: &[u64], length: u64) -> usize {
+/// Returns the most of the ascending `times` in any window of `length` milliseconds.
+pub(crate) fn max_within(times: &[u64], length: u64) -> usize {
     times.iter().map(|from| count_within(times, *from, length)).max().unwrap_or_default()
 }
 
-/// The chances that each of `expected` arrivals in one step comes, of which the last may be a part.
-pub(crate) fn chances(expected: f64) -> impl Iterator<Item = f64> {
+/// Returns the probability of each of up to `expected` arrivals in one step. The last one may be
+/// fractional.
+pub(crate) fn arrival_chances(expected: f64) -> impl Iterator<Item = f64> {
     std::iter::successors(Some(expected), |left| Some(left - 1.0)).take_while(|left| *left > 0.0)
 }
 
-/// A number from the environment.
-pub(crate) fn setting(name: &str, default: u64) -> u64 {
+/// Returns a number from the environment.
+pub(crate) fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
 }
 
@@ -79,7 +80,7 @@
     BackendName::try_from(format!("i-{index}")).expect("a name")
 }
 
-/// The number in a name that [`backend`] made.
+/// Returns the number in a name from [`backend`].
 pub(crate) fn backend_index(name: &BackendName) -> usize {
     name.as_str()[2..].parse().expect("engines are numbered")
 }
@@ -101,7 +102,7 @@
     }
 }
 
-pub(crate) fn facts(index: usize) -> BackendInfo {
+pub(crate) fn backend_info(index: usize) -> BackendInfo {
     BackendInfo {
         name: backend(index),
         incarnation: Incarnation(0),
@@ -169,11 +170,11 @@
     }
 }
 
-/// A prompt of `own` tokens behind `shared` ones of `subject`.
-pub(crate) fn prompt(subject: u64, shared: u32, own: u32, id: u64) -> PromptShape {
+/// Returns a prompt of `own` tokens after the `shared` tokens of the part `shared_id`.
+pub(crate) fn prompt(shared_id: u64, shared: u32, own: u32, id: u64) -> PromptShape {
     PromptShape {
         parts: vec![
-            PromptPart { id: subject, tokens: shared },
+            PromptPart { id: shared_id, tokens: shared },
             PromptPart { id: 1_000_000 + id, tokens: own },
         ],
         prompt_tokens: shared + own,
@@ -181,7 +182,7 @@
     }
 }
 
-/// The word of another gateway that it just sent `tokens` of a prompt to engine `index`.
+/// Returns a hint of another gateway that it just sent `tokens` of a prompt to engine `index`.
 pub(crate) fn sent_hint(index: usize, tokens: u32, parts: &[PromptPart]) -> BackendHint {
     BackendHint {
         run: BackendRun { backend: backend(index), incarnation: Incarnation(0) },
@@ -192,53 +193,54 @@
     }
 }
 
-/// A signed answer that states this limit, or none.
+/// Returns the statements of a signed answer with this limit, or without any.
 pub(crate) fn stating_limit(limit: Option<StatedLimit>) -> BackendStatements {
     BackendStatements { is_signed: true, limit, ..BackendStatements::default() }
 }
 
-/// A scheduler of gateway `index` of `gateways`, before `engines` engines.
+/// Returns the scheduler of gateway `index` of `gateways` with `engines` engines.
 pub(crate) fn scheduler(index: usize, gateways: usize, engines: usize, cold: f64) -> Scheduler {
     let mut scheduler = Scheduler::new(settings(index));
     scheduler.set_configuration([pool(cold)], &Rc::new(BTreeSet::new()), at(0));
-    scheduler.set_backends((0..engines).map(facts), at(0));
+    scheduler.set_backends((0..engines).map(backend_info), at(0));
     scheduler.set_gateways((0..gateways).map(gateway), at(0));
     scheduler.set_gateway_total(gateways, at(0));
     scheduler
 }
 
-/// Places a request with a short prompt; where it goes. It does not stay in the queue.
+/// Places a request with a short prompt and returns its backend server. The request does not stay
+/// in the queue.
 pub(crate) fn place_prompt(run: &mut Scheduler, ms: u64) -> Option<(TicketId, BackendName)> {
     let work = item(&route(0, 1_200, 2_500), Some(prompt(1, 100, 100, ms)), at(ms));
     let ticket = run.submit(work, at(ms));
-    let verdicts = run.poll(at(ms));
+    let decisions = run.poll(at(ms));
     run.withdraw(ticket);
-    verdicts.into_iter().find_map(|(decided, verdict)| match verdict {
+    decisions.into_iter().find_map(|(decided, decision)| match decision {
         Decision::Send { run, .. } if decided == ticket => Some((ticket, run.backend)),
         _ => None,
     })
 }
 
-struct Reading {
+struct PendingPrefill {
     ticket: TicketId,
     gateway: usize,
     priority: u8,
     order: u64,
     left: f64,
-    subject: u64,
+    shared_id: u64,
 }
 
-/// An engine that reads the most urgent prompt first, and keeps the shared parts that it has read.
+/// An engine that processes prompts by priority and caches their shared parts.
 #[derive(Default)]
 struct Engine {
-    waiting: Vec<Reading>,
+    waiting: Vec<PendingPrefill>,
     held: BTreeSet<u64>,
     generating: Vec<(u64, TicketId, usize)>,
 }
 
 impl Engine {
-    /// Its callers are gone; what it has read stays.
-    fn drop_work(&mut self) {
+    /// Drops the requests, whose callers are gone. The cache is kept.
+    fn clear_requests(&mut self) {
         self.waiting.clear();
         self.generating.clear();
     }
@@ -246,32 +248,32 @@
 
 /// A kind of request in a replay.
 #[derive(Clone)]
-pub(crate) struct Class {
+pub(crate) struct RequestClass {
     pub(crate) route: Rc<TrafficRoute>,
-    /// Requests a second over all gateways.
+    /// Requests per second over all gateways.
     pub(crate) per_second: f64,
-    /// The prompt's tokens that all requests of one subject share.
+    /// Number of tokens in the shared part.
     pub(crate) shared_tokens: u32,
-    /// The mean of the prompt's own tokens; one in ten has five times as many.
+    /// Mean number of unshared tokens. One request in ten has five times as many.
     pub(crate) own_tokens: u32,
     pub(crate) generate_ms: u64,
 }
 
-/// What a replay found of one class.
+/// The results for one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ClassResult {
-    pub(crate) asked: usize,
+    pub(crate) submitted: usize,
     pub(crate) in_objective: usize,
     pub(crate) refused: usize,
-    /// Requests that were sent to the other region.
-    pub(crate) away: usize,
-    /// The longest that a request was held before it was turned away.
-    pub(crate) longest_hold: Duration,
-    /// Prompt tokens read that the engine had read before, on another engine.
-    pub(crate) read_again: u64,
+    /// Requests that were forwarded to the other region.
+    pub(crate) forwarded: usize,
+    /// The longest time for which a request was queued before its refusal.
+    pub(crate) max_queue_time: Duration,
+    /// Prefill tokens of shared parts that another engine had processed before.
+    pub(crate) repeated_prefill: u64,
 }
 
-/// What is told of another region that has room for everything.
+/// Returns the report of another region that has capacity for everything.
 fn idle_region() -> RegionInfo {
     RegionInfo {
         region: region("columbia"),
@@ -281,29 +283,30 @@
     }
 }
 
-/// The time until a first byte from there: there and back, and the reading of the whole prompt.
-fn away_time(shape: &PromptShape) -> Duration {
-    let read = f64::from(shape.prompt_tokens) / READ_RATE;
-    Duration::from_millis(AWAY_DELAY) + Duration::from_secs_f64(read / 1_000.0)
+/// Returns the time to first byte of a forwarded request: the round trip and the prefill of the
+/// whole prompt.
+fn forwarded_latency(shape: &PromptShape) -> Duration {
+    let read = f64::from(shape.prompt_tokens) / PREFILL_RATE;
+    Duration::from_millis(REGION_RTT_MS) + Duration::from_secs_f64(read / 1_000.0)
 }
 
 /// A load to be replayed.
 pub(crate) struct Replay {
     pub(crate) gateways: usize,
     pub(crate) engines: usize,
-    pub(crate) classes: Vec<Class>,
-    pub(crate) subjects: u64,
+    pub(crate) classes: Vec<RequestClass>,
+    pub(crate) shared_count: u64,
     pub(crate) seconds: u64,
     pub(crate) has_hints: bool,
-    /// Whether there is another region, which has room for everything.
+    /// Whether there is another region with capacity for everything.
     pub(crate) has_idle_region: bool,
-    /// When all gateways are restarted, which know nothing then and have lost what they had sent.
+    /// When all gateways are restarted and lose all their state.
     pub(crate) restarted_ms: Option<u64>,
     pub(crate) seed: u64,
 }
 
 impl Replay {
-    /// The gateways as they start.
+    /// Creates the gateways in their initial state.
     fn start(&self) -> Vec<Scheduler> {
         let start = |gateway| {
             let mut scheduler = scheduler(gateway, self.gateways, self.engines, 0.0);
@@ -315,22 +318,22 @@
         (0..self.gateways).map(start).collect()
     }
 
-    /// Plays the load.
-    pub(crate) fn play(&self) -> Vec<ClassResult> {
+    /// Replays the load.
+    pub(crate) fn simulate(&self) -> Vec<ClassResult> {
         let random = SeededRandom::new(self.seed);
         let mut schedulers = self.start();
         let mut engines: Vec<Engine> = (0..self.engines).map(|_| Engine::default()).collect();
         let mut results = vec![ClassResult::default(); self.classes.len()];
-        let mut asked: HashMap<(usize, TicketId), (usize, u64, PromptShape)> = HashMap::new();
+        let mut submitted: HashMap<(usize, TicketId), (usize, u64, PromptShape)> = HashMap::new();
         let mut hints: Vec<(u64, usize, Vec<BackendHint>)> = Vec::new();
         let mut order = 0;
         for ms in 0..self.seconds * 1_000 {
             let now = at(ms);
             if self.restarted_ms == Some(ms) {
                 schedulers = self.start();
-                asked.clear();
+                submitted.clear();
                 hints.clear();
-                engines.iter_mut().for_each(Engine::drop_work);
+                engines.iter_mut().for_each(Engine::clear_requests);
             }
             for (class_index, class) in self.classes.iter().enumerate() {
                 if random.unit() >= class.per_second / 1_000.0 {
@@ -340,55 +343,55 @@
                 let scale = if random.below(10) == 0 { 5 } else { 1 };
                 let own = (f64::from(class.own_tokens) * (0.5 + random.unit())) as u32 * scale;
                 order += 1;
-                let subject = 1_000 * class_index as u64 + random.below(self.subjects);
-                let shape = prompt(subject, class.shared_tokens, own, order);
+                let shared_id = 1_000 * class_index as u64 + random.below(self.shared_count);
+                let shape = prompt(shared_id, class.shared_tokens, own, order);
                 let work = item(&class.route, Some(shape.clone()), now);
                 let ticket = schedulers[gateway].submit(work, now);
-                results[class_index].asked += 1;
-                asked.insert((gateway, ticket), (class_index, ms, shape));
+                results[class_index].submitted += 1;
+                submitted.insert((gateway, ticket), (class_index, ms, shape));
             }
             for (index, scheduler) in schedulers.iter_mut().enumerate() {
-                for (ticket, verdict) in scheduler.poll(now) {
-                    let (class_index, asked_at, shape) = &asked[&(index, ticket)];
+                for (ticket, decision) in scheduler.poll(now) {
+                    let (class_index, asked_at, shape) = &submitted[&(index, ticket)];
                     let result = &mut results[*class_index];
                     let held = Duration::from_millis(ms - asked_at);
-                    let (backend, priority) = match verdict {
+                    let (backend, priority) = match decision {
                         Decision::Send { run, priority, .. } => (run.backend, priority),
                         Decision::Forward { .. } => {
                             let objective = self.classes[*class_index].route.objective;
-                            let took = held + away_time(shape);
-                            result.away += 1;
+                            let took = held + forwarded_latency(shape);
+                            result.forwarded += 1;
                             result.in_objective += usize::from(took <= objective);
                             continue;
                         }
                         Decision::Refuse { .. } => {
                             result.refused += 1;
-                            result.longest_hold = result.longest_hold.max(held);
+                            result.max_queue_time = result.max_queue_time.max(held);
                             continue;
                         }
                     };
                     let engine = backend_index(&backend);
-                    let subject = shape.parts[0].id;
-                    let is_held = engines[engine].held.contains(&subject);
-                    let is_read = engines.iter().any(|e| e.held.contains(&subject));
+                    let shared_id = shape.parts[0].id;
+                    let is_held = engines[engine].held.contains(&shared_id);
+                    let is_read = engines.iter().any(|e| e.held.contains(&shared_id));
                     if !is_held && is_read {
-                        results[*class_index].read_again += u64::from(shape.parts[0].tokens);
+                        results[*class_index].repeated_prefill += u64::from(shape.parts[0].tokens);
                     }
                     let held = if is_held { shape.parts[0].tokens } else { 0 };
                     let read = shape.prompt_tokens - held;
                     order += 1;
-                    engines[engine].waiting.push(Reading {
+                    engines[engine].waiting.push(PendingPrefill {
                         ticket,
                         gateway: index,
                         priority,
                         order,
                         left: f64::from(read),
-                        subject,
+                        shared_id,
                     });
                 }
-                let sent = scheduler.take_hints(at(ms + HINT_GATHER));
+                let sent = scheduler.take_hints(at(ms + HINT_BATCH_MS));
                 if self.has_hints && !sent.is_empty() {
-                    hints.push((ms + HINT_DELAY, index, sent));
+                    hints.push((ms + HINT_DELAY_MS, index, sent));
                 }
             }
             for (_, from, sent) in hints.extract_if(.., |(due, ..)| *due <= ms) {
@@ -404,7 +407,7 @@
                     schedulers[gateway].end(ticket, WorkOutcome::Answered, now);
                 }
                 // Generation takes its share of each step.
-                let rate = READ_RATE / (1.0 + 0.02 * engine.generating.len() as f64);
+                let rate = PREFILL_RATE / (1.0 + 0.02 * engine.generating.len() as f64);
                 engine.waiting.sort_by_key(|r| (r.priority, r.order));
                 let Some(first) = engine.waiting.first_mut() else { continue };
                 first.left -= rate;
@@ -412,8 +415,8 @@
                     continue;
                 }
                 let done = engine.waiting.remove(0);
-                engine.held.insert(done.subject);
-                let (class_index, asked_at, _) = &asked[&(done.gateway, done.ticket)];
+                engine.held.insert(done.shared_id);
+                let (class_index, asked_at, _) = &submitted[&(done.gateway, done.ticket)];
                 let class = &self.classes[*class_index];
                 let took = Duration::from_millis(ms - asked_at);
                 results[*class_index].in_objective += usize::from(took <= class.route.objective);
