--- a/crates/dispatch/tests/support/play.rs
+++ b/crates/dispatch/tests/support/simulation.rs
@@ -1,10 +1,10 @@
-//! Plays a deployment millisecond by millisecond: callers arrive, gateways decide, engines work.
+//! Simulation of a deployment in steps of a millisecond: callers, gateways and engines.
 
 use {
     super::{
-        at, backend_index, chances,
+        arrival_chances, at, backend_index,
         deployment::{Deployment, KindOutcome, Outcome},
-        engine::{EngineNews, ModelEngine, Owner},
+        engine::{EngineEvent, ModelEngine, Owner},
         gateway, item, region, service,
     },
     gullglade_dispatch::{
@@ -18,62 +18,62 @@
     },
 };
 
-/// One way between two regions, and between a gateway and an engine, milliseconds.
-const REGION_MS: u64 = 56;
-const ENGINE_MS: u64 = 1;
-/// Hints are gathered for this long in a large region, and in a small one.
-const GATHER_MS: u64 = 20;
-const FEW_PEERS: usize = 8;
-/// How often control processes tell of other regions.
-const TELL_MS: u64 = 600;
+/// One-way delay between two regions, and between a gateway and an engine.
+const REGION_DELAY_MS: u64 = 56;
+const ENGINE_DELAY_MS: u64 = 1;
+/// The batching time of hints in a large region, and the size up to which a region is small.
+const HINT_BATCH_MS: u64 = 20;
+const SMALL_REGION: usize = 8;
+/// The interval of the reports of control processes on other regions.
+const REGION_REPORT_MS: u64 = 600;
 
 struct Caller {
     kind: usize,
     origin: usize,
-    asked_ms: u64,
+    submitted_ms: u64,
     shape: PromptShape,
     answer: u32,
     worth: f64,
     is_large: bool,
     first: Option<f64>,
     last: f64,
-    has_paused: bool,
+    has_long_gap: bool,
     is_over: bool,
     refusals: u32,
     runs: u32,
 }
 
-/// Where a request is now: at which gateway under which ticket, and at which engine.
+/// A message or an event that arrives at a later time.
 enum Delivery {
     Hints { to: usize, hints: Vec<BackendHint> },
     Arrive { caller: usize, gateway: usize },
     Forwarded { caller: usize, gateway: usize, from: usize },
-    Accepted { to: usize, region: usize, word: Option<FirstByteTimes> },
-    RefusedAway { caller: usize, to: usize, region: usize },
+    Accepted { to: usize, region: usize, offer: Option<FirstByteTimes> },
+    ForwardRefused { caller: usize, to: usize, region: usize },
     Event { caller: usize, at: f64 },
     End { caller: usize },
 }
 
-/// A deployment while it is played.
-pub(super) struct Play<'a> {
+/// The state of a simulation.
+pub(super) struct Simulation<'a> {
     model: &'a Deployment,
     random: SeededRandom,
     gateways: Vec<Scheduler>,
     region_of: Vec<usize>,
     engines: Vec<ModelEngine>,
     engine_region: Vec<usize>,
-    /// Until when an engine is down, its run, and until when it is cold.
+    /// For each engine: the end of its downtime, its incarnation, and when it stops being cold.
     engine_state: Vec<(u64, u64, u64)>,
     callers: Vec<Caller>,
     owners: HashMap<Owner, (usize, bool, Option<usize>, f64)>,
     deliveries: HashMap<u64, Vec<Delivery>>,
     is_due: Vec<bool>,
     flush_at: Vec<Option<u64>>,
-    read_parts: BTreeSet<u64>,
+    seen_parts: BTreeSet<u64>,
     outcome: Outcome,
 }
 
-impl<'a> Play<'a> {
+impl<'a> Simulation<'a> {
     pub(super) fn new(model: &'a Deployment) -> Self {
         let mut gateways = Vec::new();
         let mut region_of = Vec::new();
@@ -87,7 +87,7 @@
         }
         let engines: Vec<_> =
             engine_region.iter().map(|_| ModelEngine::new(model.engine)).collect();
-        let mut play = Self {
+        let mut simulation = Self {
             model,
             random: SeededRandom::new(model.seed),
             is_due: vec![false; gateways.len()],
@@ -100,37 +100,37 @@
             callers: Vec::new(),
             owners: HashMap::new(),
             deliveries: HashMap::new(),
-            read_parts: BTreeSet::new(),
+            seen_parts: BTreeSet::new(),
             outcome: Outcome {
                 kinds: vec![KindOutcome::default(); model.kinds.len()],
-                read: 0.0,
-                read_again: 0.0,
+                prefilled: 0.0,
+                repeated_prefill: 0.0,
                 windows: vec![(0.0, 0.0); model.seconds as usize / 2 + 1],
                 by_region: vec![(0.0, 0.0); model.regions.len()],
-                reading: Vec::new(),
+                prefill_share: Vec::new(),
             },
         };
-        let total = play.gateways.len();
+        let total = simulation.gateways.len();
         for index in 0..total {
-            let region = play.region_of[index];
+            let region = simulation.region_of[index];
             let first = model.first_gateway(region);
             let names: Vec<VmName> =
                 (first..first + model.regions[region].gateways).map(gateway).collect();
-            play.gateways[index].set_gateways(names, at(0));
-            play.gateways[index].set_gateway_total(total, at(0));
+            simulation.gateways[index].set_gateways(names, at(0));
+            simulation.gateways[index].set_gateway_total(total, at(0));
         }
-        play.set_backends(0);
-        play
+        simulation.set_backends(0);
+        simulation
     }
 
     fn set_backends(&mut self, ms: u64) {
         for index in 0..self.gateways.len() {
             let region = self.region_of[index];
-            let facts: Vec<_> = (0..self.engines.len())
+            let backend_info: Vec<_> = (0..self.engines.len())
                 .filter(|e| self.engine_region[*e] == region && self.engine_state[*e].0 <= ms)
-                .map(|e| self.model.engine_facts(e, self.engine_state[e].1, self.engine_state[e].2))
+                .map(|e| self.model.engine_info(e, self.engine_state[e].1, self.engine_state[e].2))
                 .collect();
-            self.gateways[index].set_backends(facts, at(ms));
+            self.gateways[index].set_backends(backend_info, at(ms));
             self.is_due[index] = true;
         }
     }
@@ -145,21 +145,21 @@
         (mean * (spread * normal - spread * spread / 2.0).exp()).min(most)
     }
 
-    pub(super) fn play(mut self) -> Outcome {
+    pub(super) fn simulate(mut self) -> Outcome {
         let end = self.model.seconds * 1_000;
         for ms in 0..end + 11_000 {
             if ms < end {
                 self.arrivals(ms);
             }
             self.crashes(ms);
-            if ms % TELL_MS == 0 {
-                self.tell_regions(ms);
+            if ms % REGION_REPORT_MS == 0 {
+                self.report_regions(ms);
             }
             for delivery in self.deliveries.remove(&ms).unwrap_or_default() {
                 self.take(delivery, ms);
             }
             self.advance_engines(ms);
-            self.give_up(ms);
+            self.disconnect_callers(ms);
             for index in 0..self.gateways.len() {
                 let is_woken = self.gateways[index].next_wake().is_some_and(|w| w <= at(ms));
                 if std::mem::take(&mut self.is_due[index]) || is_woken {
@@ -168,11 +168,11 @@
                 self.flush(index, ms);
             }
         }
-        self.outcome.read = self.engines.iter().map(|e| e.read_tokens).sum::<f64>() / 1e6;
+        self.outcome.prefilled = self.engines.iter().map(|e| e.prefill_tokens).sum::<f64>() / 1e6;
         for region in 0..self.model.regions.len() {
             let mine = (0..self.engines.len()).filter(|e| self.engine_region[*e] == region);
             let busy: f64 = mine.clone().map(|e| self.engines[e].busy_ms).sum();
-            self.outcome.reading.push(busy / (mine.count() as f64 * end as f64));
+            self.outcome.prefill_share.push(busy / (mine.count() as f64 * end as f64));
         }
         self.outcome
     }
@@ -181,8 +181,8 @@
         for index in 0..self.model.regions.len() {
             let rates = &self.model.regions[index].per_second;
             let rate = rates[(ms as usize / 1_000).min(rates.len() - 1)];
-            // Several in one millisecond where the rate is high.
-            for chance in chances(rate / 1_000.0) {
+            // There may be several arrivals per millisecond.
+            for chance in arrival_chances(rate / 1_000.0) {
                 if self.random.unit() < chance {
                     self.arrive(index, ms);
                 }
@@ -204,7 +204,7 @@
         let mut parts = Vec::new();
         for (level, (count, tokens)) in model.chain.iter().enumerate() {
             let id = (kind as u64 * 10 + level as u64) * 1_000_000 + self.random.below(*count);
-            // Parts differ in length, always the same for one part.
+            // The length of a part is derived from its id.
             let tokens = (tokens
                 * (0.4 + 1.2 * (id.wrapping_mul(2_654_435_761) % 1_000) as f64 / 1_000.0))
                 as u32;
@@ -230,45 +230,45 @@
         self.callers.push(Caller {
             kind,
             origin,
-            asked_ms: ms,
+            submitted_ms: ms,
             shape,
             answer,
             worth,
             is_large: relative > 2.0,
             first: None,
             last: ms as f64,
-            has_paused: false,
+            has_long_gap: false,
             is_over: false,
             refusals: 0,
             runs: 0,
         });
         let outcome = &mut self.outcome.kinds[kind];
-        outcome.asked += 1;
+        outcome.submitted += 1;
         outcome.owed += worth * model.worth;
         if relative > 2.0 {
             outcome.large_owed += worth * model.worth;
         }
         self.outcome.windows[ms as usize / 2_000].1 += worth * model.worth;
         self.outcome.by_region[origin].1 += worth * model.worth;
-        self.deliver(ms + ENGINE_MS, Delivery::Arrive { caller, gateway });
+        self.deliver(ms + ENGINE_DELAY_MS, Delivery::Arrive { caller, gateway });
     }
 
     fn submit(&mut self, caller: usize, gateway: usize, may_forward: bool, ms: u64) {
-        let asked = &self.callers[caller];
-        if asked.is_over {
+        let submitted = &self.callers[caller];
+        if submitted.is_over {
             return;
         }
-        let kind = &self.model.kinds[asked.kind];
-        let mut work = item(&kind.route, Some(asked.shape.clone()), at(asked.asked_ms));
+        let kind = &self.model.kinds[submitted.kind];
+        let mut work = item(&kind.route, Some(submitted.shape.clone()), at(submitted.submitted_ms));
         work.may_forward = may_forward;
-        work.is_new = asked.runs == 0;
+        work.is_new = submitted.runs == 0;
         let ticket = self.gateways[gateway].submit(work, at(ms));
         self.owners.insert((gateway, ticket), (caller, !may_forward, None, 0.0));
         self.is_due[gateway] = true;
     }
 
-    fn tell_regions(&mut self, ms: u64) {
-        let mut told = Vec::new();
+    fn report_regions(&mut self, ms: u64) {
+        let mut reported = Vec::new();
         for (index, model) in self.model.regions.iter().enumerate() {
             let first = self.model.first_gateway(index);
             let offers: Vec<Vec<u32>> = (first..first + model.gateways)
@@ -281,7 +281,7 @@
             let mean: Vec<u32> = (0..offers[0].len())
                 .map(|p| offers.iter().map(|o| o[p]).sum::<u32>() / offers.len() as u32)
                 .collect();
-            told.push(RegionInfo {
+            reported.push(RegionInfo {
                 region: region(model.name),
                 service: service("pool"),
                 backends: model.engines as u32,
@@ -289,7 +289,7 @@
             });
         }
         for gateway in &mut self.gateways {
-            gateway.set_regions(told.clone());
+            gateway.set_regions(reported.clone());
         }
     }
 
@@ -313,9 +313,9 @@
         let Some((caller, is_forwarded, ..)) = self.owners.remove(&owner) else { return };
         self.gateways[owner.0].end(owner.1, WorkOutcome::Broken, at(ms));
         self.is_due[owner.0] = true;
-        let asked = &mut self.callers[caller];
-        asked.runs += 1;
-        if asked.runs >= 2 || !self.model.kinds[asked.kind].route.kind.may_repeat() {
+        let submitted = &mut self.callers[caller];
+        submitted.runs += 1;
+        if submitted.runs >= 2 || !self.model.kinds[submitted.kind].route.kind.may_repeat() {
             self.finish(caller, false);
         } else {
             self.submit(caller, owner.0, !is_forwarded, ms);
@@ -327,10 +327,10 @@
     }
 
     fn poll(&mut self, index: usize, ms: u64) {
-        for (ticket, verdict) in self.gateways[index].poll(at(ms)) {
+        for (ticket, decision) in self.gateways[index].poll(at(ms)) {
             let owner = (index, ticket);
             let Some(&(caller, is_forwarded, ..)) = self.owners.get(&owner) else { continue };
-            match verdict {
+            match decision {
                 Decision::Send { run, priority, expected_ms, copy, .. } => {
                     let engine = backend_index(&run.backend);
                     self.send(owner, engine, priority, expected_ms, copy.map(|c| c.from), ms);
@@ -343,9 +343,9 @@
                     let some = (index as u64 * 7 + self.random.below(3))
                         % self.model.regions[to].gateways as u64;
                     let gateway = first + some as usize;
-                    self.outcome.kinds[self.callers[caller].kind].away += 1;
+                    self.outcome.kinds[self.callers[caller].kind].forwarded += 1;
                     self.deliver(
-                        ms + REGION_MS,
+                        ms + REGION_DELAY_MS,
                         Delivery::Forwarded { caller, gateway, from: index },
                     );
                 }
@@ -357,8 +357,8 @@
                         let first = self.model.first_gateway(to);
                         let count = self.model.regions[to].gateways;
                         self.deliver(
-                            ms + REGION_MS,
-                            Delivery::RefusedAway { caller, to: first + caller % count, region },
+                            ms + REGION_DELAY_MS,
+                            Delivery::ForwardRefused { caller, to: first + caller % count, region },
                         );
                     } else {
                         self.outcome.kinds[self.callers[caller].kind].refused += 1;
@@ -386,9 +386,9 @@
             self.lose(owner, ms);
             return;
         }
-        let asked = &self.callers[caller];
-        let shape = asked.shape.clone();
-        let answer = asked.answer;
+        let submitted = &self.callers[caller];
+        let shape = submitted.shape.clone();
+        let answer = submitted.answer;
         let held = self.engines[engine].held_tokens(&shape);
         let source = copy_from.map(|from| match from {
             std::net::SocketAddr::V4(v4) => usize::from(v4.ip().octets()[3]),
@@ -396,36 +396,36 @@
         });
         let copied = source.map_or(0, |s| self.engines[s].held_tokens(&shape).saturating_sub(held));
         let shared = shape.shared_tokens().saturating_sub(held + copied);
-        let was_read = shape.shared_parts().iter().all(|p| self.read_parts.contains(&p.id));
+        let was_read = shape.shared_parts().iter().all(|p| self.seen_parts.contains(&p.id));
         if was_read {
-            self.outcome.read_again += f64::from(shared) / 1e6;
+            self.outcome.repeated_prefill += f64::from(shared) / 1e6;
         }
-        self.read_parts.extend(shape.shared_parts().iter().map(|p| p.id));
-        let now = (ms + ENGINE_MS) as f64;
+        self.seen_parts.extend(shape.shared_parts().iter().map(|p| p.id));
+        let now = (ms + ENGINE_DELAY_MS) as f64;
         self.engines[engine].take(owner, priority, &shape, answer, copied, now);
     }
 
     fn advance_engines(&mut self, ms: u64) {
         for index in 0..self.engines.len() {
-            for news in self.engines[index].advance(ms as f64) {
-                let (owner, is_end, happened) = match news {
-                    EngineNews::Event { owner, at } => (owner, false, at),
-                    EngineNews::End { owner, at } => (owner, true, at),
+            for event in self.engines[index].advance(ms as f64) {
+                let (owner, is_end, happened) = match event {
+                    EngineEvent::Event { owner, at } => (owner, false, at),
+                    EngineEvent::End { owner, at } => (owner, true, at),
                 };
                 let Some(&(caller, is_forwarded, _, due)) = self.owners.get(&owner) else {
                     continue;
                 };
-                let back = if is_forwarded { REGION_MS } else { 0 };
+                let back = if is_forwarded { REGION_DELAY_MS } else { 0 };
                 if is_end {
                     self.gateways[owner.0].end(owner.1, WorkOutcome::Answered, at(ms));
                     self.owners.remove(&owner);
                     self.is_due[owner.0] = true;
-                    self.deliver(ms + ENGINE_MS + back, Delivery::End { caller });
+                    self.deliver(ms + ENGINE_DELAY_MS + back, Delivery::End { caller });
                     continue;
                 }
                 if self.callers[caller].first.is_none() && due > 0.0 {
                     let kind = self.callers[caller].kind;
-                    self.outcome.kinds[kind].misses_ms.push(happened - due);
+                    self.outcome.kinds[kind].prediction_errors_ms.push(happened - due);
                     let (running, waiting) = self.engines[index].load();
                     let slots = self.model.engine.slots as u32;
                     let report = BackendReport { running, waiting, slots };
@@ -438,7 +438,7 @@
                 }
                 self.gateways[owner.0].note_progress(owner.1, at(ms));
                 self.deliver(
-                    ms + ENGINE_MS + back,
+                    ms + ENGINE_DELAY_MS + back,
                     Delivery::Event { caller, at: happened + (1 + back) as f64 },
                 );
             }
@@ -450,20 +450,21 @@
             Delivery::Hints { to, hints } => self.gateways[to].note_hints(hints, at(ms)),
             Delivery::Arrive { caller, gateway } => self.submit(caller, gateway, true, ms),
             Delivery::Forwarded { caller, gateway, from } => {
-                let word = self.gateways[gateway].offer(&service("pool"), at(ms));
-                let word = word.map(|w| w.first_byte);
+                let offer = self.gateways[gateway].offer(&service("pool"), at(ms));
+                let offer = offer.map(|w| w.first_byte);
                 let region = self.region_of[gateway];
-                self.deliver(ms + REGION_MS, Delivery::Accepted { to: from, region, word });
+                self.deliver(ms + REGION_DELAY_MS, Delivery::Accepted { to: from, region, offer });
                 self.submit(caller, gateway, false, ms);
             }
-            Delivery::Accepted { to, region: from, word } => {
+            Delivery::Accepted { to, region: from, offer } => {
                 let name = region(self.model.regions[from].name);
-                self.gateways[to].note_region_rtt(&name, Duration::from_millis(2 * REGION_MS));
-                if let Some(word) = word {
-                    self.gateways[to].note_region_offer(&name, &service("pool"), word, at(ms));
+                self.gateways[to]
+                    .note_region_rtt(&name, Duration::from_millis(2 * REGION_DELAY_MS));
+                if let Some(offer) = offer {
+                    self.gateways[to].note_region_offer(&name, &service("pool"), offer, at(ms));
                 }
             }
-            Delivery::RefusedAway { caller, to, region: from } => {
+            Delivery::ForwardRefused { caller, to, region: from } => {
                 let name = region(self.model.regions[from].name);
                 let pause = Duration::from_millis(200);
                 self.gateways[to].pause_service(&name, &service("pool"), pause, at(ms));
@@ -476,28 +477,29 @@
                 }
             }
             Delivery::Event { caller, at } => {
-                let asked = &mut self.callers[caller];
-                if asked.first.is_none() {
-                    asked.first = Some(at);
-                } else if let Some(longest) = self.model.kinds[asked.kind].route.gap_objective {
-                    asked.has_paused |= at - asked.last > longest.as_secs_f64() * 1_000.0;
+                let submitted = &mut self.callers[caller];
+                if submitted.first.is_none() {
+                    submitted.first = Some(at);
+                } else if let Some(longest) = self.model.kinds[submitted.kind].route.gap_objective {
+                    submitted.has_long_gap |= at - submitted.last > longest.as_secs_f64() * 1_000.0;
                 }
-                asked.last = at;
+                submitted.last = at;
             }
             Delivery::End { caller } => self.finish(caller, true),
         }
     }
 
     fn finish(&mut self, caller: usize, is_whole: bool) {
-        let asked = &mut self.callers[caller];
-        if std::mem::replace(&mut asked.is_over, true) {
+        let submitted = &mut self.callers[caller];
+        if std::mem::replace(&mut submitted.is_over, true) {
             return;
         }
-        let kind = &self.model.kinds[asked.kind];
-        let outcome = &mut self.outcome.kinds[asked.kind];
+        let kind = &self.model.kinds[submitted.kind];
+        let outcome = &mut self.outcome.kinds[submitted.kind];
         let objective = kind.route.objective.as_secs_f64() * 1_000.0;
-        let is_late = asked.first.is_some_and(|at| at - asked.asked_ms as f64 > objective);
-        let earned = match (is_whole, is_late || asked.has_paused) {
+        let is_late =
+            submitted.first.is_some_and(|at| at - submitted.submitted_ms as f64 > objective);
+        let earned = match (is_whole, is_late || submitted.has_long_gap) {
             (false, _) => {
                 outcome.failed += 1;
                 0.0
@@ -508,23 +510,23 @@
                 } else {
                     outcome.late_pause += 1
                 }
-                asked.worth * kind.late_worth
+                submitted.worth * kind.late_worth
             }
             (true, false) => {
                 outcome.in_time += 1;
-                asked.worth * kind.worth
+                submitted.worth * kind.worth
             }
         };
         outcome.earned += earned;
-        if asked.is_large {
+        if submitted.is_large {
             outcome.large_earned += earned;
         }
-        self.outcome.windows[asked.asked_ms as usize / 2_000].0 += earned;
-        self.outcome.by_region[asked.origin].0 += earned;
+        self.outcome.windows[submitted.submitted_ms as usize / 2_000].0 += earned;
+        self.outcome.by_region[submitted.origin].0 += earned;
     }
 
-    /// Callers leave at their deadline, and after a long pause.
-    fn give_up(&mut self, ms: u64) {
+    /// Callers disconnect at their deadline, and after a long pause.
+    fn disconnect_callers(&mut self, ms: u64) {
         if !ms.is_multiple_of(50) {
             return;
         }
@@ -532,11 +534,11 @@
             .owners
             .iter()
             .filter(|(_, (caller, ..))| {
-                let asked = &self.callers[*caller];
-                let route = &self.model.kinds[asked.kind].route;
-                let deadline = asked.asked_ms + route.timeout.as_millis() as u64;
-                let patience = (route.objective.as_millis() as f64 * 4.0).max(2_000.0);
-                ms >= deadline || ms as f64 > asked.last + patience
+                let submitted = &self.callers[*caller];
+                let route = &self.model.kinds[submitted.kind].route;
+                let deadline = submitted.submitted_ms + route.timeout.as_millis() as u64;
+                let max_gap_ms = (route.objective.as_millis() as f64 * 4.0).max(2_000.0);
+                ms >= deadline || ms as f64 > submitted.last + max_gap_ms
             })
             .map(|(owner, (caller, _, engine, _))| (*owner, *caller, *engine))
             .collect();
@@ -555,8 +557,8 @@
         let region = self.region_of[index];
         let count = self.model.regions[region].gateways;
         if self.flush_at[index].is_none() && self.gateways[index].has_hints() {
-            let gather = if count > FEW_PEERS { GATHER_MS } else { 8 };
-            self.flush_at[index] = Some(ms + gather);
+            let batch_ms = if count > SMALL_REGION { HINT_BATCH_MS } else { 8 };
+            self.flush_at[index] = Some(ms + batch_ms);
         }
         if self.flush_at[index].is_none_or(|due| due > ms) {
             return;
