--- a/crates/proxy/src/execution/placement.rs
+++ b/crates/proxy/src/execution/placement.rs
@@ -52,11 +52,11 @@
             self.take_retry()?;
         }
         match verdict {
-            Decision::Refuse { reason, retry_after, facts } => {
+            Decision::Refuse { reason, retry_after, details } => {
                 if self.ledger.has_run() {
                     return Err(self.unknown(UnknownReason::Overdue));
                 }
-                self.log.record_refused(reason, retry_after, facts, &self.item);
+                self.log.record_refused(reason, retry_after, details, &self.item);
                 Err(RequestError::Refused(reason, retry_after))
             }
             Decision::Send { run, address, priority, expected_ms, copy } => {
