--- a/crates/dispatch/src/scheduler/scan.rs
+++ b/crates/dispatch/src/scheduler/scan.rs
@@ -62,8 +62,8 @@
     pub(crate) fn full(&self, item: &WorkItem) -> Option<AllFull> {
         // A request that was sent before is eligible for fewer backend servers and is checked
         // separately.
-        let is_usual = item.may_go_anywhere();
-        self.full[priority_class(item.priority())].filter(|_| is_usual)
+        let is_unrestricted = item.may_go_anywhere();
+        self.full[priority_class(item.priority())].filter(|_| is_unrestricted)
     }
 
     /// Records that all backend servers are full for the priority of `item`.
--- a/crates/dispatch/src/statement.rs
+++ b/crates/dispatch/src/statement.rs
@@ -89,8 +89,8 @@
 
 impl RetainedStatements {
     /// Keeps the statements of a run that is no longer announced.
-    pub(crate) fn retain(&mut self, run: BackendRun, stated: StatementRecord, now: MonotonicTime) {
-        self.records.insert(run, (stated, now));
+    pub(crate) fn retain(&mut self, run: BackendRun, record: StatementRecord, now: MonotonicTime) {
+        self.records.insert(run, (record, now));
     }
 
     /// Records the statements of an answer from such a run, and returns those that changed.
@@ -100,20 +100,20 @@
         statements: &BackendStatements,
         received: MonotonicTime,
     ) -> Vec<StatementChange> {
-        let (stated, since) = self.records.entry(run.clone()).or_default();
+        let (record, since) = self.records.entry(run.clone()).or_default();
         *since = received;
-        stated.note(statements, received)
+        record.note(statements, received)
     }
 
     /// Records that such a run is leaving, as reported by another gateway.
     pub(crate) fn note_leaving(&mut self, run: BackendRun, now: MonotonicTime) {
-        let (stated, since) = self.records.entry(run).or_default();
-        (stated.is_leaving, *since) = (true, now);
+        let (record, since) = self.records.entry(run).or_default();
+        (record.is_leaving, *since) = (true, now);
     }
 
     /// Removes and returns the statements of a run that is announced again.
     pub(crate) fn take(&mut self, run: &BackendRun) -> StatementRecord {
-        self.records.remove(run).map(|(stated, _)| stated).unwrap_or_default()
+        self.records.remove(run).map(|(record, _)| record).unwrap_or_default()
     }
 
     /// Drops statements that are older than the retention time.
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -138,16 +138,16 @@
                     break;
                 }
             }
-            let what = format!("{max_backends} allowed, {events:?}");
-            assert!(model.ran.len() <= max_backends as usize, "{what}: ran at {:?}", model.ran);
+            let name = format!("{max_backends} allowed, {events:?}");
+            assert!(model.ran.len() <= max_backends as usize, "{name}: ran at {:?}", model.ran);
             assert!(
                 continues || model.may_answer.is_empty(),
-                "{what}: {:?} may answer",
+                "{name}: {:?} may answer",
                 model.may_answer
             );
             assert!(
                 continues || model.ran.len() == max_backends as usize,
-                "{what}: {:?}",
+                "{name}: {:?}",
                 model.ran
             );
         }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -32,7 +32,7 @@
 #[test]
 fn no_requests_are_sent_during_a_requested_backoff() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         scenario: BackoffScenario,
     }
     let small = BackoffScenario::small;
@@ -41,20 +41,20 @@
     let overlapping = vec![phase(0, 3_000..8_000, 4_000), phase(1, 5_000..9_000, 700)];
     let all = (0..4).map(|engine| phase(engine, 4_000..8_000, 2_000)).collect();
     let cases = [
-        Case { what: "two of four", scenario: small() },
-        Case { what: "one gateway", scenario: many(1, 30.0) },
-        Case { what: "in series", scenario: BackoffScenario { phases: series, ..small() } },
-        Case { what: "overlapping", scenario: BackoffScenario { phases: overlapping, ..small() } },
-        Case { what: "all of them", scenario: BackoffScenario { phases: all, ..small() } },
-        Case { what: "many gateways", scenario: many(60, 2.0) },
-        Case { what: "very many gateways", scenario: many(300, 0.4) },
+        Case { name: "two of four", scenario: small() },
+        Case { name: "one gateway", scenario: many(1, 30.0) },
+        Case { name: "in series", scenario: BackoffScenario { phases: series, ..small() } },
+        Case { name: "overlapping", scenario: BackoffScenario { phases: overlapping, ..small() } },
+        Case { name: "all of them", scenario: BackoffScenario { phases: all, ..small() } },
+        Case { name: "many gateways", scenario: many(60, 2.0) },
+        Case { name: "very many gateways", scenario: many(300, 0.4) },
     ];
     let mut violations = Vec::new();
-    for Case { what, scenario } in cases {
+    for Case { name, scenario } in cases {
         for seed in 0..3 {
             let most = simulate(&scenario, seed).most_in_backoff;
             if most > PROMISED_LIMIT {
-                violations.push(format!("{what}, seed {seed}: {most}, {REQUIRED_LIMIT} allowed"));
+                violations.push(format!("{name}, seed {seed}: {most}, {REQUIRED_LIMIT} allowed"));
             }
         }
     }
--- a/crates/dispatch/tests/copying.rs
+++ b/crates/dispatch/tests/copying.rs
@@ -52,7 +52,7 @@
     // The load: the engine that holds a long shared part is full at a peak. Without copies the
     // prefill is repeated on another engine, which blocks it for 217 ms.
     struct Case {
-        what: &'static str,
+        name: &'static str,
         rate: f64,
         /// Whether the holder is full when the second request arrives.
         is_full: bool,
@@ -62,28 +62,28 @@
     }
     let cases = [
         Case {
-            what: "the holder has room",
+            name: "the holder has room",
             rate: COPY_RATE,
             is_full: false,
             is_gone: false,
             expected_tokens: None,
         },
         Case {
-            what: "the holder is full",
+            name: "the holder is full",
             rate: COPY_RATE,
             is_full: true,
             is_gone: false,
             expected_tokens: Some(SHARED),
         },
         Case {
-            what: "these engines copy nothing",
+            name: "these engines copy nothing",
             rate: 0.0,
             is_full: true,
             is_gone: false,
             expected_tokens: None,
         },
         Case {
-            what: "the holder is gone",
+            name: "the holder is gone",
             rate: COPY_RATE,
             is_full: false,
             is_gone: true,
@@ -102,11 +102,11 @@
         }
         let (_, copy) = place(&mut scheduler, 2, at(1_000));
         let tokens = copy.map(|copy| copy.tokens);
-        assert_eq!(tokens, case.expected_tokens, "{}", case.what);
+        assert_eq!(tokens, case.expected_tokens, "{}", case.name);
         if let Some(copy) = copy {
-            assert_eq!(copy.from, backend_info(holder).address, "{}", case.what);
+            assert_eq!(copy.from, backend_info(holder).address, "{}", case.name);
             // The copy takes 6.5 ms, the prefill time of 390 tokens.
-            assert!((380..=400).contains(&copy.cost_tokens), "{}: {copy:?}", case.what);
+            assert!((380..=400).contains(&copy.cost_tokens), "{}: {copy:?}", case.name);
         }
     }
 }
--- a/crates/dispatch/tests/departure.rs
+++ b/crates/dispatch/tests/departure.rs
@@ -34,20 +34,20 @@
 #[test]
 fn leaving_run_gets_no_new_requests() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         /// The event after the statement.
         then: fn(&mut Scheduler),
         gets_work: bool,
     }
     let cases = [
-        Case { what: "nothing", then: |_| {}, gets_work: false },
+        Case { name: "nothing", then: |_| {}, gets_work: false },
         Case {
-            what: "announced as serving",
+            name: "announced as serving",
             then: |run| run.set_backends([backend_info(0), backend_info(1)], at(10_500)),
             gets_work: false,
         },
         Case {
-            what: "not announced for a while",
+            name: "not announced for a while",
             then: |run| {
                 run.set_backends([backend_info(1)], at(10_500));
                 run.set_backends([backend_info(0), backend_info(1)], at(11_000));
@@ -55,7 +55,7 @@
             gets_work: false,
         },
         Case {
-            what: "stated by another answer that it serves",
+            name: "stated by another answer that it serves",
             then: |run| {
                 let (ticket, _) = place_prompt(run, 10_100).expect("the other one");
                 let stated = BackendStatements { is_leaving: false, ..LEAVING };
@@ -64,7 +64,7 @@
             gets_work: false,
         },
         Case {
-            what: "another run under its name",
+            name: "another run under its name",
             then: |run| {
                 let later = BackendInfo { incarnation: Incarnation(1), ..backend_info(0) };
                 run.set_backends([later, backend_info(1)], at(10_500));
@@ -72,12 +72,12 @@
             gets_work: true,
         },
     ];
-    for Case { what, then, gets_work } in cases {
+    for Case { name, then, gets_work } in cases {
         let mut run = scheduler(0, 1, 2, 0.0);
         announce_leaving(&mut run, 2, 10_000);
         then(&mut run);
         let there = requests_to_engine_0(&mut run, 12_000);
-        assert_eq!(there > 0, gets_work, "{what}: {there}");
+        assert_eq!(there > 0, gets_work, "{name}: {there}");
     }
 }
 
--- a/crates/dispatch/tests/handover.rs
+++ b/crates/dispatch/tests/handover.rs
@@ -16,13 +16,13 @@
 fn old_run_is_kept_until_its_replacement_could_have_failed() {
     // Guards against ending the old run before a rejection of the new one can arrive.
     struct Case {
-        what: &'static str,
+        name: &'static str,
         cancel_ms: u64,
         begin_ms: u64,
         /// The number of probes, or `None` if the old run has to end first.
         probes: Option<u32>,
     }
-    let case = |what, cancel_ms, begin_ms, probes| Case { what, cancel_ms, begin_ms, probes };
+    let case = |name, cancel_ms, begin_ms, probes| Case { name, cancel_ms, begin_ms, probes };
     let cases = [
         case("both here", 0, 0, Some(0)),
         case("to another region", 0, 55, Some(2)),
@@ -35,9 +35,9 @@
         case("within the farthest region", 300, 300, None),
         case("farther than any", 0, 2_000, None),
     ];
-    for Case { what, cancel_ms, begin_ms, probes } in cases {
+    for Case { name, cancel_ms, begin_ms, probes } in cases {
         let times = HandoverDelays { cancel: ms(cancel_ms), begin: ms(begin_ms) }.times();
-        assert_eq!(times.map(|times| times.probes), probes, "{what}");
+        assert_eq!(times.map(|times| times.probes), probes, "{name}");
     }
 }
 
@@ -50,12 +50,12 @@
             let (cancel, begin) = (ms(cancel_ms), ms(begin_ms));
             let Some(times) = (HandoverDelays { cancel, begin }).times() else { continue };
             let HandoverTimes { overlap, probes, probe_timeout, lease, .. } = times;
-            let what = format!("{cancel_ms} ms, {begin_ms} ms: {times:?}");
-            assert!(overlap.saturating_sub(begin) + cancel <= MAX_CONCURRENT, "{what}");
-            assert!(begin * 2 * probes <= overlap, "no time for the probes: {what}");
-            assert!(probe_timeout >= begin * 2, "no time for one probe: {what}");
+            let name = format!("{cancel_ms} ms, {begin_ms} ms: {times:?}");
+            assert!(overlap.saturating_sub(begin) + cancel <= MAX_CONCURRENT, "{name}");
+            assert!(begin * 2 * probes <= overlap, "no time for the probes: {name}");
+            assert!(probe_timeout >= begin * 2, "no time for one probe: {name}");
             // The confirmation is sent at the end of the overlap, and once more if it is lost.
-            assert!(lease >= overlap + times.commit_timeout, "{what}");
+            assert!(lease >= overlap + times.commit_timeout, "{name}");
         }
     }
 }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -25,24 +25,24 @@
 #[test]
 fn stated_limit_holds_for_all_gateways_together() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         gateways: usize,
         per_second: f64,
         limited: usize,
         limit: f64,
     }
     let cases = [
-        Case { what: "two of four", gateways: 3, per_second: 12.0, limited: 2, limit: 1.0 },
-        Case { what: "less than one", gateways: 3, per_second: 12.0, limited: 2, limit: 0.2 },
-        Case { what: "none at all", gateways: 3, per_second: 12.0, limited: 1, limit: 0.0 },
-        Case { what: "one gateway", gateways: 1, per_second: 30.0, limited: 1, limit: 2.5 },
-        Case { what: "all engines", gateways: 4, per_second: 10.0, limited: 4, limit: 3.0 },
-        Case { what: "many gateways", gateways: 22, per_second: 4.0, limited: 2, limit: 1.0 },
-        Case { what: "many, high limit", gateways: 22, per_second: 8.0, limited: 2, limit: 20.0 },
-        Case { what: "very many", gateways: 60, per_second: 3.0, limited: 2, limit: 1.2 },
+        Case { name: "two of four", gateways: 3, per_second: 12.0, limited: 2, limit: 1.0 },
+        Case { name: "less than one", gateways: 3, per_second: 12.0, limited: 2, limit: 0.2 },
+        Case { name: "none at all", gateways: 3, per_second: 12.0, limited: 1, limit: 0.0 },
+        Case { name: "one gateway", gateways: 1, per_second: 30.0, limited: 1, limit: 2.5 },
+        Case { name: "all engines", gateways: 4, per_second: 10.0, limited: 4, limit: 3.0 },
+        Case { name: "many gateways", gateways: 22, per_second: 4.0, limited: 2, limit: 1.0 },
+        Case { name: "many, high limit", gateways: 22, per_second: 8.0, limited: 2, limit: 20.0 },
+        Case { name: "very many", gateways: 60, per_second: 3.0, limited: 2, limit: 1.2 },
     ];
     let mut violations = Vec::new();
-    for Case { what, gateways, per_second, limited, limit } in cases {
+    for Case { name, gateways, per_second, limited, limit } in cases {
         let scenario = LimitScenario {
             gateways,
             per_second,
@@ -56,7 +56,7 @@
             if most as f64 > allowed(limit) {
                 let allowed = allowed(limit);
                 violations
-                    .push(format!("{what}, seed {seed}: {most} in a window, {allowed} allowed"));
+                    .push(format!("{name}, seed {seed}: {most} in a window, {allowed} allowed"));
             }
         }
     }
@@ -68,7 +68,7 @@
 #[test]
 fn limited_engine_gets_its_share_and_full_load_after_recovery() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         gateways: usize,
         per_second: f64,
         limit: f64,
@@ -76,13 +76,13 @@
         recovery_ms: u64,
     }
     let cases = [
-        Case { what: "small", gateways: 3, per_second: 14.0, limit: 2.0, recovery_ms: 3_000 },
-        Case { what: "one gateway", gateways: 1, per_second: 40.0, limit: 2.0, recovery_ms: 3_000 },
-        Case { what: "large", gateways: 22, per_second: 5.0, limit: 4.0, recovery_ms: 8_000 },
-        Case { what: "very large", gateways: 60, per_second: 3.0, limit: 4.0, recovery_ms: 12_000 },
-        Case { what: "nothing", gateways: 3, per_second: 14.0, limit: 0.0, recovery_ms: 30_000 },
+        Case { name: "small", gateways: 3, per_second: 14.0, limit: 2.0, recovery_ms: 3_000 },
+        Case { name: "one gateway", gateways: 1, per_second: 40.0, limit: 2.0, recovery_ms: 3_000 },
+        Case { name: "large", gateways: 22, per_second: 5.0, limit: 4.0, recovery_ms: 8_000 },
+        Case { name: "very large", gateways: 60, per_second: 3.0, limit: 4.0, recovery_ms: 12_000 },
+        Case { name: "nothing", gateways: 3, per_second: 14.0, limit: 0.0, recovery_ms: 30_000 },
     ];
-    for Case { what, gateways, per_second, limit, recovery_ms } in cases {
+    for Case { name, gateways, per_second, limit, recovery_ms } in cases {
         let scenario = LimitScenario {
             gateways,
             per_second,
@@ -97,9 +97,9 @@
             for engine in 0..2 {
                 let due = 0.5 * limit * 20.0;
                 let got = sends_while_limited[engine];
-                assert!(got as f64 >= due, "{what}, seed {seed}: {got} of {due}");
+                assert!(got as f64 >= due, "{name}, seed {seed}: {got} of {due}");
                 let back = back[engine].unwrap_or(u64::MAX);
-                assert!(back <= recovery_ms, "{what}, seed {seed}: back after {back} ms");
+                assert!(back <= recovery_ms, "{name}, seed {seed}: back after {back} ms");
             }
         }
     }
--- a/crates/dispatch/tests/plain.rs
+++ b/crates/dispatch/tests/plain.rs
@@ -41,7 +41,7 @@
 
 impl PlainServer {
     /// Queues the request. Returns false if the queue is full.
-    fn take(&mut self, work_ms: u64, pending: PendingRequest) -> bool {
+    fn enqueue(&mut self, work_ms: u64, pending: PendingRequest) -> bool {
         let has_room = self.waiting.len() < QUEUE_LIMIT;
         if has_room {
             self.waiting.push_back((work_ms, pending));
@@ -154,7 +154,7 @@
                     };
                     let server: usize = run.backend.as_str()[2..].parse().expect("a number");
                     let work_ms = 15 + random.below(31);
-                    if !servers[server].take(work_ms, PendingRequest { gateway, ticket }) {
+                    if !servers[server].enqueue(work_ms, PendingRequest { gateway, ticket }) {
                         result.shed += 1;
                         schedulers[gateway].end(ticket, WorkOutcome::Shed, now);
                     }
--- a/crates/dispatch/tests/repeats.rs
+++ b/crates/dispatch/tests/repeats.rs
@@ -24,14 +24,14 @@
 
 /// Runs the simulations of a case and returns a line for each one that violated the limit.
 fn violations(
-    what: &str,
+    name: &str,
     scenario: &RepeatScenario,
     seeds: impl Iterator<Item = u64>,
 ) -> Vec<String> {
     seeds
         .filter_map(|seed| Some((seed, RepeatSimulation::new(scenario, seed).simulate()?)))
         .filter(|(_, worst)| worst.part() > 1.0)
-        .map(|(seed, worst)| format!("{what}, seed {seed}: {worst:?} of {scenario:?}"))
+        .map(|(seed, worst)| format!("{name}, seed {seed}: {worst:?} of {scenario:?}"))
         .collect()
 }
 
@@ -41,26 +41,26 @@
 #[test]
 fn repeats_of_all_runs_stay_within_the_fleet_budget() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         per_second: f64,
         faults: Faults,
     }
     let failing = || Faults { failures: vec![(12_000..23_000, 0.95)], ..Faults::default() };
     let kill = |at_ms| Kill { at_ms, share: 0.95, down_ms: 500 };
     let cases = [
-        Case { what: "every send fails", per_second: 300.0, faults: failing() },
+        Case { name: "every send fails", per_second: 300.0, faults: failing() },
         Case {
-            what: "gateways are killed in series",
+            name: "gateways are killed in series",
             per_second: 300.0,
             faults: Faults { kills: [13_200, 16_200, 19_200].map(kill).into(), ..failing() },
         },
         Case {
-            what: "the same with few requests",
+            name: "the same with few requests",
             per_second: 40.0,
             faults: Faults { kills: [13_200, 16_200, 19_200].map(kill).into(), ..failing() },
         },
         Case {
-            what: "callers move to another region",
+            name: "callers move to another region",
             per_second: 300.0,
             faults: Faults {
                 moves: vec![(0, [1.0, 0.0, 0.0]), (13_000, [0.0, 1.0, 0.0])],
@@ -68,17 +68,17 @@
             },
         },
         Case {
-            what: "control processes start again",
+            name: "control processes start again",
             per_second: 40.0,
             faults: Faults { control_restarts: vec![12_500, 16_000], ..failing() },
         },
         Case {
-            what: "regions are cut off from each other",
+            name: "regions are cut off from each other",
             per_second: 40.0,
             faults: Faults { partition: Some(11_000..24_000), ..failing() },
         },
         Case {
-            what: "gateways are killed in a cut",
+            name: "gateways are killed in a cut",
             per_second: 40.0,
             faults: Faults {
                 kills: vec![kill(4_000)],
@@ -88,10 +88,10 @@
         },
     ];
     let mut lines = Vec::new();
-    for Case { what, per_second, faults } in cases {
+    for Case { name, per_second, faults } in cases {
         for gateways in [8, 100, 300] {
             let scenario = scenario(gateways, per_second, faults.clone());
-            lines.extend(violations(what, &scenario, 0..3));
+            lines.extend(violations(name, &scenario, 0..3));
         }
     }
     assert!(lines.is_empty(), "{}", lines.join("\n"));
@@ -102,30 +102,30 @@
 #[test]
 fn late_repeats_stay_within_the_budget() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         delays: Vec<Delay>,
     }
     let unknown = |time, share| Delay { time, share, is_known: false };
     let known = |time, share| Delay { time, share, is_known: true };
     let cases = [
-        Case { what: "the first ones are slow", delays: vec![known(4_000..4_600, 1.0)] },
-        Case { what: "a link is cut", delays: vec![unknown(4_000..8_000, 0.8)] },
+        Case { name: "the first ones are slow", delays: vec![known(4_000..4_600, 1.0)] },
+        Case { name: "a link is cut", delays: vec![unknown(4_000..8_000, 0.8)] },
         Case {
-            what: "links are cut again and again",
+            name: "links are cut again and again",
             delays: [4_000, 7_000, 14_000, 17_000].map(|at| unknown(at..at + 2_500, 0.6)).into(),
         },
-        Case { what: "a region is full", delays: vec![known(4_000..8_000, 0.7)] },
+        Case { name: "a region is full", delays: vec![known(4_000..8_000, 0.7)] },
         Case {
-            what: "a region is full, then another one",
+            name: "a region is full, then another one",
             delays: vec![known(4_000..8_000, 0.5), known(14_000..18_000, 0.8)],
         },
     ];
     let mut lines = Vec::new();
-    for Case { what, delays } in cases {
+    for Case { name, delays } in cases {
         for (gateways, per_second) in [(8, 300.0), (8, 1_200.0), (100, 2_400.0)] {
             let failures = vec![(4_000..34_000, 0.95)];
             let faults = Faults { failures, delays: delays.clone(), ..Faults::default() };
-            lines.extend(violations(what, &scenario(gateways, per_second, faults), 0..3));
+            lines.extend(violations(name, &scenario(gateways, per_second, faults), 0..3));
         }
     }
     assert!(lines.is_empty(), "{}", lines.join("\n"));
@@ -135,7 +135,7 @@
 #[test]
 fn requests_read_after_a_stall_earn_repeats_at_their_send_time() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         bursts: Vec<(Range<u64>, f64)>,
         stalls: Vec<Stall>,
         failures: Range<u64>,
@@ -143,31 +143,31 @@
     let stall = |time| Stall { time, share: 0.9 };
     let cases = [
         Case {
-            what: "they stall in a burst, and few callers come after it",
+            name: "they stall in a burst, and few callers come after it",
             bursts: vec![(6_000..10_000, 4.0), (10_000..34_000, 0.1)],
             stalls: vec![stall(6_000..12_000)],
             failures: 4_000..34_000,
         },
         Case {
-            what: "they stall twice",
+            name: "they stall twice",
             bursts: vec![(4_000..8_000, 4.0), (8_000..34_000, 0.1)],
             stalls: vec![stall(4_000..8_500), stall(9_000..14_000)],
             failures: 4_000..34_000,
         },
         Case {
-            what: "sends fail when the burst is over",
+            name: "sends fail when the burst is over",
             bursts: vec![(4_000..8_000, 4.0), (8_000..34_000, 0.2)],
             stalls: vec![stall(4_000..9_000)],
             failures: 18_100..34_000,
         },
     ];
     let mut lines = Vec::new();
-    for Case { what, bursts, stalls, failures } in cases {
+    for Case { name, bursts, stalls, failures } in cases {
         for (gateways, per_second) in [(8, 300.0), (8, 1_200.0), (100, 2_400.0)] {
             let failures = vec![(failures.clone(), 0.95)];
             let (bursts, stalls) = (bursts.clone(), stalls.clone());
             let faults = Faults { failures, bursts, stalls, ..Faults::default() };
-            lines.extend(violations(what, &scenario(gateways, per_second, faults), 0..3));
+            lines.extend(violations(name, &scenario(gateways, per_second, faults), 0..3));
         }
     }
     assert!(lines.is_empty(), "{}", lines.join("\n"));
--- a/crates/dispatch/tests/silence.rs
+++ b/crates/dispatch/tests/silence.rs
@@ -28,12 +28,12 @@
 fn working_or_irreplaceable_run_is_waited_for() {
     // Guards against ending a stream after a pause while its backend server is working on it.
     struct Case {
-        what: &'static str,
+        name: &'static str,
         run: SilentRun,
         action: SilenceAction,
     }
     let wait = |millis| SilenceAction::Wait(ms(millis));
-    let case = |what, run, action| Case { what, run, action };
+    let case = |name, run, action| Case { name, run, action };
     let cases = [
         case("nothing came for the usual time", DUE, SilenceAction::Search),
         case("far longer", SilentRun { silence: ms(9_000), ..DUE }, SilenceAction::Search),
@@ -109,8 +109,8 @@
             wait(90),
         ),
     ];
-    for Case { what, run, action } in cases {
-        assert_eq!(run.next_action(), action, "{what}: {run:?}");
+    for Case { name, run, action } in cases {
+        assert_eq!(run.next_action(), action, "{name}: {run:?}");
     }
 }
 
--- a/crates/dispatch/tests/stall.rs
+++ b/crates/dispatch/tests/stall.rs
@@ -7,48 +7,48 @@
 #[test]
 fn requests_read_after_a_stall_may_be_as_old_as_the_stall() {
     struct Case {
-        what: &'static str,
+        name: &'static str,
         checks: &'static [u64],
         /// Times at which requests are read, with the earliest time at which they may have been
         /// sent.
         reads: &'static [(u64, u64)],
     }
     let cases = [
-        Case { what: "never checked", checks: &[], reads: &[(5_000, 5_000)] },
+        Case { name: "never checked", checks: &[], reads: &[(5_000, 5_000)] },
         Case {
-            what: "no stall",
+            name: "no stall",
             checks: &[0, 250, 500, 900],
             reads: &[(901, 901), (1_300, 1_300)],
         },
         Case {
-            what: "read before the check notices",
+            name: "read before the check notices",
             checks: &[0, 250],
             reads: &[(700, 700), (4_000, 250)],
         },
         Case {
-            what: "read until the process has run for as long",
+            name: "read until the process has run for as long",
             checks: &[0, 250, 4_250],
             reads: &[(4_251, 250), (4_600, 250)],
         },
         Case {
-            what: "all of it is read",
+            name: "all of it is read",
             checks: &[0, 250, 1_250, 1_500, 1_750, 2_000, 2_250],
             reads: &[(2_249, 250), (2_250, 2_250)],
         },
         Case {
-            what: "another stall before all of it is read",
+            name: "another stall before all of it is read",
             checks: &[0, 250, 4_250, 4_500, 6_500],
             reads: &[(6_600, 250), (12_749, 250)],
         },
     ];
     let at = |millis: &u64| MonotonicTime(Duration::from_millis(*millis));
-    for Case { what, checks, reads } in cases {
+    for Case { name, checks, reads } in cases {
         let mut watch = StallDetector::new(Duration::from_millis(250));
         for check in checks {
             let _stall: Option<Duration> = watch.check(at(check));
         }
         for (read, sent) in reads {
-            assert_eq!(watch.sent_since(at(read)), at(sent), "{what}, read at {read}");
+            assert_eq!(watch.sent_since(at(read)), at(sent), "{name}, read at {read}");
         }
     }
 }
--- a/crates/dispatch/tests/support/backoff_simulation.rs
+++ b/crates/dispatch/tests/support/backoff_simulation.rs
@@ -104,7 +104,7 @@
     run: u32,
     engine: usize,
     ticket: TicketId,
-    what: Step,
+    step: Step,
 }
 
 enum Step {
@@ -266,10 +266,10 @@
         gateway: usize,
         engine: usize,
         ticket: TicketId,
-        what: Step,
+        step: Step,
     ) {
         let run = self.runs[gateway];
-        self.messages.push(Message { due_ms, gateway, run, engine, ticket, what });
+        self.messages.push(Message { due_ms, gateway, run, engine, ticket, step });
     }
 
     fn deliver_messages(&mut self) {
@@ -278,7 +278,7 @@
             std::mem::take(&mut self.messages).into_iter().partition(|t| t.due_ms <= now_ms);
         self.messages = later;
         for message in due {
-            match message.what {
+            match message.step {
                 Step::Arrive => self.arrive(&message),
                 Step::Answer(stated, outcome) => {
                     let Message { gateway, run, engine, ticket, .. } = message;
@@ -318,8 +318,8 @@
             }
         };
         let due_ms = self.now_ms + work_ms + self.link_delay_ms();
-        let what = Step::Answer(stated, outcome);
-        self.messages.push(Message { due_ms, gateway, run, engine, ticket, what });
+        let step = Step::Answer(stated, outcome);
+        self.messages.push(Message { due_ms, gateway, run, engine, ticket, step });
     }
 
     fn answer(
--- a/crates/dispatch/tests/support/engine.rs
+++ b/crates/dispatch/tests/support/engine.rs
@@ -95,7 +95,7 @@
     }
 
     /// Queues a request, of which `copied` tokens are copied from another engine.
-    pub(crate) fn take(
+    pub(crate) fn enqueue(
         &mut self,
         owner: Owner,
         priority: u8,
--- a/crates/dispatch/tests/support/simulation.rs
+++ b/crates/dispatch/tests/support/simulation.rs
@@ -156,7 +156,7 @@
                 self.report_regions(ms);
             }
             for delivery in self.deliveries.remove(&ms).unwrap_or_default() {
-                self.take(delivery, ms);
+                self.handle(delivery, ms);
             }
             self.advance_engines(ms);
             self.disconnect_callers(ms);
@@ -402,7 +402,7 @@
         }
         self.seen_parts.extend(shape.shared_parts().iter().map(|p| p.id));
         let now = (ms + ENGINE_DELAY_MS) as f64;
-        self.engines[engine].take(owner, priority, &shape, answer, copied, now);
+        self.engines[engine].enqueue(owner, priority, &shape, answer, copied, now);
     }
 
     fn advance_engines(&mut self, ms: u64) {
@@ -445,7 +445,7 @@
         }
     }
 
-    fn take(&mut self, delivery: Delivery, ms: u64) {
+    fn handle(&mut self, delivery: Delivery, ms: u64) {
         match delivery {
             Delivery::Hints { to, hints } => self.gateways[to].note_hints(hints, at(ms)),
             Delivery::Arrive { caller, gateway } => self.submit(caller, gateway, true, ms),
