--- a/crates/dispatch/src/backoff.rs
+++ b/crates/dispatch/src/backoff.rs
@@ -23,7 +23,7 @@
 const MAX_SPREAD: Duration = Duration::from_secs(1);
 
 /// A gateway whose first requests after a back-off got no answer sends again after this time.
-const TRIAL_PAUSE: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The number of accepted requests that ends the slow start.
 const SLOW_START_ACCEPTS: u32 = 8;
@@ -146,7 +146,7 @@
         let next = match sent {
             0 => until + resume_delay(position()),
             _ if sent <= accepted * 2 => now,
-            _ => last_sent + TRIAL_PAUSE,
+            _ => last_sent + PROBE_INTERVAL,
         };
         (next > now).then_some(next)
     }
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -32,7 +32,7 @@
     /// Consecutive failures that raise suspicion.
     failures: u32,
     suspect_until: Option<MonotonicTime>,
-    trial_sent: Option<MonotonicTime>,
+    probe_sent: Option<MonotonicTime>,
     failure_rate: DecayingAverage,
     rejection_rate: DecayingAverage,
 }
@@ -40,7 +40,7 @@
 impl HealthRecord {
     /// Records an outcome.
     pub fn note(&mut self, outcome: WorkOutcome, now: MonotonicTime) {
-        self.trial_sent = None;
+        self.probe_sent = None;
         match outcome {
             WorkOutcome::Answered => self.clear_suspicion(0.0, now),
             // A complete error response shows that the server works. Its failure rate is weighed
@@ -59,14 +59,14 @@
     pub fn is_suspect(&self, now: MonotonicTime) -> bool {
         let Some(until) = self.suspect_until else { return false };
         // Only one probe at a time. A probe that never ended is forgotten after the longest pause.
-        let is_tried = self.trial_sent.is_some_and(|at| now.since(at) < MAX_PAUSE);
-        now < until || is_tried
+        let is_probing = self.probe_sent.is_some_and(|at| now.since(at) < MAX_PAUSE);
+        now < until || is_probing
     }
 
     /// Records that a request is sent.
     pub fn note_send(&mut self, now: MonotonicTime) {
         if self.suspect_until.is_some() {
-            self.trial_sent = Some(now);
+            self.probe_sent = Some(now);
         }
     }
 
--- a/crates/dispatch/src/limit.rs
+++ b/crates/dispatch/src/limit.rs
@@ -8,10 +8,10 @@
 };
 
 /// A limit that was not confirmed for this long may have been lifted, and is probed.
-const TRIAL_PAUSE: Duration = Duration::from_secs(10);
+const PROBE_DELAY: Duration = Duration::from_secs(10);
 
 /// The time between the probes of two gateways.
-const TRIAL_SPACING: Duration = Duration::from_secs(4);
+const PROBE_SPACING: Duration = Duration::from_secs(4);
 
 /// A limit on the requests per second that a backend server takes from all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -85,9 +85,9 @@
 
     /// Returns when a gateway without a share of the limit may send a request to learn whether the
     /// limit is still stated. Gateways do so one after another, in the order of their `rank`.
-    pub(crate) fn next_trial(&self, rank: usize) -> MonotonicTime {
+    pub(crate) fn next_probe(&self, rank: usize) -> MonotonicTime {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        self.received + TRIAL_PAUSE + TRIAL_SPACING.saturating_mul(rank)
+        self.received + PROBE_DELAY + PROBE_SPACING.saturating_mul(rank)
     }
 
     /// Records the limit stated in an answer that was received at `received`. Returns whether it
--- a/crates/dispatch/src/scheduler/place.rs
+++ b/crates/dispatch/src/scheduler/place.rs
@@ -282,7 +282,7 @@
         let bound = RateBound::stated(backend.statements.limit.limit()?);
         let position = self.gateways.position(&backend.info.name, now);
         let next = self.next_send(backend, &bound, position, now);
-        let next = next.unwrap_or_else(|| backend.statements.limit.next_trial(position.rank));
+        let next = next.unwrap_or_else(|| backend.statements.limit.next_probe(position.rank));
         (next > now).then_some(next)
     }
 
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work.rs
@@ -62,8 +62,8 @@
     /// When the request arrived at the first gateway.
     pub arrived: MonotonicTime,
     /// When the caller stops waiting or the timeout of the route expires.
-    pub ends: MonotonicTime,
-    /// When the answer has to begin, as the caller would leave otherwise. Not later than `ends`.
+    pub deadline: MonotonicTime,
+    /// When the answer has to begin, as the caller would leave otherwise. Not later than `deadline`.
     pub first_byte_deadline: MonotonicTime,
     /// The prompt, if the request has one.
     pub prompt: Option<PromptShape>,
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -160,7 +160,7 @@
         route: Rc::clone(route),
         workspace: None,
         arrived: now,
-        ends: now + route.timeout,
+        deadline: now + route.timeout,
         first_byte_deadline: now + route.timeout,
         prompt,
         tried: Vec::new(),
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -151,7 +151,7 @@
             service: item.service.clone(),
             workspace: item.workspace.as_ref().map(|workspace| workspace.name.clone()),
             waited: now.since(item.arrived),
-            left: item.ends.since(now),
+            left: item.deadline.since(now),
             prompt: call.prompt.clone(),
             resume_after,
             print: None,
--- a/crates/proxy/src/journey.rs
+++ b/crates/proxy/src/journey.rs
@@ -166,7 +166,7 @@
             route,
             workspace,
             arrived,
-            ends,
+            deadline: ends,
             first_byte_deadline,
             prompt: call.prompt.clone(),
             tried: Vec::new(),
@@ -210,12 +210,12 @@
 
     /// The answer has begun for the caller, who waits to the end now.
     pub(crate) fn note_begun(&mut self) {
-        self.item.first_byte_deadline = self.item.ends;
+        self.item.first_byte_deadline = self.item.deadline;
     }
 
     /// The limit that is reached when nothing is left.
     pub(crate) fn reached_limit(&self) -> WaitLimit {
-        match self.item.first_byte_deadline < self.item.ends {
+        match self.item.first_byte_deadline < self.item.deadline {
             true => WaitLimit::FirstEvent,
             false => self.bound,
         }
--- a/crates/proxy/src/journey/sending.rs
+++ b/crates/proxy/src/journey/sending.rs
@@ -67,7 +67,7 @@
         if let Some(charge) = &mut self.charge {
             charge.note_sent();
         }
-        let left = self.item.ends.since(self.now());
+        let left = self.item.deadline.since(self.now());
         let proxy = self.proxy.clone();
         let flight = self.sends.begin();
         match found {
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -321,7 +321,7 @@
         route: Rc::new(route),
         workspace: None,
         arrived: now,
-        ends: now + Duration::from_secs(5),
+        deadline: now + Duration::from_secs(5),
         first_byte_deadline: now + Duration::from_secs(5),
         prompt: None,
         tried: vec![],
