--- a/crates/proxy/src/execution.rs
+++ b/crates/proxy/src/execution.rs
@@ -194,7 +194,7 @@
             route,
             workspace,
             arrived,
-            ends,
+            deadline: ends,
             first_byte_deadline,
             prompt: request.prompt.clone(),
             tried: Vec::new(),
@@ -240,12 +240,12 @@
 
     /// Notes that the response has begun. From now on the caller waits until its end.
     pub(crate) fn note_response_begun(&mut self) {
-        self.item.first_byte_deadline = self.item.ends;
+        self.item.first_byte_deadline = self.item.deadline;
     }
 
     /// Returns the limit that is reached when no time is left.
     pub(crate) fn reached_limit(&self) -> WaitLimit {
-        match self.item.first_byte_deadline < self.item.ends {
+        match self.item.first_byte_deadline < self.item.deadline {
             true => WaitLimit::FirstEvent,
             false => self.total_limit,
         }
--- a/crates/proxy/src/execution/sending.rs
+++ b/crates/proxy/src/execution/sending.rs
@@ -67,7 +67,7 @@
         if let Some(charge) = &mut self.charge {
             charge.note_sent();
         }
-        let left = self.item.ends.since(self.now());
+        let left = self.item.deadline.since(self.now());
         let proxy = self.proxy.clone();
         let tracked_send = self.sends.begin();
         match found {
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -153,7 +153,7 @@
             service: item.service.clone(),
             workspace: item.workspace.as_ref().map(|workspace| workspace.name.clone()),
             waited: now.since(item.arrived),
-            left: item.ends.since(now),
+            left: item.deadline.since(now),
             prompt: request.prompt.clone(),
             resume_after,
             print: None,
