--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -10,7 +10,7 @@
 };
 
 /// The most bytes of an announcement.
-const ANNOUNCEMENT_LIMIT: usize = 256 << 10;
+const ANNOUNCEMENT_LIMIT_BYTES: usize = 256 << 10;
 
 impl Gateway {
     pub(crate) async fn announce(
@@ -18,7 +18,7 @@
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let (head, body) = request.into_parts();
-        let body = body.collect(ANNOUNCEMENT_LIMIT).await?;
+        let body = body.collect(ANNOUNCEMENT_LIMIT_BYTES).await?;
         let announcement = Announcement::try_from(body.as_ref()).map_err(|e| {
             ApiError::new(StatusCode::BAD_REQUEST, "invalid_announcement", e.to_string())
         })?;
@@ -44,7 +44,7 @@
         let token = announcer_token(headers);
         for profile in announcement.profile.as_ref().into_iter().chain(known) {
             for document in view.documents().filter(|document| serves(profile, document)) {
-                check_rules(document, &announcement.name, token)?;
+                check_announce_rules(document, &announcement.name, token)?;
             }
         }
         Ok(())
@@ -63,7 +63,7 @@
     model || plain
 }
 
-fn check_rules(
+fn check_announce_rules(
     document: &ServiceDocument,
     name: &BackendName,
     token: Option<TokenHash>,
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records that the request ran and that its answer is not kept.
-    pub(crate) async fn store_unkept(self) {
+    pub(crate) async fn store_outcome_only(self) {
         self.permit.ran_unkept().await;
     }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
+        attempt_guard::AttemptGuard,
         call::{CallPlan, ContentHeader},
         forward::{FORWARD_METHOD, ForwardReply, ForwardRequest},
         gateway::Gateway,
-        work::WorkGuard,
     },
     bytes::Bytes,
     futures::StreamExt,
@@ -46,20 +46,20 @@
     pub(crate) region: RegionName,
     /// `NotRun` only where the backend server itself says so of a request it found faulty.
     pub(crate) run: RunState,
-    pub(crate) work: WorkGuard,
+    pub(crate) guard: AttemptGuard,
 }
 
 /// Who gives an answer.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerPlace {
+pub(crate) struct AnswerSource {
     pub(crate) backend: BackendName,
     pub(crate) region: RegionName,
 }
 
 impl AttemptAnswer {
     /// Who gives it.
-    pub(crate) fn place(&self) -> AnswerPlace {
-        AnswerPlace { backend: self.backend.clone(), region: self.region.clone() }
+    pub(crate) fn source(&self) -> AnswerSource {
+        AnswerSource { backend: self.backend.clone(), region: self.region.clone() }
     }
 }
 
@@ -87,13 +87,13 @@
 
 /// Where a local attempt goes, copied out of the table.
 #[derive(Debug, Clone)]
-pub(crate) struct BackendPlace {
+pub(crate) struct SelectedBackend {
     pub(crate) run: BackendRun,
     pub(crate) address: SocketAddr,
     pub(crate) prefill_tokens: u64,
 }
 
-impl BackendPlace {
+impl SelectedBackend {
     pub(crate) fn new(view: &BackendView<'_>, prefill_tokens: u64) -> Self {
         let run = BackendRun { backend: view.name.clone(), incarnation: view.incarnation };
         Self { run, address: view.address, prefill_tokens }
@@ -109,27 +109,29 @@
     pub(crate) async fn attempt_local(
         &self,
         plan: &CallPlan,
-        place: &BackendPlace,
-        mut work: WorkGuard,
+        selected: &SelectedBackend,
+        mut guard: AttemptGuard,
     ) -> Result<AttemptAnswer, AttemptFailure> {
         let blocks = &plan.prompt.blocks;
-        let Some(guard) = self.backends.dispatch(place.name(), place.prefill_tokens, blocks) else {
+        let Some(dispatch_guard) =
+            self.backends.dispatch(selected.name(), selected.prefill_tokens, blocks)
+        else {
             return Err(not_run(
                 "the backend server took no more requests before this one was sent",
             ));
         };
-        work.dispatch = Some(guard);
-        work.cost = Some(self.cost_meter(plan));
-        self.emit(plan, "request.dispatched", |e| e.field("backend", place.name()));
+        guard.dispatch = Some(dispatch_guard);
+        guard.engine_time = Some(self.engine_time_meter(plan));
+        self.emit(plan, "request.dispatched", |e| e.field("backend", selected.name()));
         let mut request = self.backend_request(plan)?;
-        let mut open = self.open_sends.begin(&place.run);
+        let mut open = self.pending_sends.begin(&selected.run);
         request.extensions_mut().insert(open.permit.clone());
-        let sent = send_unless_revoked(&*self.client, place.address, request, &mut open.revoked);
-        let reply = sent.await.map_err(|e| self.failed_send(place, &e))?;
+        let sent = send_unless_revoked(&*self.client, selected.address, request, &mut open.revoked);
+        let reply = sent.await.map_err(|e| self.send_failure(selected, &e))?;
         drop(open);
-        self.note_statements(place, &reply.head);
-        self.check_reply(plan, place, &reply)?;
-        let run = match stated_run(&reply.head.headers) {
+        self.apply_statements(selected, &reply.head);
+        self.check_reply(plan, selected, &reply)?;
+        let run = match reported_run_state(&reply.head.headers) {
             Some(RunState::NotRun) => RunState::NotRun,
             _ => RunState::Run,
         };
@@ -137,10 +139,10 @@
             status: reply.head.status,
             headers: content_headers(reply.head.headers),
             body: reply.body.into_stream(),
-            backend: place.name().clone(),
+            backend: selected.name().clone(),
             region: self.config.region.clone(),
             run,
-            work,
+            guard,
         })
     }
 
@@ -160,27 +162,29 @@
         let id = id_value(plan.id);
         headers.insert(REQUEST_HEADER, id.clone());
         headers.insert(ENGINE_REQUEST_HEADER, id);
-        headers.insert(PRIORITY_HEADER, HeaderValue::from(priority_number(plan)));
+        headers.insert(PRIORITY_HEADER, HeaderValue::from(engine_priority(plan)));
         if plan.offset > 0 {
             headers.insert(OFFSET_HEADER, HeaderValue::from(plan.offset));
         }
         let remaining = self.remaining(plan);
         request.extensions_mut().insert(HeadTimeout(remaining));
-        if !plan.is_repeatable() {
+        if !plan.is_idempotent() {
             request.extensions_mut().insert(FreshConnection);
         }
         Ok(request)
     }
 
-    fn failed_send(&self, place: &BackendPlace, error: &ClientError) -> AttemptFailure {
+    fn send_failure(&self, selected: &SelectedBackend, error: &ClientError) -> AttemptFailure {
         if let ClientError::Revoked { .. } = error {
             return not_run("the backend server wanted nothing more before this one was sent");
         }
-        self.backends.note_failure(place.name());
+        self.backends.note_failure(selected.name());
         self.events.emit(
-            EventDraft::new("backend.failed").field("backend", place.name()).error("reason", error),
+            EventDraft::new("backend.failed")
+                .field("backend", selected.name())
+                .error("reason", error),
         );
-        let reason = format!("backend server {} did not answer", place.name());
+        let reason = format!("backend server {} did not answer", selected.name());
         match error.nothing_sent() {
             true => AttemptFailure::NotRun { reason },
             false => AttemptFailure::Unknown { reason },
@@ -192,22 +196,22 @@
     fn check_reply(
         &self,
         plan: &CallPlan,
-        place: &BackendPlace,
+        selected: &SelectedBackend,
         reply: &ClientReply,
     ) -> Result<(), AttemptFailure> {
         let headers = &reply.head.headers;
         if headers.get(REQUEST_HEADER).is_some_and(|id| *id != id_value(plan.id)) {
             self.metrics.breached(Promise::OwnAnswer);
-            self.emit(plan, "answer.swapped", |e| e.field("backend", place.name()));
+            self.emit(plan, "answer.swapped", |e| e.field("backend", selected.name()));
             return Err(unknown("the backend server answered another request"));
         }
         let status = reply.head.status;
         let refused =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        if refused && stated_run(headers) == Some(RunState::NotRun) {
+        if refused && reported_run_state(headers) == Some(RunState::NotRun) {
             return Err(not_run("the backend server refused the request"));
         }
-        if status.is_server_error() && plan.is_repeatable() {
+        if status.is_server_error() && plan.is_idempotent() {
             return Err(unknown("the backend server failed"));
         }
         Ok(())
@@ -220,11 +224,11 @@
         region: &RegionName,
     ) -> Result<AttemptAnswer, AttemptFailure> {
         let message = Bytes::from(encode(&self.forward_request(plan)));
-        for address in self.directory.gateways(region) {
+        for address in self.directory.gateway_addresses(region) {
             let opened = self.transport.open(address, FORWARD_METHOD, message.clone()).await;
             match opened {
                 Ok(stream) => return self.forward_answer(plan, region, address, stream).await,
-                Err(error) => match self.failed_forward(address, &error) {
+                Err(error) => match self.forward_failure(address, &error) {
                     AttemptFailure::NotRun { .. } => {}
                     failure => return Err(failure),
                 },
@@ -246,7 +250,7 @@
             headers: plan.content.headers.clone(),
             body: plan.content.body.to_vec(),
             streamed: plan.content.streamed,
-            repeatable: plan.is_repeatable(),
+            repeatable: plan.is_idempotent(),
             remaining_millis: u64::try_from(self.remaining(plan).as_millis()).unwrap_or(u64::MAX),
             offset: plan.offset,
             prompt_tokens: plan.prompt.tokens,
@@ -255,7 +259,7 @@
         }
     }
 
-    fn failed_forward(&self, address: SocketAddr, error: &PeerError) -> AttemptFailure {
+    fn forward_failure(&self, address: SocketAddr, error: &PeerError) -> AttemptFailure {
         self.directory.note_failure(address);
         self.events
             .emit(EventDraft::new("forward.failed").field("peer", address).error("reason", error));
@@ -275,7 +279,7 @@
         let first = timeout(&*self.context.clock, self.remaining(plan), stream.next()).await;
         let first = match first {
             Some(Some(Ok(bytes))) => bytes,
-            Some(Some(Err(error))) => return Err(self.failed_forward(address, &error)),
+            Some(Some(Err(error))) => return Err(self.forward_failure(address, &error)),
             Some(None) => return Err(unknown("the other region's answer has no head")),
             None => return Err(unknown("the other region did not answer in time")),
         };
@@ -287,11 +291,11 @@
                     status: StatusCode::from_u16(status)
                         .map_err(|_| unknown("the other region's status is not one"))?,
                     headers,
-                    body: Box::pin(stream.map(|item| item.map_err(broken_forward))),
+                    body: Box::pin(stream.map(|item| item.map_err(incomplete_forward))),
                     backend,
                     region: region.clone(),
                     run: if ran { RunState::Run } else { RunState::NotRun },
-                    work: WorkGuard::default(),
+                    guard: AttemptGuard::default(),
                 })
             }
             ForwardReply::Answer { .. } => {
@@ -318,7 +322,7 @@
     AttemptFailure::Unknown { reason: reason.to_owned() }
 }
 
-fn broken_forward(error: PeerError) -> BodyError {
+fn incomplete_forward(error: PeerError) -> BodyError {
     BodyError::Incomplete { reason: error.to_string() }
 }
 
@@ -327,12 +331,12 @@
 }
 
 /// What a backend server says of whether the request ran.
-pub(crate) fn stated_run(headers: &HeaderMap) -> Option<RunState> {
+pub(crate) fn reported_run_state(headers: &HeaderMap) -> Option<RunState> {
     headers.get(RunState::HEADER).and_then(RunState::from_value)
 }
 
 /// The priority as engines take it: a whole number, the higher the more urgent.
-fn priority_number(plan: &CallPlan) -> i32 {
+fn engine_priority(plan: &CallPlan) -> i32 {
     match plan.priority {
         Priority::High => 1,
         Priority::Normal => 0,
--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -10,21 +10,21 @@
 };
 
 /// How long a request holds a slot where none has been measured yet.
-const FIRST_HOLD: Duration = Duration::from_secs(4);
+const DEFAULT_HOLDING_TIME: Duration = Duration::from_secs(4);
 
 /// Weight of a new sample in the average hold.
-const HOLD_WEIGHT: f64 = 0.05;
+const HOLDING_TIME_EWMA_WEIGHT: f64 = 0.05;
 
 /// A slot of this gateway and a count at the backend server. Dropped when the answer has ended or
 /// was given up, however that came about.
 #[derive(Default)]
-pub(crate) struct WorkGuard {
+pub(crate) struct AttemptGuard {
     pub(crate) _permit: Option<AdmissionPermit>,
     pub(crate) dispatch: Option<DispatchGuard>,
-    pub(crate) cost: Option<CostMeter>,
+    pub(crate) engine_time: Option<EngineTimeMeter>,
 }
 
-impl WorkGuard {
+impl AttemptGuard {
     /// The backend server has begun to answer.
     pub(crate) fn first_token(&self) {
         if let Some(dispatch) = &self.dispatch {
@@ -35,36 +35,36 @@
 
 /// Counts the seconds that a request occupies a backend server: the cost measure, and the average
 /// hold that the decision needs.
-pub(crate) struct CostMeter {
+pub(crate) struct EngineTimeMeter {
     pub(crate) metrics: Rc<MetricSet>,
     pub(crate) clock: Rc<dyn Clock>,
     pub(crate) model: ModelName,
-    pub(crate) holds: Rc<HoldTable>,
-    pub(crate) changes: Rc<ChangeSignal>,
+    pub(crate) holding_times: Rc<HoldingTimes>,
+    pub(crate) capacity_signal: Rc<CapacitySignal>,
     pub(crate) started: MonotonicTime,
 }
 
-impl Drop for CostMeter {
+impl Drop for EngineTimeMeter {
     fn drop(&mut self) {
         let time = self.clock.now().since(self.started);
         self.metrics.engine_time(&self.model, time);
-        self.holds.record(&self.model, time);
-        self.changes.notify();
+        self.holding_times.record(&self.model, time);
+        self.capacity_signal.notify();
     }
 }
 
 /// The average time a request of each model holds a slot, as an exponentially weighted mean.
 #[derive(Debug, Default)]
-pub(crate) struct HoldTable {
+pub(crate) struct HoldingTimes {
     seconds: RefCell<HashMap<ModelName, f64>>,
 }
 
-impl HoldTable {
+impl HoldingTimes {
     pub(crate) fn record(&self, model: &ModelName, time: Duration) {
         let mut table = self.seconds.borrow_mut();
         let sample = time.as_secs_f64();
         match table.get_mut(model) {
-            Some(seconds) => *seconds += HOLD_WEIGHT * (sample - *seconds),
+            Some(seconds) => *seconds += HOLDING_TIME_EWMA_WEIGHT * (sample - *seconds),
             None => {
                 table.insert(model.clone(), sample);
             }
@@ -73,19 +73,19 @@
 
     pub(crate) fn get(&self, model: &ModelName) -> Duration {
         let seconds = self.seconds.borrow().get(model).copied();
-        seconds.map_or(FIRST_HOLD, Duration::from_secs_f64)
+        seconds.map_or(DEFAULT_HOLDING_TIME, Duration::from_secs_f64)
     }
 }
 
 /// Wakes requests that wait for a slot when one may have become free.
 #[derive(Debug, Default)]
-pub(crate) struct ChangeSignal {
+pub(crate) struct CapacitySignal {
     waiters: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
-impl ChangeSignal {
+impl CapacitySignal {
     /// Completes at the next [`notify`](Self::notify).
-    pub(crate) async fn next(&self) {
+    pub(crate) async fn notified(&self) {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().push(sender);
         let _notified = receiver.await;
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,7 +1,7 @@
 //! One request of a caller, checked and ready to be placed.
 
 use {
-    crate::{memory::MemoryShare, span::RequestSpan},
+    crate::{memory::MemoryReservation, span::RequestSpan},
     bytes::Bytes,
     gullglade_backend::PromptBlocks,
     gullglade_document::{Priority, ServiceDocument, ServiceTarget},
@@ -25,7 +25,7 @@
     pub(crate) content: CallContent,
     pub(crate) prompt: PromptBlocks,
     pub(crate) max_tokens: u64,
-    pub(crate) guard: RepeatGuard,
+    pub(crate) idempotency: Idempotency,
     pub(crate) received: MonotonicTime,
     pub(crate) deadline: MonotonicTime,
     /// The region of the gateway that took the request from its caller, where it came from there.
@@ -35,7 +35,7 @@
     /// The account of the caller's request; shared by all copies of the plan.
     pub(crate) span: Rc<RequestSpan>,
     /// The memory of the body, given back when the last copy of the plan is dropped.
-    pub(crate) memory: MemoryShare,
+    pub(crate) memory: MemoryReservation,
 }
 
 /// What goes to the backend server.
@@ -57,24 +57,24 @@
 
 /// Whether a request may be run again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum RepeatGuard {
+pub(crate) enum Idempotency {
     /// Idempotent: may be retried and resumed.
-    Repeatable,
+    Idempotent,
     /// Non-idempotent without a key: never retried once dispatched.
-    Once,
+    NonIdempotent,
     /// Non-idempotent under a key: claimed before it is dispatched, never retried after.
-    Claimed(OrderKey),
+    Keyed(OrderKey),
 }
 
 impl CallPlan {
     /// Whether another attempt may follow one that may have run.
-    pub(crate) fn is_repeatable(&self) -> bool {
-        self.guard == RepeatGuard::Repeatable
+    pub(crate) fn is_idempotent(&self) -> bool {
+        self.idempotency == Idempotency::Idempotent
     }
 
     /// Whether it runs under a key.
-    pub(crate) fn is_claimed(&self) -> bool {
-        matches!(self.guard, RepeatGuard::Claimed(_))
+    pub(crate) fn is_keyed(&self) -> bool {
+        matches!(self.idempotency, Idempotency::Keyed(_))
     }
 
     /// The service that the request belongs to.
--- a/crates/gateway/src/claimed.rs
+++ b/crates/gateway/src/claimed.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        call::{CallPlan, RepeatGuard},
+        call::{CallPlan, Idempotency},
         gateway::Gateway,
-        place::AttemptHistory,
+        placement::AttemptHistory,
         refusal,
     },
     gullglade_claim::{
@@ -22,7 +22,7 @@
 const REPLAYED_HEADER: HeaderName = HeaderName::from_static("gullglade-replayed");
 
 /// When to resend while another send is running.
-const RESEND_AFTER: Duration = Duration::from_secs(2);
+const RESEND_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// How far the claim on a request's key has come.
 #[derive(Debug, Default)]
@@ -39,7 +39,7 @@
 /// What a claim means for the request.
 enum ClaimStep {
     /// Place it.
-    Go(ClaimStage),
+    Proceed(ClaimStage),
     /// Answer this.
     Reply(Box<Response<ReplyBody>>),
 }
@@ -54,22 +54,22 @@
     ) -> Result<Response<ReplyBody>, ApiError> {
         let mut history = AttemptHistory::default();
         match self.claim(plan).await? {
-            ClaimStep::Go(stage) => history.claim = stage,
+            ClaimStep::Proceed(stage) => history.claim = stage,
             ClaimStep::Reply(response) => {
-                plan.span.set(RequestOutcome::Answered);
+                plan.span.set_outcome(RequestOutcome::Answered);
                 return Ok(*response);
             }
         }
         match answer(&mut history).await {
             Ok(response) => Ok(response),
-            Err(error) => Err(self.give_up_claim(&mut history, error).await),
+            Err(error) => Err(self.release_claim(&mut history, error).await),
         }
     }
 
     /// Claims the request's key, where it has one.
     async fn claim(&self, plan: &CallPlan) -> Result<ClaimStep, ApiError> {
-        let RepeatGuard::Claimed(key) = &plan.guard else {
-            return Ok(ClaimStep::Go(ClaimStage::None));
+        let Idempotency::Keyed(key) = &plan.idempotency else {
+            return Ok(ClaimStep::Proceed(ClaimStage::None));
         };
         let allowed_regions = match &plan.home {
             Some(home) => std::slice::from_ref(home),
@@ -103,7 +103,7 @@
 
     /// What a caller may be told after `error`, once the claim is given up. `not-run` stands only
     /// where the replicas agree that no send under the key has run.
-    async fn give_up_claim(&self, history: &mut AttemptHistory, error: ApiError) -> ApiError {
+    async fn release_claim(&self, history: &mut AttemptHistory, error: ApiError) -> ApiError {
         let proof = match std::mem::take(&mut history.claim) {
             ClaimStage::None => return error,
             ClaimStage::Granted(grant) => grant.release_not_run().await,
@@ -142,7 +142,7 @@
 
 fn claim_step(outcome: ClaimOutcome, key: &OrderKey) -> Result<ClaimStep, ApiError> {
     match outcome {
-        ClaimOutcome::Granted(grant) => Ok(ClaimStep::Go(ClaimStage::Granted(grant))),
+        ClaimOutcome::Granted(grant) => Ok(ClaimStep::Proceed(ClaimStage::Granted(grant))),
         ClaimOutcome::Answered(answer) => Ok(ClaimStep::Reply(Box::new(replay(&answer)))),
         ClaimOutcome::RanUnkept => Err(ApiError::new(
             StatusCode::CONFLICT,
@@ -157,7 +157,7 @@
             format!("another send under {key} may be running; resend the same to get its answer"),
         )
         .run(RunState::Unknown)
-        .retry_after(RESEND_AFTER)),
+        .retry_after(RESEND_RETRY_AFTER)),
         ClaimOutcome::Mismatch => Err(ApiError::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_reused",
@@ -179,7 +179,7 @@
         }
     };
     let run = if error.proves_not_run() { RunState::NotRun } else { RunState::Unknown };
-    ApiError::new(status, kind, error.to_string()).run(run).retry_after(RESEND_AFTER)
+    ApiError::new(status, kind, error.to_string()).run(run).retry_after(RESEND_RETRY_AFTER)
 }
 
 /// The stored answer of an earlier send.
--- a/crates/gateway/src/claimed/tests.rs
+++ b/crates/gateway/src/claimed/tests.rs
@@ -1,7 +1,7 @@
 //! What a caller is told when a claim is given up.
 
 use {
-    crate::testing::{BackendFate, DOCUMENT, TestGateway},
+    crate::testing::{BackendBehavior, DOCUMENT, TestGateway},
     gullglade_claim::{
         ClaimCoordinator, ClaimDriver, ClaimError, ClaimGrant, ClaimOutcome, ClaimRequest,
         ReleaseProof, RunResult,
@@ -55,9 +55,10 @@
     let document = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
     for case in cases {
         let claims = FixedProof { proof: case.proof };
-        let gateway =
-            TestGateway::with_claims(&document, false, BackendFate::Answers, |_| Rc::new(claims));
-        let (head, _body) = gateway.post("/services/order-desk/orders", "{}");
+        let gateway = TestGateway::with_claims(&document, false, BackendBehavior::Answers, |_| {
+            Rc::new(claims)
+        });
+        let (head, _body) = gateway.post_with_key("/services/order-desk/orders", "{}");
         assert_eq!(head.headers["gullglade-run"], case.run, "{head:?}");
         assert_eq!(gateway.client.sends.get(), 0);
     }
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         answer::{AnswerRecord, reply},
-        attempt::{AnswerPlace, AttemptAnswer},
+        attempt::{AnswerSource, AttemptAnswer},
         call::CallPlan,
         chat::AnswerChunk,
         gateway::Gateway,
-        place::AttemptHistory,
+        placement::AttemptHistory,
         relay::EventRelay,
     },
     bytes::Bytes,
@@ -18,7 +18,7 @@
 };
 
 /// The most bytes of an answer that is not streamed.
-const WHOLE_ANSWER_LIMIT: usize = 16 << 20;
+const BUFFERED_ANSWER_LIMIT_BYTES: usize = 16 << 20;
 
 impl Gateway {
     /// Answers `POST /v1/chat/completions` and `POST /v1/completions`.
@@ -27,42 +27,42 @@
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let plan = self.plan_completion(request).await?;
-        let answer = async |history: &mut AttemptHistory| self.first_answer(&plan, history).await;
+        let answer = async |history: &mut AttemptHistory| self.begin_answer(&plan, history).await;
         let outcome = self.answer_claimed(&plan, answer).await;
-        plan.span.set_refused(&outcome);
+        plan.span.set_error_outcome(&outcome);
         outcome
     }
 
     /// Attempts until an answer has begun well enough to be sent: an error of the status line can
     /// be told only before the first byte.
-    async fn first_answer(
+    async fn begin_answer(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
     ) -> Result<Response<ReplyBody>, ApiError> {
         loop {
-            let answer = self.place(plan, history).await?;
+            let answer = self.run_attempts(plan, history).await?;
             if is_event_stream(&answer) {
                 return EventRelay::start(self.clone(), plan.clone(), history, answer).await;
             }
-            let place = answer.place();
-            match self.whole_answer(plan, history, answer).await {
+            let source = answer.source();
+            match self.buffered_answer(plan, history, answer).await {
                 Some(response) => return Ok(response),
-                None => self.lost_answer(plan, &place, history)?,
+                None => self.handle_lost_answer(plan, &source, history)?,
             }
         }
     }
 
     /// Reads an answer to its end and checks that it is this request's. `None`: it is lost.
-    async fn whole_answer(
+    async fn buffered_answer(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
         mut answer: AttemptAnswer,
     ) -> Option<Response<ReplyBody>> {
-        let body = collect(&mut answer.body, WHOLE_ANSWER_LIMIT).await?;
-        answer.work.first_token();
-        if answer.status.is_success() && !self.is_own_answer(plan, &body) {
+        let body = collect_body(&mut answer.body, BUFFERED_ANSWER_LIMIT_BYTES).await?;
+        answer.guard.first_token();
+        if answer.status.is_success() && !self.answer_matches_request(plan, &body) {
             return None;
         }
         if let Some(mut record) =
@@ -71,12 +71,12 @@
             record.push(&body);
             record.store().await;
         }
-        self.note_first_token(plan);
-        plan.span.set(RequestOutcome::Answered);
+        self.record_first_token(plan);
+        plan.span.set_outcome(RequestOutcome::Answered);
         Some(reply(plan, &answer, ReplyBody::full(body)))
     }
 
-    fn is_own_answer(&self, plan: &CallPlan, body: &[u8]) -> bool {
+    fn answer_matches_request(&self, plan: &CallPlan, body: &[u8]) -> bool {
         let Ok(chunk) = serde_json::from_slice::<AnswerChunk<'_>>(body) else {
             self.emit(plan, "answer.malformed", |e| e);
             return false;
@@ -96,20 +96,20 @@
     }
 
     /// Notes an answer that began and was lost, and says whether the loop may go on.
-    pub(crate) fn lost_answer(
+    pub(crate) fn handle_lost_answer(
         &self,
         plan: &CallPlan,
-        place: &AnswerPlace,
+        source: &AnswerSource,
         history: &mut AttemptHistory,
     ) -> Result<(), ApiError> {
-        if place.region == self.config.region {
-            self.backends.note_failure(&place.backend);
+        if source.region == self.config.region {
+            self.backends.note_failure(&source.backend);
         }
-        self.emit(plan, "answer.lost", |e| e.field("backend", &place.backend));
+        self.emit(plan, "answer.lost", |e| e.field("backend", &source.backend));
         history.may_have_run = true;
-        match self.may_try_again(plan, history) {
+        match self.may_retry(plan, history) {
             true => Ok(()),
-            false => Err(self.give_up(plan, history)),
+            false => Err(self.final_error(plan, history)),
         }
     }
 }
@@ -121,7 +121,7 @@
 }
 
 /// The whole body, or `None` where it breaks off or is longer than `limit`.
-pub(crate) async fn collect(body: &mut LocalStream, limit: usize) -> Option<Bytes> {
+pub(crate) async fn collect_body(body: &mut LocalStream, limit: usize) -> Option<Bytes> {
     let mut whole = bytes::BytesMut::new();
     while let Some(piece) = body.next().await {
         let piece = piece.ok()?;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -17,7 +17,7 @@
     /// Most attempts for one request, the first included; 4.
     pub attempt_limit: u32,
     /// Most bytes of request bodies held at a time; 128 MiB.
-    pub body_memory: usize,
+    pub body_memory_bytes: usize,
     /// How long a resend waits for the answer of a send that is running; 10 s.
     pub claim_wait: Duration,
 }
@@ -30,7 +30,7 @@
             region,
             domain,
             attempt_limit: 4,
-            body_memory: 128 << 20,
+            body_memory_bytes: 128 << 20,
             claim_wait: Duration::from_secs(10),
         }
     }
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        attempt::BackendPlace,
+        attempt::SelectedBackend,
         call::CallPlan,
-        directory::RegionRow,
+        directory::RegionStatus,
         gateway::Gateway,
-        place::{AttemptHistory, admission_priority},
+        placement::{AttemptHistory, admission_priority},
     },
     gullglade_admission::PoolLimits,
     gullglade_backend::{BackendKind, BackendTarget, BackendView, PrefixHash},
@@ -25,8 +25,8 @@
 
 /// A decision, copied out of the borrowed rows.
 pub(crate) enum Placement {
-    Local(BackendPlace),
-    Away(RegionName),
+    Local(SelectedBackend),
+    Remote(RegionName),
     Wait(Duration),
     /// Every backend server that may take it has requested a back-off, the first until then.
     Backoff(MonotonicTime),
@@ -40,7 +40,7 @@
         history: &AttemptHistory,
         queue_wait: Duration,
     ) -> Placement {
-        let rows = self.directory.offers(&plan.target);
+        let rows = self.directory.region_statuses(&plan.target);
         let offers: Vec<RegionOffer<'_>> = rows
             .iter()
             .filter(|row| !history.failed_regions.contains(&row.region))
@@ -67,13 +67,14 @@
                 RouteDecision::Local { backend } => {
                     let cached = u64::from(candidates[backend].cached_tokens);
                     let prefill = plan.prompt.tokens.saturating_sub(cached);
-                    Placement::Local(BackendPlace::new(usable[backend], prefill))
+                    Placement::Local(SelectedBackend::new(usable[backend], prefill))
                 }
-                RouteDecision::Away { offer } => Placement::Away(offers[offer].region.clone()),
+                RouteDecision::Away { offer } => Placement::Remote(offers[offer].region.clone()),
                 RouteDecision::Wait { at_most } => Placement::Wait(at_most),
                 RouteDecision::Refuse { reason, retry_after } => {
-                    let first_end = admitted().filter_map(|view| view.backoff_until).min();
-                    match first_end.filter(|_| reason == RefuseReason::NoBackend) {
+                    let earliest_backoff_end =
+                        admitted().filter_map(|view| view.backoff_until).min();
+                    match earliest_backoff_end.filter(|_| reason == RefuseReason::NoBackend) {
                         Some(until) => Placement::Backoff(until),
                         None => Placement::Refuse(reason, retry_after),
                     }
@@ -101,7 +102,7 @@
             model,
             role: if model.is_some() { BackendRole::Generate } else { BackendRole::Service },
             prompt_tokens: clamp_u32(plan.prompt.tokens),
-            hold: self.average_hold(&plan.target),
+            hold: self.average_holding_time(&plan.target),
             target: plan.document.target.first_token,
             deadline: Some(self.remaining(plan)),
             waited: now.since(plan.received),
@@ -119,7 +120,7 @@
     /// States how many requests this gateway may have running for `target`.
     pub(crate) fn refresh_capacity(&self, target: &ServiceTarget) {
         let model = target_model(target);
-        let gateways = self.directory.members();
+        let gateways = self.directory.gateway_count();
         let GladeSettings { overcommit, reserve, .. } = GladeSettings::default();
         let capacity = self.backends.with_candidates(backend_target(target), |views| {
             // What one server cannot take for now must not be let through to the others. Where
@@ -148,7 +149,7 @@
     }
 }
 
-fn region_offer(row: &RegionRow) -> RegionOffer<'_> {
+fn region_offer(row: &RegionStatus) -> RegionOffer<'_> {
     RegionOffer {
         region: &row.region,
         reachable: row.reachable,
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -11,7 +11,7 @@
 
 /// Another region, as far as one target is concerned.
 #[derive(Debug, Clone)]
-pub struct RegionRow {
+pub struct RegionStatus {
     /// The region.
     pub region: RegionName,
     /// Whether a gateway there was heard of lately.
@@ -61,13 +61,13 @@
 /// Answers from what this process knows; never waits.
 pub trait RegionDirectory {
     /// Other regions that may take requests for `target`.
-    fn offers(&self, target: &ServiceTarget) -> Vec<RegionRow>;
+    fn region_statuses(&self, target: &ServiceTarget) -> Vec<RegionStatus>;
 
     /// Peer addresses of the gateways of `region`, the one to use first in front.
-    fn gateways(&self, region: &RegionName) -> Vec<SocketAddr>;
+    fn gateway_addresses(&self, region: &RegionName) -> Vec<SocketAddr>;
 
     /// Gateways of this region, this one included, that share its backend servers.
-    fn members(&self) -> usize {
+    fn gateway_count(&self) -> usize {
         1
     }
 
@@ -80,22 +80,22 @@
 
 /// The directory of a process: what its relay has heard of.
 pub struct RelayDirectory {
-    here: RegionName,
+    local_region: RegionName,
     relay: BackendRelay,
     table: EntryTable,
 }
 
 impl RelayDirectory {
     /// The directory of a gateway in `here`.
-    pub fn new(here: RegionName, relay: BackendRelay, context: ProcessContext) -> Self {
-        Self { here, table: EntryTable::new(relay.clone(), context), relay }
+    pub fn new(local_region: RegionName, relay: BackendRelay, context: ProcessContext) -> Self {
+        Self { local_region, table: EntryTable::new(relay.clone(), context), relay }
     }
 
-    fn row(&self, summary: RegionSummary) -> RegionRow {
+    fn region_status(&self, summary: RegionSummary) -> RegionStatus {
         let totals = summary.totals;
         // All gateways of this region read the same offer; each counts on its part of it.
         let share = 1.0 / self.relay.members().len().max(1) as f64;
-        RegionRow {
+        RegionStatus {
             region: summary.region,
             reachable: summary.is_reachable,
             link: summary.delay,
@@ -111,23 +111,23 @@
 }
 
 impl RegionDirectory for RelayDirectory {
-    fn offers(&self, target: &ServiceTarget) -> Vec<RegionRow> {
+    fn region_statuses(&self, target: &ServiceTarget) -> Vec<RegionStatus> {
         let summaries = self.relay.summaries(backend_target(target));
-        summaries.into_iter().map(|summary| self.row(summary)).collect()
+        summaries.into_iter().map(|summary| self.region_status(summary)).collect()
     }
 
-    fn members(&self) -> usize {
+    fn gateway_count(&self) -> usize {
         self.relay.members().len()
     }
 
-    fn gateways(&self, region: &RegionName) -> Vec<SocketAddr> {
+    fn gateway_addresses(&self, region: &RegionName) -> Vec<SocketAddr> {
         self.relay.contacts(region).into_iter().map(|contact| contact.peer_address).collect()
     }
 
     fn entry(&self, regions: &[RegionName]) -> EntryAnswer {
         let answer = self.table.answer(|region| regions.contains(region));
         let gateway = |entry: gullglade_backend::EntryGateway| EntryGateway {
-            rank: u32::from(entry.region != self.here),
+            rank: u32::from(entry.region != self.local_region),
             name: entry.vm,
             region: entry.region,
             url: format!("http://{}", entry.address),
--- a/crates/gateway/src/forward_server.rs
+++ b/crates/gateway/src/forward_server.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         attempt::AttemptAnswer,
-        call::{CallContent, CallPlan, RepeatGuard},
+        call::{CallContent, CallPlan, Idempotency},
         forward::{ForwardReply, ForwardRequest},
         gateway::Gateway,
-        place::AttemptHistory,
+        placement::AttemptHistory,
         span::RequestSpan,
     },
     bytes::Bytes,
@@ -58,7 +58,7 @@
         };
         self.emit(&plan, "forward.received", |e| e.optional("origin", plan.origin.as_ref()));
         let mut history = AttemptHistory::default();
-        match self.place(&plan, &mut history).await {
+        match self.run_attempts(&plan, &mut history).await {
             Ok(answer) => self.relay_forwarded(&plan, answer, reply).await,
             Err(error) => send_head(&mut reply, &refusal_reply(&error)).await,
         }
@@ -82,7 +82,7 @@
         let mut first = true;
         while let Some(piece) = answer.body.next().await {
             if std::mem::take(&mut first) {
-                answer.work.first_token();
+                answer.guard.first_token();
             }
             if piece.is_err() {
                 // The gateway that resumes the answer sends it back here, and must not meet the same
@@ -95,7 +95,7 @@
     }
 
     /// Tells operators which gateway is about to break a promise.
-    fn note_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
+    fn report_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
         self.metrics.breached(promise);
         self.events.emit(
             EventDraft::new("forward.refused")
@@ -115,7 +115,7 @@
         request: ForwardRequest,
     ) -> Result<CallPlan, &'static str> {
         if check_forward(Some(&request.origin), &from.region, &self.config.region).is_err() {
-            self.note_breach(Promise::NoLoop, from, &request);
+            self.report_breach(Promise::NoLoop, from, &request);
             return Err("the request has travelled between regions before");
         }
         if self.is_draining() {
@@ -133,14 +133,14 @@
         let allowed = document.regions_of(&request.target).unwrap_or_default();
         let home_allows = rules.home.as_ref().is_none_or(|home| *home == self.config.region);
         if !allowed.contains(&self.config.region) || !home_allows {
-            self.note_breach(Promise::Residency, from, &request);
+            self.report_breach(Promise::Residency, from, &request);
             return Err("the service's document does not allow this region");
         }
         let received = self.context.clock.now();
-        let span = RequestSpan::elsewhere(request.id, &request.service, received);
-        let guard = match request.repeatable {
-            true => RepeatGuard::Repeatable,
-            false => RepeatGuard::Once,
+        let span = RequestSpan::for_forwarded(request.id, &request.service, received);
+        let idempotency = match request.repeatable {
+            true => Idempotency::Idempotent,
+            false => Idempotency::NonIdempotent,
         };
         Ok(CallPlan {
             id: request.id,
@@ -160,7 +160,7 @@
             },
             prompt: PromptBlocks { tokens: request.prompt_tokens, blocks: request.prompt_blocks },
             max_tokens: request.max_tokens,
-            guard,
+            idempotency,
             received,
             deadline: received + Duration::from_millis(request.remaining_millis),
             origin: Some(request.origin),
--- a/crates/gateway/src/forward_server/tests.rs
+++ b/crates/gateway/src/forward_server/tests.rs
@@ -4,7 +4,8 @@
     crate::{
         forward::{FORWARD_METHOD, ForwardReply, ForwardRequest},
         testing::{
-            AnswerPause, BackendFate, DOCUMENT, HERE, TestGateway, TestSetup, domain, region,
+            AnswerPause, BackendBehavior, DOCUMENT, LOCAL_REGION, TestGateway, TestSetup, domain,
+            region,
         },
     },
     bytes::Bytes,
@@ -88,12 +89,30 @@
     let cases = [
         HopCase { name: "first hop", from: "puget", origin: "puget", runs: 1, reason: "" },
         HopCase { name: "passed on", from: "inland", origin: "puget", runs: 0, reason: travelled },
-        HopCase { name: "sent back", from: "inland", origin: HERE, runs: 0, reason: travelled },
-        HopCase { name: "from here", from: HERE, origin: HERE, runs: 0, reason: travelled },
-        HopCase { name: "false name", from: HERE, origin: "puget", runs: 0, reason: travelled },
+        HopCase {
+            name: "sent back",
+            from: "inland",
+            origin: LOCAL_REGION,
+            runs: 0,
+            reason: travelled,
+        },
+        HopCase {
+            name: "from here",
+            from: LOCAL_REGION,
+            origin: LOCAL_REGION,
+            runs: 0,
+            reason: travelled,
+        },
+        HopCase {
+            name: "false name",
+            from: LOCAL_REGION,
+            origin: "puget",
+            runs: 0,
+            reason: travelled,
+        },
     ];
     for case in cases {
-        let receiver = TestGateway::new(DOCUMENT, true, BackendFate::Answers);
+        let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::Answers);
         let request = ForwardRequest { origin: region(case.origin), ..caller_request(&receiver) };
         let outcome = forward(&receiver, case.from, &request);
         assert_eq!(receiver.client.sends.get(), case.runs, "{}: {:?}", case.name, outcome.head);
@@ -106,13 +125,13 @@
 /// Guards against a request that travels on to a third region.
 #[test]
 fn a_forwarded_request_is_run_here_or_nowhere() {
-    let receiver = TestGateway::new(DOCUMENT, false, BackendFate::Answers);
+    let receiver = TestGateway::new(DOCUMENT, false, BackendBehavior::Answers);
     let outcome = forward(&receiver, "puget", &caller_request(&receiver));
     assert_eq!(receiver.transport.opened.get(), 0, "it was passed on: {:?}", outcome.head);
     assert_ne!(refusal(&outcome.head), "", "{:?}", outcome.head);
 }
 
-struct PlaceCase {
+struct DocumentCase {
     name: &'static str,
     /// Replaced in the receiver's document, and by what.
     change: (&'static str, &'static str),
@@ -124,27 +143,27 @@
 fn the_receivers_document_decides_whatever_the_sender_knew() {
     let forbidden = "the service's document does not allow this region";
     let cases = [
-        PlaceCase {
+        DocumentCase {
             name: "the service may not be here",
             change: (ALL_REGIONS, r#"["puget", "inland"]"#),
             reason: forbidden,
         },
-        PlaceCase {
+        DocumentCase {
             name: "the model may not be here",
             change: ("name = \"ballast\"", "name = \"ballast\"\nregions = [\"puget\"]"),
             reason: forbidden,
         },
-        PlaceCase {
+        DocumentCase {
             name: "the workspace is bound to its home",
             change: ("name = \"roadmasters\"", "name = \"roadmasters\"\nhome = \"puget\""),
             reason: forbidden,
         },
-        PlaceCase {
+        DocumentCase {
             name: "the workspace is gone",
             change: ("name = \"roadmasters\"", "name = \"clerks\""),
             reason: "the workspace is not known here",
         },
-        PlaceCase {
+        DocumentCase {
             name: "the service is gone",
             change: ("service = \"ballast-order-desk\"", "service = \"another\""),
             reason: "the service is not known here",
@@ -153,7 +172,7 @@
     for case in cases {
         let document = DOCUMENT.replacen(case.change.0, case.change.1, 1);
         assert_ne!(document, DOCUMENT, "{}", case.name);
-        let receiver = TestGateway::new(&document, true, BackendFate::Answers);
+        let receiver = TestGateway::new(&document, true, BackendBehavior::Answers);
         let outcome = forward(&receiver, "puget", &caller_request(&receiver));
         assert_eq!(receiver.client.sends.get(), 0, "{}: {:?}", case.name, outcome.head);
         assert_eq!(refusal(&outcome.head), case.reason, "{}", case.name);
@@ -163,12 +182,12 @@
 /// Guards against orders placed twice, and half answers that look whole, after a lost connection.
 #[test]
 fn what_was_lost_here_is_not_told_as_refused_or_whole() {
-    let receiver = TestGateway::new(DOCUMENT, true, BackendFate::Loses);
+    let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::LosesConnection);
     let order = ForwardRequest { repeatable: false, ..caller_request(&receiver) };
     let outcome = forward(&receiver, "puget", &order);
     assert!(matches!(outcome.head, ForwardReply::Unknown), "{:?}", outcome.head);
     assert_eq!(receiver.client.sends.get(), 1);
-    let receiver = TestGateway::new(DOCUMENT, true, BackendFate::Breaks);
+    let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::BreaksOff);
     let outcome = forward(&receiver, "puget", &caller_request(&receiver));
     assert!(matches!(outcome.head, ForwardReply::Answer { .. }), "{:?}", outcome.head);
     assert!(outcome.ended.is_err(), "a broken answer ended as a whole one");
@@ -177,7 +196,7 @@
 /// Guards against a stop that is held up by work of other regions.
 #[test]
 fn a_draining_gateway_takes_nothing_over() {
-    let receiver = TestGateway::new(DOCUMENT, true, BackendFate::Answers);
+    let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::Answers);
     receiver.gateway.drain();
     let outcome = forward(&receiver, "puget", &caller_request(&receiver));
     assert_eq!(refusal(&outcome.head), "the gateway is shutting down");
@@ -232,9 +251,9 @@
     for case in cases {
         let document = DOCUMENT.replacen(case.change.0, case.change.1, 1);
         let pause = AnswerPause { before: 0, length: Duration::from_secs(6) };
-        let receiver = TestGateway::with(&TestSetup {
+        let receiver = TestGateway::warmed_up(&TestSetup {
             document: &document,
-            fate: BackendFate::Pauses(pause),
+            behavior: BackendBehavior::Pauses(pause),
             attempt_limit: case.attempt_limit,
             ..TestSetup::default()
         });
@@ -255,8 +274,8 @@
 fn a_stop_midway_ends_no_run_for_another_region() {
     for before in 0..4 {
         let pause = AnswerPause { before, length: Duration::from_secs(6) };
-        let receiver = TestGateway::with(&TestSetup {
-            fate: BackendFate::Pauses(pause),
+        let receiver = TestGateway::warmed_up(&TestSetup {
+            behavior: BackendBehavior::Pauses(pause),
             ..TestSetup::default()
         });
         let (gateway, clock) = (receiver.gateway.clone(), receiver.context.clock.clone());
@@ -276,8 +295,8 @@
 #[test]
 fn a_region_whose_backend_servers_back_off_takes_nothing_over() {
     let headers = &[("gullglade-run", "not-run"), ("retry-after", "2")];
-    let receiver = TestGateway::with(&TestSetup {
-        fate: BackendFate::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
+    let receiver = TestGateway::warmed_up(&TestSetup {
+        behavior: BackendBehavior::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
         ..TestSetup::default()
     });
     let began = receiver.world.now();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -2,13 +2,13 @@
 
 use {
     crate::{
+        attempt_guard::{CapacitySignal, HoldingTimes},
         call::CallPlan,
         config::GatewayConfig,
         directory::RegionDirectory,
         memory::MemoryBudget,
-        open_sends::OpenSends,
+        pending_sends::PendingSends,
         refusal,
-        work::{ChangeSignal, HoldTable},
     },
     gullglade_admission::{AdmissionQueue, RetryBudget, RetrySettings},
     gullglade_backend::{BackendRelay, BackendTable},
@@ -30,7 +30,7 @@
 };
 
 /// What a gateway is made of. Each is a seam at which a test can put a fake.
-pub struct GatewayParts {
+pub struct GatewayDependencies {
     /// Time, randomness and tasks.
     pub context: ProcessContext,
     /// The configuration in force.
@@ -76,9 +76,9 @@
     pub(crate) transport: Rc<dyn PeerTransport>,
     pub(crate) events: Rc<dyn EventSink>,
     pub(crate) metrics: Rc<MetricSet>,
-    pub(crate) holds: Rc<HoldTable>,
-    pub(crate) changes: Rc<ChangeSignal>,
-    pub(crate) open_sends: Rc<OpenSends>,
+    pub(crate) holding_times: Rc<HoldingTimes>,
+    pub(crate) capacity_signal: Rc<CapacitySignal>,
+    pub(crate) pending_sends: Rc<PendingSends>,
     draining: Cell<bool>,
     policies: RefCell<HashMap<PolicyKey, PolicyEntry>>,
     budgets: RefCell<HashMap<ServiceName, BudgetEntry>>,
@@ -118,26 +118,26 @@
 
 impl Gateway {
     /// A gateway of these parts.
-    pub fn new(config: GatewayConfig, parts: GatewayParts) -> Self {
+    pub fn new(config: GatewayConfig, dependencies: GatewayDependencies) -> Self {
         let shared = GatewayShared {
-            context: parts.context,
-            documents: parts.documents,
-            backends: parts.backends,
-            relay: parts.relay,
-            directory: parts.directory,
-            claims: parts.claims,
-            admission: parts.admission,
-            client: parts.client,
-            transport: parts.transport,
-            events: parts.events,
-            metrics: parts.metrics,
-            holds: Rc::default(),
-            changes: Rc::default(),
-            open_sends: Rc::default(),
+            context: dependencies.context,
+            documents: dependencies.documents,
+            backends: dependencies.backends,
+            relay: dependencies.relay,
+            directory: dependencies.directory,
+            claims: dependencies.claims,
+            admission: dependencies.admission,
+            client: dependencies.client,
+            transport: dependencies.transport,
+            events: dependencies.events,
+            metrics: dependencies.metrics,
+            holding_times: Rc::default(),
+            capacity_signal: Rc::default(),
+            pending_sends: Rc::default(),
             draining: Cell::new(false),
             policies: RefCell::default(),
             budgets: RefCell::default(),
-            memory: MemoryBudget::new(config.body_memory),
+            memory: MemoryBudget::new(config.body_memory_bytes),
             config,
         };
         Self { shared: Rc::new(shared) }
@@ -165,7 +165,7 @@
                 self.refresh_document(document);
             }
         }
-        self.changes.notify();
+        self.capacity_signal.notify();
     }
 
     fn refresh_document(&self, document: &ServiceDocument) {
@@ -227,8 +227,8 @@
     }
 
     /// How long a request for `target` holds a slot, on average.
-    pub(crate) fn average_hold(&self, target: &ServiceTarget) -> Duration {
-        self.holds.get(&self.queue_name(target))
+    pub(crate) fn average_holding_time(&self, target: &ServiceTarget) -> Duration {
+        self.holding_times.get(&self.queue_name(target))
     }
 
     /// The policy that decides `plan`: one for each service and target, since each has its own
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/ingress.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         attempt::content_headers,
-        call::{CallContent, CallPlan, RepeatGuard},
+        call::{CallContent, CallPlan, Idempotency},
         chat::CompletionRequest,
         gateway::Gateway,
-        memory::MemoryShare,
+        memory::MemoryReservation,
         refusal,
         span::RequestSpan,
     },
@@ -23,7 +23,7 @@
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The path prefix of plain services.
-const SERVICES: &str = "/services/";
+const SERVICES_PREFIX: &str = "/services/";
 
 impl Gateway {
     /// What the bearer token of a request allows.
@@ -80,7 +80,7 @@
 
     /// Reserves the memory that a body may take: what it declares, or the limit where it declares
     /// nothing.
-    fn reserve(&self, body: &RequestBody, limit: usize) -> Result<MemoryShare, ApiError> {
+    fn reserve(&self, body: &RequestBody, limit: usize) -> Result<MemoryReservation, ApiError> {
         let declared = body.declared_length().and_then(|length| usize::try_from(length).ok());
         let bytes = declared.unwrap_or(limit).min(limit);
         self.memory.reserve(bytes).ok_or_else(refusal::no_memory)
@@ -103,7 +103,7 @@
     ) -> Result<CallPlan, ApiError> {
         let marked =
             grant.document.is_non_idempotent(head.method.as_str(), head.uri.path(), &target);
-        let guard = repeat_guard(&head.headers, marked)?;
+        let idempotency = idempotency_of(&head.headers, marked)?;
         let received = self.context.clock.now();
         let rules = grant.rules();
         let id = RequestId::new(&self.context);
@@ -125,13 +125,13 @@
             },
             prompt: PromptBlocks::default(),
             max_tokens: 0,
-            guard,
+            idempotency,
             received,
             deadline: received + grant.document.limits.deadline,
             origin: None,
             offset: 0,
             span,
-            memory: MemoryShare::default(),
+            memory: MemoryReservation::default(),
         })
     }
 }
@@ -155,14 +155,14 @@
 }
 
 /// A key marks a request as non-idempotent even where the document does not.
-fn repeat_guard(headers: &HeaderMap, marked: bool) -> Result<RepeatGuard, ApiError> {
+fn idempotency_of(headers: &HeaderMap, marked: bool) -> Result<Idempotency, ApiError> {
     match headers.get(KEY_HEADER) {
-        None if marked => Ok(RepeatGuard::Once),
-        None => Ok(RepeatGuard::Repeatable),
+        None if marked => Ok(Idempotency::NonIdempotent),
+        None => Ok(Idempotency::Idempotent),
         Some(value) => {
             let text = String::from_utf8_lossy(value.as_bytes()).into_owned();
             OrderKey::try_from(text)
-                .map(RepeatGuard::Claimed)
+                .map(Idempotency::Keyed)
                 .map_err(|e| refusal::bad_header(KEY_HEADER.as_str(), &e))
         }
     }
@@ -171,7 +171,7 @@
 /// Splits `/services/{name}/rest?query` into the name and the path that the service sees.
 fn split_service(head: &Parts) -> Result<(ServiceName, String), ApiError> {
     let path = head.uri.path();
-    let rest = path.strip_prefix(SERVICES).unwrap_or_default();
+    let rest = path.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
     let (name, below) = rest.split_once('/').unwrap_or((rest, ""));
     let name = ServiceName::try_from(name).map_err(|_| refusal::not_found(path))?;
     let query = head.uri.query().map(|q| format!("?{q}")).unwrap_or_default();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,6 +16,7 @@
 mod announce;
 mod answer;
 mod attempt;
+mod attempt_guard;
 mod call;
 mod chat;
 mod claimed;
@@ -26,21 +27,20 @@
 mod forward;
 mod forward_server;
 mod gateway;
-mod intake;
+mod ingress;
 mod listing;
 mod memory;
-mod open_sends;
-mod place;
+mod pending_sends;
+mod placement;
 mod plain;
-mod queue_place;
+mod queue_position;
 mod refusal;
 mod relay;
 mod span;
 mod statements;
 #[cfg(test)]
 mod testing;
-mod work;
 
 pub use config::GatewayConfig;
-pub use directory::{EntryAnswer, EntryGateway, RegionDirectory, RegionRow, RelayDirectory};
-pub use gateway::{Gateway, GatewayParts, GatewayStatus};
+pub use directory::{EntryAnswer, EntryGateway, RegionDirectory, RegionStatus, RelayDirectory};
+pub use gateway::{Gateway, GatewayDependencies, GatewayStatus};
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -48,7 +48,7 @@
         request: &Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let grants = self.grants(request.headers())?;
-        let asked = asked_service(request)?;
+        let asked = requested_service(request)?;
         let grant = match &asked {
             Some(service) => grants.iter().find(|g| g.document.name == *service),
             None => grants.first(),
@@ -66,7 +66,7 @@
     }
 }
 
-fn asked_service(request: &Request<RequestBody>) -> Result<Option<ServiceName>, ApiError> {
+fn requested_service(request: &Request<RequestBody>) -> Result<Option<ServiceName>, ApiError> {
     let query = request.uri().query().unwrap_or_default();
     let named = query.split('&').find_map(|pair| pair.strip_prefix("service="));
     named.map(ServiceName::try_from).transpose().map_err(|e| refusal::bad_header("service", &e))
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -14,11 +14,11 @@
 
 /// Bytes taken out of a budget until it is dropped. A copy shares them.
 #[derive(Clone, Default)]
-pub(crate) struct MemoryShare {
-    held: Option<Rc<HeldBytes>>,
+pub(crate) struct MemoryReservation {
+    held: Option<Rc<ReservedBytes>>,
 }
 
-struct HeldBytes {
+struct ReservedBytes {
     free: Rc<Cell<usize>>,
     bytes: usize,
 }
@@ -29,15 +29,15 @@
     }
 
     /// Takes `bytes`; `None` where fewer are free.
-    pub(crate) fn reserve(&self, bytes: usize) -> Option<MemoryShare> {
+    pub(crate) fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let left = self.free.get().checked_sub(bytes)?;
         self.free.set(left);
-        let held = HeldBytes { free: Rc::clone(&self.free), bytes };
-        Some(MemoryShare { held: Some(Rc::new(held)) })
+        let held = ReservedBytes { free: Rc::clone(&self.free), bytes };
+        Some(MemoryReservation { held: Some(Rc::new(held)) })
     }
 }
 
-impl MemoryShare {
+impl MemoryReservation {
     /// Gives back what a body did not need. To be called before the share is copied.
     pub(crate) fn shrink(mut self, bytes: usize) -> Self {
         if let Some(held) = self.held.as_mut().and_then(Rc::get_mut) {
@@ -49,13 +49,13 @@
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for ReservedBytes {
     fn drop(&mut self) {
         self.free.set(self.free.get() + self.bytes);
     }
 }
 
-impl fmt::Debug for MemoryShare {
+impl fmt::Debug for MemoryReservation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "MemoryShare({} bytes)", self.held.as_ref().map_or(0, |held| held.bytes))
     }
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/placement.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        attempt::{AttemptAnswer, AttemptFailure, BackendPlace},
+        attempt::{AttemptAnswer, AttemptFailure, SelectedBackend},
+        attempt_guard::{AttemptGuard, EngineTimeMeter},
         call::CallPlan,
         claimed::ClaimStage,
         decide::{Placement, clamp_u32},
         gateway::Gateway,
-        queue_place::{QueuePlace, SlotWait},
+        queue_position::{QueuePosition, SlotWait},
         refusal,
-        work::{CostMeter, WorkGuard},
     },
     futures::future::{Either, select},
     gullglade_admission::{AdmissionPermit, AdmissionPriority, AdmissionTicket},
@@ -21,7 +21,7 @@
 };
 
 /// How often a request that waits in the queue asks whether another region has become better.
-const RECHECK_AFTER: Duration = Duration::from_millis(250);
+const ROUTE_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What happened to a request so far.
 #[derive(Debug, Default)]
@@ -42,25 +42,25 @@
 impl Gateway {
     /// Places `plan` until an attempt answers, or nothing more may be tried. The error is what the
     /// caller is told.
-    pub(crate) async fn place(
+    pub(crate) async fn run_attempts(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
     ) -> Result<AttemptAnswer, ApiError> {
-        let mut place = QueuePlace::default();
+        let mut position = QueuePosition::default();
         loop {
-            let failure = match self.attempt(plan, history, &mut place).await? {
+            let failure = match self.attempt(plan, history, &mut position).await? {
                 Ok(answer) => return Ok(answer),
                 Err(failure) => failure,
             };
-            let keeps_place = place.is_held() && failure.is_not_run();
-            self.note_failure(plan, history, failure);
-            let goes_on = match keeps_place {
-                true => self.is_safe_again(plan, history),
-                false => self.may_try_again(plan, history),
+            let keeps_position = position.has_entered() && failure.is_not_run();
+            self.record_failure(plan, history, failure);
+            let can_continue = match keeps_position {
+                true => self.is_retry_safe(plan, history),
+                false => self.may_retry(plan, history),
             };
-            if !goes_on {
-                return Err(self.give_up(plan, history));
+            if !can_continue {
+                return Err(self.final_error(plan, history));
             }
         }
     }
@@ -75,26 +75,28 @@
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
-        place: &mut QueuePlace,
+        position: &mut QueuePosition,
     ) -> Result<Result<AttemptAnswer, AttemptFailure>, ApiError> {
         loop {
-            let wait = match place.is_granted() {
+            let wait = match position.is_granted() {
                 true => Duration::ZERO,
                 false => self.expected_wait(plan),
             };
             match self.decide(plan, history, wait) {
                 Placement::Refuse(reason, retry_after) => {
-                    return Err(self.refused(plan, history, reason, retry_after));
+                    return Err(self.route_refusal(plan, history, reason, retry_after));
                 }
-                Placement::Away(region) => {
-                    let asking = self.attempt_away(plan, history, region);
-                    return place.keep_during(&*self.context.clock, asking).await;
+                Placement::Remote(region) => {
+                    let forward = self.attempt_remote(plan, history, region);
+                    return position.hold_during(&*self.context.clock, forward).await;
                 }
-                Placement::Local(_) | Placement::Wait(_) if !place.is_granted() => {
-                    self.admit(plan, history, place).await?;
+                Placement::Local(_) | Placement::Wait(_) if !position.is_granted() => {
+                    self.wait_for_slot(plan, history, position).await?;
                 }
                 Placement::Local(backend) => {
-                    return self.attempt_at(plan, history, backend, place.take_permit()).await;
+                    return self
+                        .attempt_backend(plan, history, backend, position.take_permit())
+                        .await;
                 }
                 // What another region sent here goes on in its queue there.
                 Placement::Backoff(until) if plan.origin.is_none() && until < plan.deadline => {
@@ -103,28 +105,28 @@
                 Placement::Backoff(until) => {
                     let reason = "its backend servers have requested a back-off";
                     let wait = until.since(self.context.clock.now());
-                    return Err(self.final_refusal(plan, history, &reason, wait));
+                    return Err(self.no_answer_error(plan, history, &reason, wait));
                 }
                 Placement::Wait(_) if self.remaining(plan).is_zero() => {
                     let reason = RefuseReason::TooLate;
-                    return Err(self.refused(plan, history, reason, Duration::from_secs(1)));
+                    return Err(self.route_refusal(plan, history, reason, Duration::from_secs(1)));
                 }
                 Placement::Wait(at_most) => self.wait_for_change(plan, at_most).await,
             }
         }
     }
 
-    async fn attempt_at(
+    async fn attempt_backend(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
-        backend: BackendPlace,
+        backend: SelectedBackend,
         permit: Option<AdmissionPermit>,
     ) -> Result<Result<AttemptAnswer, AttemptFailure>, ApiError> {
         self.begin_run(history).await?;
         history.attempts += 1;
-        let work = WorkGuard { _permit: permit, ..WorkGuard::default() };
-        let outcome = self.attempt_local(plan, &backend, work).await;
+        let guard = AttemptGuard { _permit: permit, ..AttemptGuard::default() };
+        let outcome = self.attempt_local(plan, &backend, guard).await;
         // A back-off says when to come back.
         if outcome.is_err() && self.backends.backoff_until(backend.name()).is_none() {
             history.failed_backends.push(backend.run.backend);
@@ -132,7 +134,7 @@
         Ok(outcome)
     }
 
-    async fn attempt_away(
+    async fn attempt_remote(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
@@ -157,37 +159,37 @@
 
     /// Waits in the queue for a slot. Without one, another region has become the better place
     /// meanwhile, which the caller decides anew.
-    async fn admit(
+    async fn wait_for_slot(
         &self,
         plan: &CallPlan,
         history: &AttemptHistory,
-        place: &mut QueuePlace,
+        position: &mut QueuePosition,
     ) -> Result<(), ApiError> {
-        let mut waiting = match std::mem::take(place) {
-            QueuePlace::Waiting(waiting) => waiting,
-            _ => self.enter_queue(plan),
+        let mut waiting = match std::mem::take(position) {
+            QueuePosition::Waiting(waiting) => waiting,
+            _ => self.enqueue(plan),
         };
         loop {
-            match select(waiting, self.context.clock.sleep(RECHECK_AFTER)).await {
+            match select(waiting, self.context.clock.sleep(ROUTE_RECHECK_INTERVAL)).await {
                 Either::Left((Ok(permit), _)) => {
-                    *place = QueuePlace::Granted(permit);
+                    *position = QueuePosition::Granted(permit);
                     return Ok(());
                 }
                 Either::Left((Err(refusal), _)) => {
                     let retry_after = refusal.retry_after();
-                    return Err(self.final_refusal(plan, history, &refusal, retry_after));
+                    return Err(self.no_answer_error(plan, history, &refusal, retry_after));
                 }
                 Either::Right(((), rest)) => waiting = rest,
             }
             let wait = self.expected_wait(plan);
-            if matches!(self.decide(plan, history, wait), Placement::Away(_)) {
-                *place = QueuePlace::Waiting(waiting);
+            if matches!(self.decide(plan, history, wait), Placement::Remote(_)) {
+                *position = QueuePosition::Waiting(waiting);
                 return Ok(());
             }
         }
     }
 
-    fn enter_queue(&self, plan: &CallPlan) -> SlotWait {
+    fn enqueue(&self, plan: &CallPlan) -> SlotWait {
         self.refresh_capacity(&plan.target);
         self.admission.enter(AdmissionTicket {
             workspace: plan.workspace.clone(),
@@ -202,10 +204,15 @@
     /// Waits until a slot may have become free. The caller's own deadline bounds the sum of waits.
     async fn wait_for_change(&self, plan: &CallPlan, at_most: Duration) {
         let limit = at_most.min(self.remaining(plan)).max(Duration::from_millis(1));
-        let _woken = timeout(&*self.context.clock, limit, self.changes.next()).await;
+        let _notified = timeout(&*self.context.clock, limit, self.capacity_signal.notified()).await;
     }
 
-    fn note_failure(&self, plan: &CallPlan, history: &mut AttemptHistory, failure: AttemptFailure) {
+    fn record_failure(
+        &self,
+        plan: &CallPlan,
+        history: &mut AttemptHistory,
+        failure: AttemptFailure,
+    ) {
         let (reason, ran) = match failure {
             AttemptFailure::NotRun { reason } => (reason, "not-run"),
             AttemptFailure::Unknown { reason } => {
@@ -222,17 +229,17 @@
     /// Whether a further attempt keeps every promise: it is idempotent or was certainly not run, a
     /// claimed request's permit is spent, and retries stay within the service's budget, so that an
     /// outage of backend servers does not multiply the load on those left.
-    pub(crate) fn may_try_again(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
+    pub(crate) fn may_retry(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
         let now = self.context.clock.now();
         history.attempts < self.config.attempt_limit
-            && self.is_safe_again(plan, history)
+            && self.is_retry_safe(plan, history)
             && self.retry_budget(&plan.document).try_retry(now)
     }
 
     /// Waits for a retry that the budget does not have, where it comes in time: the caller of `plan`
     /// has a part of the answer. Others may take it first.
-    pub(crate) async fn await_retry(&self, plan: &CallPlan, history: &AttemptHistory) {
-        if history.attempts >= self.config.attempt_limit || !plan.is_repeatable() {
+    pub(crate) async fn await_retry_budget(&self, plan: &CallPlan, history: &AttemptHistory) {
+        if history.attempts >= self.config.attempt_limit || !plan.is_idempotent() {
             return;
         }
         let budget = self.retry_budget(&plan.document);
@@ -246,17 +253,17 @@
         }
     }
 
-    fn is_safe_again(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
-        let is_safe = plan.is_repeatable() || !history.may_have_run && !plan.is_claimed();
+    fn is_retry_safe(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
+        let is_safe = plan.is_idempotent() || !history.may_have_run && !plan.is_keyed();
         is_safe && self.remaining(plan) > Duration::ZERO
     }
 
-    pub(crate) fn give_up(&self, plan: &CallPlan, history: &AttemptHistory) -> ApiError {
+    pub(crate) fn final_error(&self, plan: &CallPlan, history: &AttemptHistory) -> ApiError {
         let reason = history.last_reason.clone().unwrap_or_default();
-        self.final_refusal(plan, history, &reason, Duration::from_secs(1))
+        self.no_answer_error(plan, history, &reason, Duration::from_secs(1))
     }
 
-    fn refused(
+    fn route_refusal(
         &self,
         plan: &CallPlan,
         history: &AttemptHistory,
@@ -269,11 +276,11 @@
             RefuseReason::NoBackend => "no backend server in reach serves it",
             RefuseReason::TooLate => "no backend server can begin before its deadline",
         };
-        self.final_refusal(plan, history, &text, retry_after)
+        self.no_answer_error(plan, history, &text, retry_after)
     }
 
     /// A refusal says `not-run` only where no attempt can have run.
-    pub(crate) fn final_refusal(
+    pub(crate) fn no_answer_error(
         &self,
         plan: &CallPlan,
         history: &AttemptHistory,
@@ -281,18 +288,18 @@
         retry_after: Duration,
     ) -> ApiError {
         match history.may_have_run {
-            true => refusal::outcome_unknown(plan.is_repeatable()),
+            true => refusal::outcome_unknown(plan.is_idempotent()),
             false => refusal::no_capacity(reason, retry_after),
         }
     }
 
-    pub(crate) fn cost_meter(&self, plan: &CallPlan) -> CostMeter {
-        CostMeter {
+    pub(crate) fn engine_time_meter(&self, plan: &CallPlan) -> EngineTimeMeter {
+        EngineTimeMeter {
             metrics: Rc::clone(&self.metrics),
             clock: Rc::clone(&self.context.clock),
             model: self.queue_name(&plan.target),
-            holds: Rc::clone(&self.holds),
-            changes: Rc::clone(&self.changes),
+            holding_times: Rc::clone(&self.holding_times),
+            capacity_signal: Rc::clone(&self.capacity_signal),
             started: self.context.clock.now(),
         }
     }
--- a/crates/gateway/src/place/tests.rs
+++ b/crates/gateway/src/placement/tests.rs
@@ -1,7 +1,7 @@
 //! Requests that wait in the queue while another region is asked.
 
 use {
-    crate::testing::{AnswerPause, BackendFate, PeerFate, TestGateway, TestSetup},
+    crate::testing::{AnswerPause, BackendBehavior, PeerBehavior, TestGateway, TestSetup},
     futures::future::join_all,
     http::StatusCode,
     std::time::Duration,
@@ -10,7 +10,7 @@
 /// More than the backend server takes at once.
 const REQUESTS: usize = 14;
 
-const ASK: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
+const CHAT_BODY: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
 
 struct QueueCase {
     name: &'static str,
@@ -37,16 +37,16 @@
     ];
     for QueueCase { name, attempt_limit, has_budget, refuses_after } in cases {
         let pause = AnswerPause { before: 0, length: Duration::from_secs(2) };
-        let gateway = TestGateway::with(&TestSetup {
-            fate: BackendFate::Pauses(pause),
-            peers: PeerFate::Refuses(refuses_after),
+        let gateway = TestGateway::warmed_up(&TestSetup {
+            behavior: BackendBehavior::Pauses(pause),
+            peers: PeerBehavior::Refuses(refuses_after),
             offers_from: Duration::from_millis(500),
             attempt_limit,
             ..TestSetup::default()
         });
         let answers = gateway.world.run_until(async {
-            let asking = (0..REQUESTS).map(|_| gateway.answer("/v1/chat/completions", ASK));
-            let spending = gateway.spend_budget(has_budget);
+            let asking = (0..REQUESTS).map(|_| gateway.send("/v1/chat/completions", CHAT_BODY));
+            let spending = gateway.keep_retry_budget_empty(has_budget);
             futures::join!(join_all(asking), spending).0
         });
         let served = answers.iter().filter(|(head, _)| head.status == StatusCode::OK).count();
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -4,10 +4,10 @@
     crate::{
         answer::{AnswerRecord, reply},
         attempt::AttemptAnswer,
+        attempt_guard::AttemptGuard,
         call::CallPlan,
         gateway::Gateway,
-        place::AttemptHistory,
-        work::WorkGuard,
+        placement::AttemptHistory,
     },
     bytes::Bytes,
     futures::{StreamExt, stream},
@@ -18,14 +18,14 @@
 
 /// Bytes of an answer that are read before its head goes out: an answer that breaks off within
 /// them can still be repeated or told as an error.
-const HELD_BYTES: usize = 256 << 10;
+const ANSWER_PREFIX_BYTES: usize = 256 << 10;
 
 /// The beginning of an answer.
-enum HeldAnswer {
+enum AnswerPrefix {
     /// All of it.
     Whole(Vec<Bytes>),
     /// More will follow.
-    Begun(Vec<Bytes>),
+    Partial(Vec<Bytes>),
     /// It broke off.
     Lost,
 }
@@ -39,7 +39,7 @@
         let plan = self.plan_plain(request).await?;
         let answer = async |history: &mut AttemptHistory| self.plain_answer(&plan, history).await;
         let outcome = self.answer_claimed(&plan, answer).await;
-        plan.span.set_refused(&outcome);
+        plan.span.set_error_outcome(&outcome);
         outcome
     }
 
@@ -49,22 +49,22 @@
         history: &mut AttemptHistory,
     ) -> Result<Response<ReplyBody>, ApiError> {
         loop {
-            let mut answer = self.place(plan, history).await?;
-            let held = hold(&mut answer.body).await;
-            answer.work.first_token();
-            match held {
-                HeldAnswer::Lost => self.lost_answer(plan, &answer.place(), history)?,
-                HeldAnswer::Whole(pieces) => {
-                    return Ok(self.whole_plain(plan, history, answer, pieces).await);
+            let mut answer = self.run_attempts(plan, history).await?;
+            let prefix = read_prefix(&mut answer.body).await;
+            answer.guard.first_token();
+            match prefix {
+                AnswerPrefix::Lost => self.handle_lost_answer(plan, &answer.source(), history)?,
+                AnswerPrefix::Whole(pieces) => {
+                    return Ok(self.buffered_plain_reply(plan, history, answer, pieces).await);
                 }
-                HeldAnswer::Begun(pieces) => {
-                    return Ok(self.long_plain(plan, history, answer, pieces));
+                AnswerPrefix::Partial(pieces) => {
+                    return Ok(self.streamed_plain_reply(plan, history, answer, pieces));
                 }
             }
         }
     }
 
-    async fn whole_plain(
+    async fn buffered_plain_reply(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
@@ -77,14 +77,14 @@
             pieces.iter().for_each(|piece| record.push(piece));
             record.store().await;
         }
-        self.note_first_token(plan);
-        plan.span.set(RequestOutcome::Answered);
+        self.record_first_token(plan);
+        plan.span.set_outcome(RequestOutcome::Answered);
         reply(plan, &answer, ReplyBody::full(pieces.concat()))
     }
 
     /// Passes on the pieces read and whatever follows. The head promises no length, so only the
     /// terminal chunk makes it whole, and that is sent only after the service's own end.
-    fn long_plain(
+    fn streamed_plain_reply(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
@@ -96,7 +96,7 @@
         let relay = PlainRelay {
             plan: plan.clone(),
             rest: std::mem::replace(&mut answer.body, Box::pin(stream::empty())),
-            _work: answer.work,
+            _guard: answer.guard,
             record,
             ended: false,
         };
@@ -111,7 +111,7 @@
 struct PlainRelay {
     plan: CallPlan,
     rest: LocalStream,
-    _work: WorkGuard,
+    _guard: AttemptGuard,
     record: Option<AnswerRecord>,
     ended: bool,
 }
@@ -130,7 +130,7 @@
             None => {
                 // A long answer is not kept; that it ran is.
                 if let Some(record) = self.record.take() {
-                    record.store_unkept().await;
+                    record.store_outcome_only().await;
                 }
                 self.end(RequestOutcome::Answered);
                 None
@@ -140,20 +140,20 @@
 
     fn end(&mut self, outcome: RequestOutcome) {
         self.ended = true;
-        self.plan.span.set(outcome);
+        self.plan.span.set_outcome(outcome);
     }
 }
 
-async fn hold(body: &mut LocalStream) -> HeldAnswer {
+async fn read_prefix(body: &mut LocalStream) -> AnswerPrefix {
     let mut pieces = Vec::new();
     let mut length = 0;
     while let Some(piece) = body.next().await {
-        let Ok(piece) = piece else { return HeldAnswer::Lost };
+        let Ok(piece) = piece else { return AnswerPrefix::Lost };
         length += piece.len();
         pieces.push(piece);
-        if length > HELD_BYTES {
-            return HeldAnswer::Begun(pieces);
+        if length > ANSWER_PREFIX_BYTES {
+            return AnswerPrefix::Partial(pieces);
         }
     }
-    HeldAnswer::Whole(pieces)
+    AnswerPrefix::Whole(pieces)
 }
--- a/crates/gateway/src/queue_place.rs
+++ b/crates/gateway/src/queue_position.rs
@@ -9,29 +9,29 @@
 
 /// How long a slot waits for a request that another region has been asked to take. A refusal comes
 /// within a round trip.
-const SLOT_HELD: Duration = Duration::from_millis(250);
+const SLOT_RESERVATION: Duration = Duration::from_millis(250);
 
 /// Waits for a slot.
 pub(crate) type SlotWait = LocalFuture<'static, Result<AdmissionPermit, AdmissionRefusal>>;
 
 /// A request's place in the queue.
 #[derive(Default)]
-pub(crate) enum QueuePlace {
+pub(crate) enum QueuePosition {
     /// It has not been in the queue, or was refused there.
     #[default]
-    Outside,
+    NotQueued,
     /// It waits for its turn.
     Waiting(SlotWait),
     /// It has a slot.
     Granted(AdmissionPermit),
     /// Its turn came while another region was asked, and the slot went to the next.
-    Passed,
+    SlotReleased,
 }
 
-impl QueuePlace {
+impl QueuePosition {
     /// Whether the request may go on here without another attempt being granted.
-    pub(crate) fn is_held(&self) -> bool {
-        !matches!(self, Self::Outside)
+    pub(crate) fn has_entered(&self) -> bool {
+        !matches!(self, Self::NotQueued)
     }
 
     /// Whether it has a slot.
@@ -51,25 +51,25 @@
     }
 
     /// Runs `asking` and keeps the place meanwhile.
-    pub(crate) async fn keep_during<T>(
+    pub(crate) async fn hold_during<T>(
         &mut self,
         clock: &dyn Clock,
-        asking: impl Future<Output = T>,
+        forward: impl Future<Output = T>,
     ) -> T {
-        let mut asking = pin!(asking);
+        let mut forward = pin!(forward);
         if let Self::Waiting(waiting) = self {
-            *self = match select(asking.as_mut(), waiting).await {
+            *self = match select(forward.as_mut(), waiting).await {
                 Either::Left((outcome, _)) => return outcome,
                 Either::Right((Ok(permit), _)) => Self::Granted(permit),
-                Either::Right((Err(_), _)) => Self::Outside,
+                Either::Right((Err(_), _)) => Self::NotQueued,
             };
         }
         if self.is_granted() {
-            if let Some(outcome) = timeout(clock, SLOT_HELD, asking.as_mut()).await {
+            if let Some(outcome) = timeout(clock, SLOT_RESERVATION, forward.as_mut()).await {
                 return outcome;
             }
-            *self = Self::Passed;
+            *self = Self::SlotReleased;
         }
-        asking.await
+        forward.await
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -7,7 +7,7 @@
 };
 
 /// How soon to ask again where nothing better is known.
-const RETRY_SOON: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(crate) fn bad_body(reason: &dyn Display) -> ApiError {
     ApiError::new(
@@ -58,7 +58,7 @@
         "no_configuration",
         "this gateway has no configuration yet; use another gateway or ask again",
     )
-    .retry_after(RETRY_SOON)
+    .retry_after(DEFAULT_RETRY_AFTER)
 }
 
 pub(crate) fn no_memory() -> ApiError {
@@ -67,7 +67,7 @@
         "no_memory",
         "this gateway holds as many request bodies as it may; use another gateway or ask again",
     )
-    .retry_after(RETRY_SOON)
+    .retry_after(DEFAULT_RETRY_AFTER)
 }
 
 pub(crate) fn draining() -> ApiError {
@@ -76,7 +76,7 @@
         "draining",
         "this gateway is shutting down; ask GET /v1/entry on another one",
     )
-    .retry_after(RETRY_SOON)
+    .retry_after(DEFAULT_RETRY_AFTER)
 }
 
 pub(crate) fn no_capacity(reason: &dyn Display, retry_after: Duration) -> ApiError {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -4,12 +4,12 @@
 use {
     crate::{
         answer::{AnswerRecord, reply},
-        attempt::{AnswerPlace, AttemptAnswer},
+        attempt::{AnswerSource, AttemptAnswer},
+        attempt_guard::AttemptGuard,
         call::CallPlan,
         chat::AnswerChunk,
         gateway::Gateway,
-        place::AttemptHistory,
-        work::WorkGuard,
+        placement::AttemptHistory,
     },
     bytes::Bytes,
     eventsource_stream::{EventStream, EventStreamError, Eventsource},
@@ -31,8 +31,8 @@
     plan: CallPlan,
     history: AttemptHistory,
     events: EventStream<LocalStream>,
-    place: AnswerPlace,
-    work: WorkGuard,
+    source: AnswerSource,
+    guard: AttemptGuard,
     record: Option<AnswerRecord>,
     tokens: u64,
     finished: bool,
@@ -72,8 +72,8 @@
             plan,
             history,
             events: body.eventsource(),
-            place: answer.place(),
-            work: std::mem::take(&mut answer.work),
+            source: answer.source(),
+            guard: std::mem::take(&mut answer.guard),
             record,
             tokens: 0,
             finished: false,
@@ -156,17 +156,17 @@
             return RelayStep::Broken;
         }
         if token {
-            self.note_token();
+            self.record_token();
         }
-        RelayStep::Event(event_bytes(data))
+        RelayStep::Event(encode_event(data))
     }
 
-    fn note_token(&mut self) {
+    fn record_token(&mut self) {
         let now = self.gateway.context.clock.now();
         match self.last_token {
             None => {
-                self.work.first_token();
-                self.gateway.note_first_token(&self.plan);
+                self.guard.first_token();
+                self.gateway.record_first_token(&self.plan);
             }
             Some(last) => self.series.inter_token(now.since(last)),
         }
@@ -179,7 +179,7 @@
         if self.outcome.is_some() {
             return None;
         }
-        let last = event_bytes(DONE);
+        let last = encode_event(DONE);
         if let Some(mut record) = self.record.take() {
             record.push(&last);
             record.store().await;
@@ -191,34 +191,34 @@
     /// Goes on at the token where the attempt broke off, at another place.
     async fn resume(&mut self) -> Result<(), ApiError> {
         // A run whose events cannot be used may still be at work; dropping its stream ends it.
-        self.events = no_events();
-        self.work = WorkGuard::default();
+        self.events = empty_events();
+        self.guard = AttemptGuard::default();
         if self.tokens > 0 {
-            self.gateway.await_retry(&self.plan, &self.history).await;
+            self.gateway.await_retry_budget(&self.plan, &self.history).await;
         }
-        self.gateway.lost_answer(&self.plan, &self.place, &mut self.history)?;
+        self.gateway.handle_lost_answer(&self.plan, &self.source, &mut self.history)?;
         self.plan.offset = self.tokens;
         self.gateway.emit(&self.plan, "answer.resumed", |e| e.field("offset", self.tokens));
-        let answer = self.gateway.place(&self.plan, &mut self.history).await?;
-        self.place = answer.place();
-        self.work = answer.work;
+        let answer = self.gateway.run_attempts(&self.plan, &mut self.history).await?;
+        self.source = answer.source();
+        self.guard = answer.guard;
         self.events = answer.body.eventsource();
         Ok(())
     }
 
     fn finish(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
-        self.work = WorkGuard::default();
-        self.plan.span.set(outcome);
+        self.guard = AttemptGuard::default();
+        self.plan.span.set_outcome(outcome);
     }
 }
 
-fn no_events() -> EventStream<LocalStream> {
+fn empty_events() -> EventStream<LocalStream> {
     let ended: LocalStream = Box::pin(stream::empty());
     ended.eventsource()
 }
 
-fn event_bytes(data: &str) -> Bytes {
+fn encode_event(data: &str) -> Bytes {
     let mut event = String::with_capacity(data.len() + 8);
     for line in data.split('\n') {
         event.push_str("data: ");
--- a/crates/gateway/src/relay/tests.rs
+++ b/crates/gateway/src/relay/tests.rs
@@ -1,14 +1,17 @@
 //! Answers that stand still, and answers that are given up.
 
 use {
-    crate::testing::{AnswerPause, BackendFate, DOCUMENT, PeerFate, TestGateway, TestSetup},
+    crate::testing::{
+        AnswerPause, BackendBehavior, DOCUMENT, PeerBehavior, TestGateway, TestSetup,
+    },
     http::StatusCode,
     std::time::Duration,
 };
 
-const STREAMED: &str =
+const STREAMED_BODY: &str =
     r#"{"model":"ballast","stream":true,"messages":[{"role":"user","content":"Quote."}]}"#;
-const WHOLE: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
+const BUFFERED_BODY: &str =
+    r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
 
 struct PauseCase<'a> {
     name: &'static str,
@@ -17,11 +20,11 @@
 }
 
 /// The neighbours that leave a request nothing but the run it has.
-fn lonely_setups(pause: AnswerPause, here_only: &str) -> Vec<PauseCase<'_>> {
-    let fate = BackendFate::Pauses(pause);
-    let refuses = PeerFate::Refuses(Duration::from_millis(100));
-    let base = || TestSetup { fate, peers: refuses, ..TestSetup::default() };
-    let away = || TestSetup { engines: false, peers: PeerFate::Pauses(pause), ..base() };
+fn setups_without_alternative(pause: AnswerPause, here_only: &str) -> Vec<PauseCase<'_>> {
+    let behavior = BackendBehavior::Pauses(pause);
+    let refuses = PeerBehavior::Refuses(Duration::from_millis(100));
+    let base = || TestSetup { behavior, peers: refuses, ..TestSetup::default() };
+    let away = || TestSetup { has_engines: false, peers: PeerBehavior::Pauses(pause), ..base() };
     vec![
         PauseCase {
             name: "no other backend server and no other region",
@@ -50,18 +53,20 @@
 fn a_pause_ends_no_run_that_nobody_can_take_over() {
     let here_only = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
     let paths = [
-        ("/v1/chat/completions", STREAMED),
-        ("/v1/chat/completions", WHOLE),
+        ("/v1/chat/completions", STREAMED_BODY),
+        ("/v1/chat/completions", BUFFERED_BODY),
         ("/services/order-desk/list", "{}"),
     ];
     for millis in [500, 1_200, 1_300, 2_600, 6_000] {
         for before in 0..5 {
             let pause = AnswerPause { before, length: Duration::from_millis(millis) };
-            for PauseCase { name, setup, has_budget } in lonely_setups(pause, &here_only) {
+            for PauseCase { name, setup, has_budget } in
+                setups_without_alternative(pause, &here_only)
+            {
                 for (path, body) in paths {
-                    let gateway = TestGateway::with(&setup);
-                    let answering = gateway.answer(path, body);
-                    let spending = gateway.spend_budget(has_budget);
+                    let gateway = TestGateway::warmed_up(&setup);
+                    let answering = gateway.send(path, body);
+                    let spending = gateway.keep_retry_budget_empty(has_budget);
                     let ((head, answer), ()) =
                         gateway.world.run_until(async { futures::join!(answering, spending) });
                     let name = format!("{name}, {pause:?}, {path} {body}");
@@ -79,7 +84,7 @@
     name: &'static str,
     change: fn(&TestGateway),
     /// Whether the run is in the other region.
-    is_away: bool,
+    is_remote: bool,
 }
 
 /// Guards against runs that are cut off by a change at the gateway or in what it knows of the backend
@@ -90,44 +95,44 @@
         ChangeCase {
             name: "the gateway stops",
             change: |gateway| gateway.gateway.drain(),
-            is_away: false,
+            is_remote: false,
         },
         ChangeCase {
             name: "the gateway stops",
             change: |gateway| gateway.gateway.drain(),
-            is_away: true,
+            is_remote: true,
         },
         ChangeCase {
             name: "the backend server leaves",
             change: |gateway| gateway.announce_leaving(10),
-            is_away: false,
+            is_remote: false,
         },
         ChangeCase {
             name: "its name is announced by another run",
             change: |gateway| gateway.renew(2, 10),
-            is_away: false,
+            is_remote: false,
         },
-        ChangeCase { name: "it announces itself no more", change: |_| (), is_away: false },
+        ChangeCase { name: "it announces itself no more", change: |_| (), is_remote: false },
     ];
-    let paths = [("/v1/chat/completions", STREAMED), ("/v1/chat/completions", WHOLE)];
-    for ChangeCase { name, change, is_away } in cases {
+    let paths = [("/v1/chat/completions", STREAMED_BODY), ("/v1/chat/completions", BUFFERED_BODY)];
+    for ChangeCase { name, change, is_remote } in cases {
         for before in 0..5 {
             for (path, body) in paths {
                 let pause = AnswerPause { before, length: Duration::from_secs(20) };
-                let gateway = TestGateway::with(&TestSetup {
-                    engines: !is_away,
-                    fate: BackendFate::Pauses(pause),
-                    peers: PeerFate::Pauses(pause),
+                let gateway = TestGateway::warmed_up(&TestSetup {
+                    has_engines: !is_remote,
+                    behavior: BackendBehavior::Pauses(pause),
+                    peers: PeerBehavior::Pauses(pause),
                     ..TestSetup::default()
                 });
                 let changing = async {
                     gateway.context.clock.sleep(Duration::from_secs(1)).await;
                     change(&gateway);
                 };
-                let answering = gateway.answer(path, body);
+                let answering = gateway.send(path, body);
                 let ((head, answer), ()) =
                     gateway.world.run_until(async { futures::join!(answering, changing) });
-                let name = format!("{name}, away: {is_away}, {pause:?}, {body}");
+                let name = format!("{name}, away: {is_remote}, {pause:?}, {body}");
                 assert_eq!(head.status, StatusCode::OK, "{name}");
                 assert!(answer.is_some(), "{name}: the answer broke off");
                 let runs = gateway.client.sends.get() + gateway.transport.opened.get();
@@ -141,11 +146,13 @@
 /// and the next.
 #[test]
 fn a_run_that_cannot_be_used_ends_before_the_next_begins() {
-    let gateway =
-        TestGateway::with(&TestSetup { fate: BackendFate::Disorders, ..TestSetup::default() });
-    let (head, _) = gateway.ask("/v1/chat/completions", STREAMED);
+    let gateway = TestGateway::warmed_up(&TestSetup {
+        behavior: BackendBehavior::OutOfOrder,
+        ..TestSetup::default()
+    });
+    let (head, _) = gateway.post_without_key("/v1/chat/completions", STREAMED_BODY);
     assert!(gateway.client.sends.get() > 1, "{}", head.status);
-    assert_eq!(gateway.client.runs.most.get(), 1, "{}", head.status);
+    assert_eq!(gateway.client.runs.max.get(), 1, "{}", head.status);
 }
 
 /// Guards against an answer that breaks off for want of a retry that comes in its time.
@@ -159,15 +166,15 @@
         [Case { deadline_ms: 5_000, is_whole: true }, Case { deadline_ms: 300, is_whole: false }]
     {
         let document = format!("{DOCUMENT}[limits]\ndeadline_ms = {deadline_ms}\n");
-        let gateway = TestGateway::with(&TestSetup {
+        let gateway = TestGateway::warmed_up(&TestSetup {
             document: &document,
-            fate: BackendFate::Unfinished,
-            has_second: true,
+            behavior: BackendBehavior::Unfinished,
+            has_second_engine: true,
             ..TestSetup::default()
         });
-        gateway.empty_budget();
+        gateway.drain_retry_budget();
         let began = gateway.context.clock.now();
-        let (head, answer) = gateway.ask("/v1/chat/completions", STREAMED);
+        let (head, answer) = gateway.post_without_key("/v1/chat/completions", STREAMED_BODY);
         let took = gateway.context.clock.now().since(began);
         let what = format!("{deadline_ms} ms: {answer:?} after {took:?}");
         assert_eq!(head.status, StatusCode::OK, "{what}");
--- a/crates/gateway/src/span.rs
+++ b/crates/gateway/src/span.rs
@@ -18,10 +18,10 @@
     service: ServiceName,
     started: MonotonicTime,
     outcome: Cell<Option<RequestOutcome>>,
-    account: Option<SpanAccount>,
+    recorder: Option<SpanRecorder>,
 }
 
-struct SpanAccount {
+struct SpanRecorder {
     clock: Rc<dyn Clock>,
     events: Rc<dyn EventSink>,
     metrics: Rc<MetricSet>,
@@ -45,48 +45,54 @@
                 .field("service", service)
                 .field("workspace", workspace),
         );
-        let account = SpanAccount {
+        let recorder = SpanRecorder {
             clock: Rc::clone(&gateway.context.clock),
             events: Rc::clone(&gateway.events),
             metrics: Rc::clone(&gateway.metrics),
         };
         let (service, outcome) = (service.clone(), Cell::new(None));
-        Rc::new(Self { id, service, started, outcome, account: Some(account) })
+        Rc::new(Self { id, service, started, outcome, recorder: Some(recorder) })
     }
 
     /// The span of a forwarded request, whose account is kept where its caller is.
-    pub(crate) fn elsewhere(id: RequestId, service: &ServiceName, now: MonotonicTime) -> Rc<Self> {
+    pub(crate) fn for_forwarded(
+        id: RequestId,
+        service: &ServiceName,
+        now: MonotonicTime,
+    ) -> Rc<Self> {
         let (service, outcome) = (service.clone(), Cell::new(None));
-        Rc::new(Self { id, service, started: now, outcome, account: None })
+        Rc::new(Self { id, service, started: now, outcome, recorder: None })
     }
 
     /// States how the request ended.
-    pub(crate) fn set(&self, outcome: RequestOutcome) {
+    pub(crate) fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(Some(outcome));
     }
 
     /// States how a request ended that never got to an answer of its own; an answer states its
     /// end by itself, when its last byte is out.
-    pub(crate) fn set_refused(&self, outcome: &Result<Response<ReplyBody>, ApiError>) {
+    pub(crate) fn set_error_outcome(&self, outcome: &Result<Response<ReplyBody>, ApiError>) {
         match outcome {
             Ok(_) => {}
-            Err(error) if error.run == RunState::NotRun => self.set(RequestOutcome::Refused),
-            Err(_) => self.set(RequestOutcome::Failed),
+            Err(error) if error.run == RunState::NotRun => {
+                self.set_outcome(RequestOutcome::Refused)
+            }
+            Err(_) => self.set_outcome(RequestOutcome::Failed),
         }
     }
 }
 
 impl Drop for RequestSpan {
     fn drop(&mut self) {
-        let Some(account) = &self.account else { return };
+        let Some(recorder) = &self.recorder else { return };
         let outcome = self.outcome.get().unwrap_or(RequestOutcome::Cancelled);
-        account.metrics.open_requests().dec();
-        account.metrics.request_ended(&self.service, outcome);
-        account.events.emit(
+        recorder.metrics.open_requests().dec();
+        recorder.metrics.request_ended(&self.service, outcome);
+        recorder.events.emit(
             EventDraft::new("request.ended")
                 .field("request", self.id)
                 .field("outcome", outcome.label())
-                .millis("ms", account.clock.now().since(self.started)),
+                .millis("ms", recorder.clock.now().since(self.started)),
         );
     }
 }
@@ -99,7 +105,7 @@
 
 impl GatewayShared {
     /// Notes the time to the first token.
-    pub(crate) fn note_first_token(&self, plan: &CallPlan) {
+    pub(crate) fn record_first_token(&self, plan: &CallPlan) {
         let time = self.context.clock.now().since(plan.received);
         self.metrics.first_token(&self.queue_name(&plan.target), time);
     }
--- a/crates/gateway/src/statements/tests.rs
+++ b/crates/gateway/src/statements/tests.rs
@@ -1,27 +1,27 @@
 //! What becomes of the statements that backend servers make with their answers.
 
 use {
-    crate::testing::{AnswerPause, BackendFate, DOCUMENT, StatedHeader, TestGateway, TestSetup},
+    crate::testing::{AnswerPause, BackendBehavior, DOCUMENT, HeaderPair, TestGateway, TestSetup},
     futures::future::join_all,
     http::{StatusCode, header::RETRY_AFTER},
     std::time::Duration,
 };
 
-const ASK: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
+const CHAT_BODY: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
 const CHAT: &str = "/v1/chat/completions";
 
 /// The time between two requests.
 const SPACING: Duration = Duration::from_millis(100);
 
-const NOT_RUN: StatedHeader = ("gullglade-run", "not-run");
+const NOT_RUN: HeaderPair = ("gullglade-run", "not-run");
 
 /// Sends so many requests one after the other while the engines renew their leases; how many were
 /// served.
-async fn ask_often(gateway: &TestGateway, requests: u64, sequence: u64) -> u64 {
+async fn send_requests(gateway: &TestGateway, requests: u64, sequence: u64) -> u64 {
     let mut served = 0;
     for number in 0..requests {
         gateway.renew(1, sequence + number);
-        let (head, _) = gateway.answer(CHAT, ASK).await;
+        let (head, _) = gateway.send(CHAT, CHAT_BODY).await;
         served += u64::from(head.status == StatusCode::OK);
         gateway.context.clock.sleep(SPACING).await;
     }
@@ -30,7 +30,7 @@
 
 struct BackoffCase {
     status: u16,
-    headers: &'static [StatedHeader],
+    headers: &'static [HeaderPair],
     /// How long nothing may come; zero where the answer requests nothing.
     backoff: Duration,
 }
@@ -80,14 +80,14 @@
     for BackoffCase { status, headers, backoff } in cases {
         let name = format!("{status} {headers:?}");
         let status = StatusCode::from_u16(status).unwrap();
-        let gateway = TestGateway::with(&TestSetup {
-            fate: BackendFate::Rejects(u32::MAX, status, headers),
-            has_second: true,
+        let gateway = TestGateway::warmed_up(&TestSetup {
+            behavior: BackendBehavior::Rejects(u32::MAX, status, headers),
+            has_second_engine: true,
             ..TestSetup::default()
         });
-        let served = gateway.world.run_until(ask_often(&gateway, 80, 10));
-        let came = gateway.client.came.borrow();
-        let least = came.windows(2).map(|pair| pair[1].since(pair[0])).min();
+        let served = gateway.world.run_until(send_requests(&gateway, 80, 10));
+        let arrivals = gateway.client.arrivals.borrow();
+        let least = arrivals.windows(2).map(|pair| pair[1].since(pair[0])).min();
         let least = least.unwrap_or_else(|| panic!("{name}: it did not come back"));
         match backoff.is_zero() {
             true => assert!(least < Duration::from_millis(500), "{name}: {least:?}"),
@@ -101,14 +101,14 @@
 
 struct LateCase {
     status: u16,
-    headers: &'static [StatedHeader],
+    headers: &'static [HeaderPair],
 }
 
 /// Guards against requests that wait for a connection to a backend server that wants nothing more.
 #[test]
 fn what_waits_for_a_connection_is_taken_back_by_a_statement() {
     const FIRST: Duration = Duration::from_millis(50);
-    const TOGETHER: usize = 8;
+    const CONCURRENT_REQUESTS: usize = 8;
     let cases = [
         LateCase { status: 503, headers: &[NOT_RUN, ("retry-after", "2")] },
         LateCase { status: 503, headers: &[NOT_RUN, ("gullglade-leaving", "true")] },
@@ -117,17 +117,24 @@
     for LateCase { status, headers } in cases {
         let name = format!("{status} {headers:?}");
         let status = StatusCode::from_u16(status).unwrap();
-        let gateway = TestGateway::with(&TestSetup {
-            fate: BackendFate::AcceptsLate(status, headers, FIRST),
-            has_second: true,
+        let gateway = TestGateway::warmed_up(&TestSetup {
+            behavior: BackendBehavior::AcceptsLate(status, headers, FIRST),
+            has_second_engine: true,
             ..TestSetup::default()
         });
-        let asks = (0..TOGETHER).map(|_| gateway.answer(CHAT, ASK));
+        let asks = (0..CONCURRENT_REQUESTS).map(|_| gateway.send(CHAT, CHAT_BODY));
         let replies = gateway.world.run_until(join_all(asks));
         let served = replies.iter().filter(|(head, _)| head.status == StatusCode::OK).count();
-        assert_eq!(served, TOGETHER, "{name}");
-        assert_eq!(gateway.client.came.borrow().len(), 1, "{name}: nothing after the statement");
-        assert!(gateway.client.sends.get() > TOGETHER as u32, "{name}: some waited there");
+        assert_eq!(served, CONCURRENT_REQUESTS, "{name}");
+        assert_eq!(
+            gateway.client.arrivals.borrow().len(),
+            1,
+            "{name}: nothing after the statement"
+        );
+        assert!(
+            gateway.client.sends.get() > CONCURRENT_REQUESTS as u32,
+            "{name}: some waited there"
+        );
     }
 }
 
@@ -135,14 +142,14 @@
 #[test]
 fn an_absurd_back_off_ends_after_ten_minutes() {
     let headers = &[NOT_RUN, ("retry-after", "1000000000")];
-    let gateway = TestGateway::with(&TestSetup {
-        fate: BackendFate::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
-        has_second: true,
+    let gateway = TestGateway::warmed_up(&TestSetup {
+        behavior: BackendBehavior::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
+        has_second_engine: true,
         ..TestSetup::default()
     });
-    gateway.world.run_until(ask_often(&gateway, 6_100, 10));
-    let came = gateway.client.came.borrow();
-    let pause = came[1].since(came[0]);
+    gateway.world.run_until(send_requests(&gateway, 6_100, 10));
+    let arrivals = gateway.client.arrivals.borrow();
+    let pause = arrivals[1].since(arrivals[0]);
     assert!((600..=602).contains(&pause.as_secs()), "{pause:?}");
 }
 
@@ -178,17 +185,17 @@
     for WaitCase { name, deadline, status, least, most } in cases {
         let document = here_only.replacen("[[models]]", deadline, 1);
         let headers = &[NOT_RUN, ("retry-after", "2")];
-        let gateway = TestGateway::with(&TestSetup {
+        let gateway = TestGateway::warmed_up(&TestSetup {
             document: &document,
-            fate: BackendFate::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
+            behavior: BackendBehavior::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
             ..TestSetup::default()
         });
         let began = gateway.world.now();
         let answers = gateway.world.run_until(async {
-            let first = gateway.answer(CHAT, ASK);
+            let first = gateway.send(CHAT, CHAT_BODY);
             let second = async {
                 gateway.context.clock.sleep(Duration::from_millis(1)).await;
-                gateway.answer(CHAT, ASK).await
+                gateway.send(CHAT, CHAT_BODY).await
             };
             futures::join!(first, second)
         });
@@ -213,7 +220,7 @@
 #[test]
 fn a_backend_server_that_says_it_leaves_gets_nothing_new() {
     let pause = AnswerPause { before: 2, length: Duration::from_secs(1) };
-    let headers = |value| -> &'static [StatedHeader] {
+    let headers = |value| -> &'static [HeaderPair] {
         match value {
             "true" => &[("gullglade-leaving", "true")],
             "1" => &[("gullglade-leaving", "1")],
@@ -228,26 +235,29 @@
         LeavingCase { value: "0", leaves: false },
     ];
     for LeavingCase { value, leaves } in cases {
-        let gateway = TestGateway::with(&TestSetup {
-            fate: BackendFate::States(headers(value), pause),
-            has_second: true,
+        let gateway = TestGateway::warmed_up(&TestSetup {
+            behavior: BackendBehavior::SendsHeaders(headers(value), pause),
+            has_second_engine: true,
             ..TestSetup::default()
         });
-        let served = gateway.world.run_until(ask_often(&gateway, 40, 10));
+        let served = gateway.world.run_until(send_requests(&gateway, 40, 10));
         assert_eq!(served, 40, "{value}: an answer was cut off");
-        let came = gateway.client.came.borrow().len();
-        assert_eq!(came == 1, leaves, "{value}: it got {came} requests");
+        let arrivals = gateway.client.arrivals.borrow().len();
+        assert_eq!(arrivals == 1, leaves, "{value}: it got {arrivals} requests");
         // Another run of it begins without statements.
         gateway.renew(2, 100);
         gateway.world.run_for(Duration::from_secs(1));
         let asking = async {
             for sequence in 101..141 {
                 gateway.renew(2, sequence);
-                gateway.answer(CHAT, ASK).await;
+                gateway.send(CHAT, CHAT_BODY).await;
                 gateway.context.clock.sleep(SPACING).await;
             }
         };
         gateway.world.run_until(asking);
-        assert!(gateway.client.came.borrow().len() > came, "{value}: its next run got nothing");
+        assert!(
+            gateway.client.arrivals.borrow().len() > arrivals,
+            "{value}: its next run got nothing"
+        );
     }
 }
--- a/crates/gateway/src/testing.rs
+++ b/crates/gateway/src/testing.rs
@@ -1,11 +1,11 @@
 //! A gateway whose neighbours are fakes, for this crate's tests.
 
-mod neighbours;
+mod fakes;
 
 use {
     crate::{
-        EntryAnswer, Gateway, GatewayConfig, GatewayParts, RegionDirectory, RegionRow,
-        completion::collect,
+        EntryAnswer, Gateway, GatewayConfig, GatewayDependencies, RegionDirectory, RegionStatus,
+        completion::collect_body,
     },
     bytes::Bytes,
     gullglade_admission::{AdmissionQueue, AdmissionSettings},
@@ -25,18 +25,18 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-pub(crate) use neighbours::{
-    AnswerPause, BackendFate, CountedClient, CountedTransport, PeerFate, StatedHeader,
+pub(crate) use fakes::{
+    AnswerPause, BackendBehavior, FakeClient, FakeTransport, HeaderPair, PeerBehavior,
 };
 
 /// The most bytes of a reply in these tests.
 const BODY_LIMIT: usize = 1 << 20;
 
 /// How long backend servers have served when a test begins.
-const SETTLED: Duration = Duration::from_secs(15);
+const WARM_UP: Duration = Duration::from_secs(15);
 
 /// The gateway's region.
-pub(crate) const HERE: &str = "columbia";
+pub(crate) const LOCAL_REGION: &str = "columbia";
 
 pub(crate) const DOCUMENT: &str = r#"
 service = "ballast-order-desk"
@@ -60,8 +60,8 @@
 }
 
 impl RegionDirectory for InlandDirectory {
-    fn offers(&self, _target: &ServiceTarget) -> Vec<RegionRow> {
-        vec![RegionRow {
+    fn region_statuses(&self, _target: &ServiceTarget) -> Vec<RegionStatus> {
+        vec![RegionStatus {
             region: region("inland"),
             reachable: self.clock.now() >= self.from,
             link: Duration::from_millis(1),
@@ -75,7 +75,7 @@
         }]
     }
 
-    fn gateways(&self, _region: &RegionName) -> Vec<SocketAddr> {
+    fn gateway_addresses(&self, _region: &RegionName) -> Vec<SocketAddr> {
         vec![address()]
     }
 
@@ -90,70 +90,70 @@
 pub(crate) struct TestSetup<'a> {
     pub(crate) document: &'a str,
     /// Whether an engine and a plain service have announced themselves.
-    pub(crate) engines: bool,
-    pub(crate) fate: BackendFate,
-    pub(crate) peers: PeerFate,
+    pub(crate) has_engines: bool,
+    pub(crate) behavior: BackendBehavior,
+    pub(crate) peers: PeerBehavior,
     /// Since when another region offers itself, counted from the begin of the test.
     pub(crate) offers_from: Duration,
     pub(crate) attempt_limit: u32,
     /// Whether there is a second engine, which always answers.
-    pub(crate) has_second: bool,
+    pub(crate) has_second_engine: bool,
 }
 
 impl Default for TestSetup<'_> {
     fn default() -> Self {
         Self {
             document: DOCUMENT,
-            engines: true,
-            fate: BackendFate::Answers,
-            peers: PeerFate::Ends,
+            has_engines: true,
+            behavior: BackendBehavior::Answers,
+            peers: PeerBehavior::Ends,
             offers_from: Duration::ZERO,
             attempt_limit: 4,
-            has_second: false,
+            has_second_engine: false,
         }
     }
 }
 
-/// A gateway in [`HERE`] whose neighbours are fakes.
+/// A gateway in [`LOCAL_REGION`] whose neighbours are fakes.
 pub(crate) struct TestGateway {
     pub(crate) world: FakeWorld,
     pub(crate) gateway: Gateway,
-    pub(crate) client: Rc<CountedClient>,
-    pub(crate) transport: Rc<CountedTransport>,
+    pub(crate) client: Rc<FakeClient>,
+    pub(crate) transport: Rc<FakeTransport>,
     pub(crate) metrics: Rc<MetricSet>,
     pub(crate) context: ProcessContext,
 }
 
 impl TestGateway {
-    pub(crate) fn new(document: &str, engines: bool, fate: BackendFate) -> Self {
-        Self::with_claims(document, engines, fate, |context| {
+    pub(crate) fn new(document: &str, has_engines: bool, behavior: BackendBehavior) -> Self {
+        Self::with_claims(document, has_engines, behavior, |context| {
             Rc::new(LocalClaims::first_start(context, ClaimSettings::default()))
         })
     }
 
     pub(crate) fn with_claims(
         document: &str,
-        engines: bool,
-        fate: BackendFate,
+        has_engines: bool,
+        behavior: BackendBehavior,
         claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimCoordinator>,
     ) -> Self {
-        let setup = TestSetup { document, engines, fate, ..TestSetup::default() };
+        let setup = TestSetup { document, has_engines, behavior, ..TestSetup::default() };
         Self::with_setup(&setup, claims)
     }
 
     /// A gateway as `setup` wants it, with claims of its own.
-    pub(crate) fn with(setup: &TestSetup<'_>) -> Self {
+    pub(crate) fn warmed_up(setup: &TestSetup<'_>) -> Self {
         let gateway = Self::with_setup(setup, |context| {
             Rc::new(LocalClaims::first_start(context, ClaimSettings::default()))
         });
         // A backend server that has just joined is trusted with a part of its slots only.
         for sequence in 2..=4 {
-            gateway.world.run_for(SETTLED / 3);
-            if setup.engines {
+            gateway.world.run_for(WARM_UP / 3);
+            if setup.has_engines {
                 announce(&gateway.gateway.backends, 1, sequence);
             }
-            if setup.has_second {
-                gateway.announce_second(sequence);
+            if setup.has_second_engine {
+                gateway.announce_second_engine(sequence);
             }
         }
         gateway
@@ -163,19 +163,27 @@
         setup: &TestSetup<'_>,
         claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimCoordinator>,
     ) -> Self {
-        let TestSetup { document, engines, fate, peers, offers_from, attempt_limit, has_second: _ } =
-            *setup;
+        let TestSetup {
+            document,
+            has_engines,
+            behavior,
+            peers,
+            offers_from,
+            attempt_limit,
+            has_second_engine: _,
+        } = *setup;
         let (world, context) = FakeWorld::new(1);
         let clock = Rc::clone(&context.clock);
-        let transport = Rc::new(CountedTransport::new(peers, &clock));
-        let client = Rc::new(CountedClient::new(fate, &clock));
+        let transport = Rc::new(FakeTransport::new(peers, &clock));
+        let client = Rc::new(FakeClient::new(behavior, &clock));
         let metrics = Rc::new(MetricSet::new().unwrap());
-        let backends = Rc::new(BackendTable::new(region(HERE), BackendConfig::default(), clock));
-        if engines {
+        let backends =
+            Rc::new(BackendTable::new(region(LOCAL_REGION), BackendConfig::default(), clock));
+        if has_engines {
             announce(&backends, 1, 1);
         }
         let own = own_gateway();
-        let mut config = GatewayConfig::new(own.vm.clone(), region(HERE), domain());
+        let mut config = GatewayConfig::new(own.vm.clone(), region(LOCAL_REGION), domain());
         config.attempt_limit = attempt_limit;
         let seams = RelayDependencies {
             transport: Rc::clone(&transport) as _,
@@ -184,12 +192,12 @@
         };
         let relay = BackendRelay::new(own, Rc::clone(&backends), RelayConfig::default(), seams);
         let document = Rc::new(ServiceDocument::try_from(document).unwrap());
-        let parts = GatewayParts {
+        let dependencies = GatewayDependencies {
             documents: Rc::new(FixedConfig::new(ConfigView::new(1, [document]))),
             backends,
             relay,
             directory: Rc::new(InlandDirectory {
-                from: MonotonicTime(SETTLED + offers_from),
+                from: MonotonicTime(WARM_UP + offers_from),
                 clock: Rc::clone(&context.clock),
             }),
             claims: claims(context.clone()),
@@ -200,28 +208,28 @@
             metrics: Rc::clone(&metrics),
             context: context.clone(),
         };
-        let gateway = Gateway::new(config, parts);
+        let gateway = Gateway::new(config, dependencies);
         gateway.backends_changed();
         Self { world, gateway, client, transport, metrics, context }
     }
 
     /// Sends a request of the workspace `roadmasters` and returns the reply's head, and its body
     /// where that is whole.
-    pub(crate) fn post(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
+    pub(crate) fn post_with_key(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
         let (request, body) = caller_request(path, body);
         let request = request.header("idempotency-key", "order-1");
-        self.world.run_until(self.reply((request, body)))
+        self.world.run_until(self.handle((request, body)))
     }
 
     /// The same for a request that may be repeated.
-    pub(crate) fn ask(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
-        self.world.run_until(self.answer(path, body))
+    pub(crate) fn post_without_key(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
+        self.world.run_until(self.send(path, body))
     }
 
     /// Lets the engines announce themselves anew, as serving.
     pub(crate) fn renew(&self, incarnation: u64, sequence: u64) {
         announce(&self.gateway.backends, incarnation, sequence);
-        self.announce_second(sequence);
+        self.announce_second_engine(sequence);
         self.gateway.backends_changed();
     }
 
@@ -233,18 +241,18 @@
         self.gateway.backends_changed();
     }
 
-    fn announce_second(&self, sequence: u64) {
-        let text = announcement(("engine-2", 1, sequence), "engine", second_address());
+    fn announce_second_engine(&self, sequence: u64) {
+        let text = announcement(("engine-2", 1, sequence), "engine", second_engine_address());
         announce_one(&self.gateway.backends, &text);
     }
 
     /// The reply to a request that may be repeated.
-    pub(crate) async fn answer(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
-        self.reply(caller_request(path, body)).await
+    pub(crate) async fn send(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
+        self.handle(caller_request(path, body)).await
     }
 
     /// Takes all retries that the budget has now.
-    pub(crate) fn empty_budget(&self) {
+    pub(crate) fn drain_retry_budget(&self) {
         let view = self.gateway.documents.current().unwrap();
         let document = Rc::clone(view.documents().next().unwrap());
         let budget = self.gateway.retry_budget(&document);
@@ -252,7 +260,7 @@
     }
 
     /// Keeps the retry budget empty for some seconds, unless it is to be had.
-    pub(crate) async fn spend_budget(&self, has_budget: bool) {
+    pub(crate) async fn keep_retry_budget_empty(&self, has_budget: bool) {
         let view = self.gateway.documents.current().unwrap();
         let document = Rc::clone(view.documents().next().unwrap());
         let budget = self.gateway.retry_budget(&document);
@@ -262,12 +270,12 @@
         }
     }
 
-    async fn reply(&self, (request, body): (Builder, Bytes)) -> (Parts, Option<Bytes>) {
+    async fn handle(&self, (request, body): (Builder, Bytes)) -> (Parts, Option<Bytes>) {
         let request = request.body(RequestBody::from_bytes(body)).unwrap();
         let (head, body) = self.gateway.handle(request, address()).await.into_parts();
         let body = match body {
             ReplyBody::Full(bytes) => Some(bytes),
-            ReplyBody::Stream(mut pieces) => collect(&mut pieces, BODY_LIMIT).await,
+            ReplyBody::Stream(mut pieces) => collect_body(&mut pieces, BODY_LIMIT).await,
         };
         (head, body)
     }
@@ -291,13 +299,13 @@
 }
 
 /// Where the second engine takes requests.
-fn second_address() -> SocketAddr {
+fn second_engine_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10))
 }
 
 fn own_gateway() -> LocalGateway {
     let profile = GatewayProfile {
-        region: region(HERE),
+        region: region(LOCAL_REGION),
         domain: domain(),
         peer_address: address(),
         caller_address: address(),
@@ -332,7 +340,7 @@
     serde_json::json!({
         "name": name, "incarnation": incarnation, "sequence": sequence, "state": "serving",
         "profile": {
-            "region": HERE, "domain": "a", "address": address, "kind": kind,
+            "region": LOCAL_REGION, "domain": "a", "address": address, "kind": kind,
             "models": models, "services": services,
             "capacity": {
                 "slots": 4, "tokens_per_second": 100, "prefill_tokens_per_second": 10_000,
--- a/crates/gateway/src/testing/neighbours.rs
+++ b/crates/gateway/src/testing/fakes.rs
@@ -1,7 +1,7 @@
 //! Backend servers and gateways of other regions that do as they are told.
 
 use {
-    super::second_address,
+    super::second_engine_address,
     crate::{
         attempt::{OFFSET_HEADER, REQUEST_HEADER},
         call::ContentHeader,
@@ -25,27 +25,27 @@
 
 /// What the backend server does with a request.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum BackendFate {
+pub(crate) enum BackendBehavior {
     Answers,
-    Breaks,
-    Loses,
+    BreaksOff,
+    LosesConnection,
     /// Streams one token and `[DONE]`, without a finish reason.
     Unfinished,
     /// Answers whole, after a pause.
     Pauses(AnswerPause),
     /// Streams a token out of order, and goes on without an end.
-    Disorders,
+    OutOfOrder,
     /// Answers whole, after a pause, and states this.
-    States(&'static [StatedHeader], AnswerPause),
+    SendsHeaders(&'static [HeaderPair], AnswerPause),
     /// Rejects so many requests and states this, then answers whole.
-    Rejects(u32, StatusCode, &'static [StatedHeader]),
+    Rejects(u32, StatusCode, &'static [HeaderPair]),
     /// States this with the first answer, after a while, and takes twice as long to accept the
     /// connections of all other requests. The second engine answers after the same while.
-    AcceptsLate(StatusCode, &'static [StatedHeader], Duration),
+    AcceptsLate(StatusCode, &'static [HeaderPair], Duration),
 }
 
 /// A header of an answer.
-pub(crate) type StatedHeader = (&'static str, &'static str);
+pub(crate) type HeaderPair = (&'static str, &'static str);
 
 /// Where an answer stands still, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,101 +60,101 @@
     pub(crate) const NONE: Self = Self { before: 0, length: Duration::ZERO };
 
     /// The time before a part of the answer.
-    fn at(self, part: usize) -> Duration {
+    fn delay_before(self, part: usize) -> Duration {
         if part == self.before { self.length } else { Duration::ZERO }
     }
 }
 
 /// Runs that are at work.
 #[derive(Default)]
-pub(crate) struct RunCount {
-    now: Cell<u32>,
-    pub(crate) most: Cell<u32>,
+pub(crate) struct RunCounter {
+    current: Cell<u32>,
+    pub(crate) max: Cell<u32>,
 }
 
 /// One run, at work until it is dropped.
-struct CountedRun(Rc<RunCount>);
+struct ActiveRun(Rc<RunCounter>);
 
-impl CountedRun {
-    fn begin(runs: &Rc<RunCount>) -> Self {
-        runs.now.set(runs.now.get() + 1);
-        runs.most.set(runs.most.get().max(runs.now.get()));
+impl ActiveRun {
+    fn begin(runs: &Rc<RunCounter>) -> Self {
+        runs.current.set(runs.current.get() + 1);
+        runs.max.set(runs.max.get().max(runs.current.get()));
         Self(Rc::clone(runs))
     }
 }
 
-impl Drop for CountedRun {
+impl Drop for ActiveRun {
     fn drop(&mut self) {
-        self.0.now.set(self.0.now.get() - 1);
+        self.0.current.set(self.0.current.get() - 1);
     }
 }
 
 /// A backend server that counts what reaches it.
-pub(crate) struct CountedClient {
+pub(crate) struct FakeClient {
     pub(crate) sends: Cell<u32>,
-    pub(crate) runs: Rc<RunCount>,
+    pub(crate) runs: Rc<RunCounter>,
     /// When each request came to the first engine.
-    pub(crate) came: RefCell<Vec<MonotonicTime>>,
-    has_begun: Cell<bool>,
-    fate: BackendFate,
+    pub(crate) arrivals: RefCell<Vec<MonotonicTime>>,
+    has_sent_first_reply: Cell<bool>,
+    behavior: BackendBehavior,
     clock: Rc<dyn Clock>,
 }
 
-impl CountedClient {
-    pub(super) fn new(fate: BackendFate, clock: &Rc<dyn Clock>) -> Self {
+impl FakeClient {
+    pub(super) fn new(behavior: BackendBehavior, clock: &Rc<dyn Clock>) -> Self {
         Self {
             sends: Cell::new(0),
             runs: Rc::default(),
-            came: RefCell::default(),
-            has_begun: Cell::new(false),
-            fate,
+            arrivals: RefCell::default(),
+            has_sent_first_reply: Cell::new(false),
+            behavior,
             clock: Rc::clone(clock),
         }
     }
 
     /// What becomes of a request that comes now; the second engine always answers.
-    fn take_fate(&self, address: SocketAddr) -> BackendFate {
+    fn next_behavior(&self, address: SocketAddr) -> BackendBehavior {
         self.sends.set(self.sends.get() + 1);
-        let is_second = address == second_address();
-        match self.fate {
-            BackendFate::AcceptsLate(.., after) if is_second => {
-                return BackendFate::Pauses(AnswerPause { before: 0, length: after });
+        let is_second = address == second_engine_address();
+        match self.behavior {
+            BackendBehavior::AcceptsLate(.., after) if is_second => {
+                return BackendBehavior::Pauses(AnswerPause { before: 0, length: after });
             }
-            BackendFate::AcceptsLate(..) => return self.fate,
-            _ if is_second => return BackendFate::Pauses(AnswerPause::NONE),
+            BackendBehavior::AcceptsLate(..) => return self.behavior,
+            _ if is_second => return BackendBehavior::Pauses(AnswerPause::NONE),
             _ => {}
         }
-        let mut came = self.came.borrow_mut();
-        came.push(self.clock.now());
-        match self.fate {
-            BackendFate::Rejects(times, ..) if came.len() > times as usize => {
-                BackendFate::Pauses(AnswerPause::NONE)
+        let mut arrivals = self.arrivals.borrow_mut();
+        arrivals.push(self.clock.now());
+        match self.behavior {
+            BackendBehavior::Rejects(times, ..) if arrivals.len() > times as usize => {
+                BackendBehavior::Pauses(AnswerPause::NONE)
             }
-            fate => fate,
+            behavior => behavior,
         }
     }
 
     /// The reply to a request whose connection may be accepted late.
-    async fn late_reply(
+    async fn late_accepted_reply(
         &self,
         address: SocketAddr,
         request: &Request<Bytes>,
-        (status, stated, after): (StatusCode, &[StatedHeader], Duration),
+        (status, stated, after): (StatusCode, &[HeaderPair], Duration),
     ) -> Result<ClientReply, ClientError> {
-        let is_first = !self.has_begun.replace(true);
+        let is_first = !self.has_sent_first_reply.replace(true);
         if !is_first {
             self.clock.sleep(after * 2).await;
         }
         if request.extensions().get::<SendPermit>().is_some_and(|permit| !permit.begin()) {
             return Err(ClientError::Revoked { address });
         }
-        self.came.borrow_mut().push(self.clock.now());
+        self.arrivals.borrow_mut().push(self.clock.now());
         let length = if is_first { after } else { Duration::ZERO };
         let pause = AnswerPause { before: 0, length };
         let mut reply = self.pausing_reply(address, request, pause).await?;
         if is_first {
             reply.head.status = status;
-            state(&mut reply.head.headers, stated);
+            insert_headers(&mut reply.head.headers, stated);
         }
         Ok(reply)
     }
@@ -165,9 +165,9 @@
         request: &Request<Bytes>,
         pause: AnswerPause,
     ) -> Result<ClientReply, ClientError> {
-        let run = CountedRun::begin(&self.runs);
+        let run = ActiveRun::begin(&self.runs);
         let limit = request.extensions().get::<HeadTimeout>().unwrap().0;
-        if timeout(&*self.clock, limit, self.clock.sleep(pause.at(0))).await.is_none() {
+        if timeout(&*self.clock, limit, self.clock.sleep(pause.delay_before(0))).await.is_none() {
             return Err(ClientError::HeadTimeout { address, limit });
         }
         let (mut head, ()) = Response::new(()).into_parts();
@@ -181,29 +181,29 @@
             true => event_pieces(id, first),
             false => whole_pieces(id),
         };
-        let body = paced(pieces, pause, Rc::clone(&self.clock));
+        let body = with_pause(pieces, pause, Rc::clone(&self.clock));
         let body = body.map(move |piece| {
-            let _at_work = &run;
+            let _active_run = &run;
             Ok(piece)
         });
         Ok(ClientReply { head, body: ClientBody::from_stream(body) })
     }
 
-    fn disordered_reply(&self, request: &Request<Bytes>) -> ClientReply {
-        let run = CountedRun::begin(&self.runs);
+    fn out_of_order_reply(&self, request: &Request<Bytes>) -> ClientReply {
+        let run = ActiveRun::begin(&self.runs);
         let (mut head, ()) = Response::new(()).into_parts();
         head.headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
         let id = request.headers()[REQUEST_HEADER].to_str().unwrap();
         let body = stream::iter([Ok(token_event(id, 7))]).chain(stream::pending());
         let body = body.map(move |piece| {
-            let _at_work = &run;
+            let _active_run = &run;
             piece
         });
         ClientReply { head, body: ClientBody::from_stream(body) }
     }
 }
 
-fn state(headers: &mut HeaderMap, stated: &[StatedHeader]) {
+fn insert_headers(headers: &mut HeaderMap, stated: &[HeaderPair]) {
     for (name, value) in stated {
         headers.insert(*name, HeaderValue::from_static(value));
     }
@@ -237,13 +237,13 @@
 }
 
 /// The pieces with the pause between them.
-fn paced(
+fn with_pause(
     pieces: Vec<Bytes>,
     pause: AnswerPause,
     clock: Rc<dyn Clock>,
 ) -> impl Stream<Item = Bytes> + 'static {
     stream::iter(pieces.into_iter().enumerate()).then(move |(index, piece)| {
-        let waiting = clock.sleep(pause.at(index + 1));
+        let waiting = clock.sleep(pause.delay_before(index + 1));
         async move {
             waiting.await;
             piece
@@ -251,49 +251,53 @@
     })
 }
 
-impl HttpClient for CountedClient {
+impl HttpClient for FakeClient {
     fn send<'a>(
         &'a self,
         address: SocketAddr,
         request: Request<Bytes>,
     ) -> LocalFuture<'a, Result<ClientReply, ClientError>> {
-        let fate = self.take_fate(address);
+        let behavior = self.next_behavior(address);
         let (mut head, ()) = Response::new(()).into_parts();
         let cut = BodyError::Incomplete { reason: "reset".to_owned() };
-        let reply = match fate {
-            BackendFate::States(stated, pause) => {
+        let reply = match behavior {
+            BackendBehavior::SendsHeaders(stated, pause) => {
                 return Box::pin(async move {
                     let mut reply = self.pausing_reply(address, &request, pause).await?;
-                    state(&mut reply.head.headers, stated);
+                    insert_headers(&mut reply.head.headers, stated);
                     Ok(reply)
                 });
             }
-            BackendFate::Rejects(_, status, stated) => {
+            BackendBehavior::Rejects(_, status, stated) => {
                 head.status = status;
-                state(&mut head.headers, stated);
+                insert_headers(&mut head.headers, stated);
                 Ok(ClientBody::from_bytes("{}"))
             }
-            BackendFate::AcceptsLate(status, stated, after) => {
+            BackendBehavior::AcceptsLate(status, stated, after) => {
                 let first = (status, stated, after);
-                return Box::pin(async move { self.late_reply(address, &request, first).await });
+                return Box::pin(async move {
+                    self.late_accepted_reply(address, &request, first).await
+                });
             }
-            BackendFate::Pauses(pause) => {
+            BackendBehavior::Pauses(pause) => {
                 let reply = async move { self.pausing_reply(address, &request, pause).await };
                 return Box::pin(reply);
             }
-            BackendFate::Disorders => {
-                return Box::pin(std::future::ready(Ok(self.disordered_reply(&request))));
+            BackendBehavior::OutOfOrder => {
+                return Box::pin(std::future::ready(Ok(self.out_of_order_reply(&request))));
             }
-            BackendFate::Answers => Ok(ClientBody::from_bytes("{}")),
-            BackendFate::Breaks => {
+            BackendBehavior::Answers => Ok(ClientBody::from_bytes("{}")),
+            BackendBehavior::BreaksOff => {
                 Ok(ClientBody::from_stream(stream::iter([Ok(Bytes::from("{")), Err(cut)])))
             }
-            BackendFate::Unfinished => {
+            BackendBehavior::Unfinished => {
                 let value = HeaderValue::from_static("text/event-stream");
                 head.headers.insert(CONTENT_TYPE, value);
                 Ok(ClientBody::from_bytes(unfinished_stream(&request)))
             }
-            BackendFate::Loses => Err(ClientError::Sent { address, reason: "reset".to_owned() }),
+            BackendBehavior::LosesConnection => {
+                Err(ClientError::Sent { address, reason: "reset".to_owned() })
+            }
         };
         Box::pin(std::future::ready(reply.map(|body| ClientReply { head, body })))
     }
@@ -308,7 +312,7 @@
 
 /// What the gateways of other regions do with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum PeerFate {
+pub(crate) enum PeerBehavior {
     /// Their answer ends without a head.
     Ends,
     /// Certainly not run, after this time.
@@ -318,33 +322,33 @@
 }
 
 /// Counts the calls to other gateways.
-pub(crate) struct CountedTransport {
+pub(crate) struct FakeTransport {
     pub(crate) opened: Cell<u32>,
-    fate: PeerFate,
+    behavior: PeerBehavior,
     clock: Rc<dyn Clock>,
 }
 
-impl CountedTransport {
-    pub(super) fn new(fate: PeerFate, clock: &Rc<dyn Clock>) -> Self {
-        Self { opened: Cell::new(0), fate, clock: Rc::clone(clock) }
+impl FakeTransport {
+    pub(super) fn new(behavior: PeerBehavior, clock: &Rc<dyn Clock>) -> Self {
+        Self { opened: Cell::new(0), behavior, clock: Rc::clone(clock) }
     }
 
     fn reply(&self, request: &ForwardRequest) -> PeerStream {
-        let (head, pieces, pause) = match self.fate {
-            PeerFate::Ends => return PeerStream::new(stream::empty()),
-            PeerFate::Refuses(after) => {
+        let (head, pieces, pause) = match self.behavior {
+            PeerBehavior::Ends => return PeerStream::new(stream::empty()),
+            PeerBehavior::Refuses(after) => {
                 let reason = "no slot".to_owned();
                 let head = ForwardReply::NotRun { reason, retry_millis: 1_000 };
                 (head, Vec::new(), AnswerPause { before: 0, length: after })
             }
-            PeerFate::Pauses(pause) => self.answer(request, pause),
+            PeerBehavior::Pauses(pause) => self.answer(request, pause),
         };
-        let waiting = self.clock.sleep(pause.at(0));
+        let waiting = self.clock.sleep(pause.delay_before(0));
         let head = stream::once(async move {
             waiting.await;
             Bytes::from(encode(&head))
         });
-        PeerStream::new(head.chain(paced(pieces, pause, Rc::clone(&self.clock))).map(Ok))
+        PeerStream::new(head.chain(with_pause(pieces, pause, Rc::clone(&self.clock))).map(Ok))
     }
 
     fn answer(
@@ -369,7 +373,7 @@
     }
 }
 
-impl PeerTransport for CountedTransport {
+impl PeerTransport for FakeTransport {
     fn call<'a>(
         &'a self,
         _to: SocketAddr,
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -40,7 +40,7 @@
 
 impl RegionPeers for DirectoryPeers {
     fn addresses(&self) -> Vec<SocketAddr> {
-        self.directory.gateways(&self.region)
+        self.directory.gateway_addresses(&self.region)
     }
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -17,7 +17,7 @@
     gullglade_claim::{ClaimService, ClaimSettings, GroupTable, QuorumClaims, ReplicaGroup},
     gullglade_document::ConfigSource,
     gullglade_event::{EventDraft, EventLog, EventSink, MetricSet},
-    gullglade_gateway::{Gateway, GatewayConfig, GatewayParts, RelayDirectory},
+    gullglade_gateway::{Gateway, GatewayConfig, GatewayDependencies, RelayDirectory},
     gullglade_http::{ClientConfig, PooledClient, ServerConfig, StopHandle},
     gullglade_peer::{HandlerTable, PeerHandler, PeerPool, PeerStopHandle},
     gullglade_units::{ProcessContext, RegionName, VmName, timeout},
@@ -83,7 +83,7 @@
             Rc::clone(&core.pool) as _,
         );
         let documents = Rc::clone(&wiring.documents);
-        let parts = GatewayParts {
+        let parts = GatewayDependencies {
             context: context.clone(),
             documents: wiring.documents,
             backends: Rc::clone(&backends),
