--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/announce`: backend servers join, renew and leave.
+//! `POST /v1/announce`: registration, lease renewal and departure of backend servers.
 
 use {
     crate::{gateway::Gateway, refusal},
@@ -9,11 +9,11 @@
     http::{HeaderMap, Request, Response, StatusCode, header::AUTHORIZATION},
 };
 
-/// The most bytes of an announcement.
+/// Maximum size of the body of an announcement.
 const ANNOUNCEMENT_LIMIT_BYTES: usize = 256 << 10;
 
 impl Gateway {
-    pub(crate) async fn announce(
+    pub(crate) async fn serve_announce(
         &self,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
@@ -28,16 +28,17 @@
         Ok(Response::new(ReplyBody::json(&reply)))
     }
 
-    /// Where documents list names or tokens for the backend servers of what this one serves, it
-    /// must have them: without that, any process that reaches a gateway could receive callers'
-    /// requests and their data.
+    /// Checks the announcer against the names and tokens that documents list for the backend
+    /// servers of the models and services that it serves. Without this check, any process that
+    /// reaches a gateway could receive callers' requests and their data.
     fn check_announcer(
         &self,
         headers: &HeaderMap,
         announcement: &Announcement,
     ) -> Result<(), ApiError> {
-        // A renewal names no profile, and a new profile may name other models: whoever could renew,
-        // change or end another's announcement without its token could take it out of service.
+        // A renewal carries no profile, and a new profile may list other models. The recorded
+        // profile is therefore checked as well: otherwise a process without the token could renew,
+        // change or end the announcement of another backend server and take it out of service.
         let record = self.backends.record(&announcement.name);
         let known = record.as_ref().and_then(|record| record.profile());
         let view = self.documents.current().ok_or_else(refusal::no_configuration)?;
@@ -74,8 +75,10 @@
     if name_ok && token_ok {
         return Ok(());
     }
-    let message =
-        format!("the document of {} does not admit {name}; list its name and token", document.name);
+    let message = format!(
+        "the document of {} does not allow {name} to announce itself; list its name and token",
+        document.name
+    );
     Err(ApiError::new(StatusCode::FORBIDDEN, "announcer_not_allowed", message))
 }
 
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Replies to callers, and the record of an answer for resends.
+//! Builds replies to callers, and records answers that are stored for resends.
 
 use {
     crate::{
@@ -12,10 +12,10 @@
     http::{HeaderName, HeaderValue, Response, StatusCode},
 };
 
-/// The region that answered.
+/// Reply header with the region whose backend server answered.
 const REGION_HEADER: HeaderName = HeaderName::from_static("gullglade-region");
 
-/// A reply with the answer's head and `body`.
+/// Builds a reply from the head of `answer` and `body`.
 pub(crate) fn reply(
     plan: &CallPlan,
     answer: &AttemptAnswer,
@@ -41,7 +41,7 @@
     response
 }
 
-/// Keeps the bytes of a claimed request's answer while it is relayed.
+/// Buffers the answer of a claimed request while the answer is relayed.
 pub(crate) struct AnswerRecord {
     permit: RunPermit,
     status: StatusCode,
@@ -51,7 +51,7 @@
 }
 
 impl AnswerRecord {
-    /// The record of `answer`, where the request runs under a permit.
+    /// Returns a record for `answer` if the request runs under a permit.
     pub(crate) fn new(plan: &CallPlan, answer: &AttemptAnswer, stage: ClaimStage) -> Option<Self> {
         let ClaimStage::Running(permit) = stage else { return None };
         Some(Self {
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Adds a piece of the answer. Above the limit nothing is kept any more.
+    /// Appends a piece of the answer. Discards the body once it exceeds the size limit.
     pub(crate) fn push(&mut self, piece: &Bytes) {
         let Some(body) = &mut self.body else { return };
         if body.len() + piece.len() > self.limit {
@@ -73,13 +73,13 @@
         body.extend_from_slice(piece);
     }
 
-    /// Records that the request ran and that its answer is not kept.
+    /// Records that the request ran without storing its answer.
     pub(crate) async fn store_outcome_only(self) {
         self.permit.ran_unkept().await;
     }
 
-    /// Stores the answer for resends, or that it ran and is not kept. To be awaited before the
-    /// last byte goes to the caller.
+    /// Stores the answer for resends. If the body exceeded the limit, records only that the request
+    /// ran. Must complete before the last byte is sent to the caller.
     pub(crate) async fn store(self) {
         let header = |h: ContentHeader| (h.name, Bytes::from(h.value));
         let headers = self.headers.into_iter().map(header).collect();
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a request at one backend server or at one gateway of another region.
+//! One attempt to run a request, at a backend server of this region or at a gateway of another
+//! region.
 
 use {
     crate::{
@@ -25,31 +26,33 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Carries the request's id to the backend server, and back in its reply.
+/// Header with the id of the request, set on the request to the backend server and on its reply.
 pub(crate) const REQUEST_HEADER: HeaderName = HeaderName::from_static("gullglade-request");
 
-/// The same under the name that common engines take for the id of their answer.
+/// Header with the same id under the name from which common inference engines take the id of their
+/// answer.
 const ENGINE_REQUEST_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The token at which the answer is to begin.
+/// Header with the index of the first token that the answer is to contain.
 pub(crate) const OFFSET_HEADER: HeaderName = HeaderName::from_static("gullglade-resume-offset");
 
-/// How urgent the request is.
+/// Header with the priority of the request.
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("gullglade-priority");
 
-/// An answer that has begun.
+/// An answer whose head has been received.
 pub(crate) struct AttemptAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: Vec<ContentHeader>,
     pub(crate) body: LocalStream,
     pub(crate) backend: BackendName,
     pub(crate) region: RegionName,
-    /// `NotRun` only where the backend server itself says so of a request it found faulty.
+    /// `NotRun` only if the backend server states that it rejected the request as invalid without
+    /// running it.
     pub(crate) run: RunState,
     pub(crate) guard: AttemptGuard,
 }
 
-/// Who gives an answer.
+/// The backend server and region that an answer comes from.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSource {
     pub(crate) backend: BackendName,
@@ -57,35 +60,35 @@
 }
 
 impl AttemptAnswer {
-    /// Who gives it.
+    /// Returns the backend server and region that the answer comes from.
     pub(crate) fn source(&self) -> AnswerSource {
         AnswerSource { backend: self.backend.clone(), region: self.region.clone() }
     }
 }
 
-/// Why an attempt has no answer.
+/// The reason why an attempt produced no answer.
 #[derive(Debug)]
 pub(crate) enum AttemptFailure {
-    /// Certainly not run: another attempt is safe.
+    /// The request certainly did not run; another attempt is safe.
     NotRun {
-        /// For the event and, where nothing else is left, for the caller.
+        /// Reason for the event, and for the caller if no further attempt is made.
         reason: String,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// For the event.
+        /// Reason for the event.
         reason: String,
     },
 }
 
 impl AttemptFailure {
-    /// Whether the request was certainly not run.
+    /// Returns whether the request certainly did not run.
     pub(crate) fn is_not_run(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
 }
 
-/// Where a local attempt goes, copied out of the table.
+/// The backend server that a local attempt is sent to, copied from the backend table.
 #[derive(Debug, Clone)]
 pub(crate) struct SelectedBackend {
     pub(crate) run: BackendRun,
@@ -117,18 +120,19 @@
             self.backends.dispatch(selected.name(), selected.prefill_tokens, blocks)
         else {
             return Err(not_run(
-                "the backend server took no more requests before this one was sent",
+                "the backend server stopped accepting requests before this one was sent",
             ));
         };
         guard.dispatch = Some(dispatch_guard);
         guard.engine_time = Some(self.engine_time_meter(plan));
         self.emit(plan, "request.dispatched", |e| e.field("backend", selected.name()));
         let mut request = self.backend_request(plan)?;
-        let mut open = self.pending_sends.begin(&selected.run);
-        request.extensions_mut().insert(open.permit.clone());
-        let sent = send_unless_revoked(&*self.client, selected.address, request, &mut open.revoked);
+        let mut pending = self.pending_sends.begin(&selected.run);
+        request.extensions_mut().insert(pending.permit.clone());
+        let sent =
+            send_unless_revoked(&*self.client, selected.address, request, &mut pending.revoked);
         let reply = sent.await.map_err(|e| self.send_failure(selected, &e))?;
-        drop(open);
+        drop(pending);
         self.apply_statements(selected, &reply.head);
         self.check_reply(plan, selected, &reply)?;
         let run = match reported_run_state(&reply.head.headers) {
@@ -149,8 +153,11 @@
     fn backend_request(&self, plan: &CallPlan) -> Result<Request<Bytes>, AttemptFailure> {
         let mut request = Request::new(plan.content.body.clone());
         *request.method_mut() = plan.content.method.clone();
-        *request.uri_mut() =
-            plan.content.path.parse().map_err(|_| not_run("the path is not a URI"))?;
+        *request.uri_mut() = plan
+            .content
+            .path
+            .parse()
+            .map_err(|_| not_run("the request path is not a valid URI"))?;
         let headers = request.headers_mut();
         for header in &plan.content.headers {
             if let (Ok(name), Ok(value)) =
@@ -176,7 +183,9 @@
 
     fn send_failure(&self, selected: &SelectedBackend, error: &ClientError) -> AttemptFailure {
         if let ClientError::Revoked { .. } = error {
-            return not_run("the backend server wanted nothing more before this one was sent");
+            return not_run(
+                "the backend server asked for no more requests before this one was sent",
+            );
         }
         self.backends.note_failure(selected.name());
         self.events.emit(
@@ -191,8 +200,9 @@
         }
     }
 
-    /// Sorts out replies that are no answers: a backend server's proved refusal, another request's
-    /// answer, and failures of the backend server where another may do better.
+    /// Rejects replies that are no answer to the request: a refusal that states that the request
+    /// did not run, the answer to another request, and a server error where another backend server
+    /// can be tried.
     fn check_reply(
         &self,
         plan: &CallPlan,
@@ -203,7 +213,7 @@
         if headers.get(REQUEST_HEADER).is_some_and(|id| *id != id_value(plan.id)) {
             self.metrics.breached(Promise::OwnAnswer);
             self.emit(plan, "answer.swapped", |e| e.field("backend", selected.name()));
-            return Err(unknown("the backend server answered another request"));
+            return Err(unknown("the backend server sent the answer to another request"));
         }
         let status = reply.head.status;
         let refused =
@@ -212,7 +222,7 @@
             return Err(not_run("the backend server refused the request"));
         }
         if status.is_server_error() && plan.is_idempotent() {
-            return Err(unknown("the backend server failed"));
+            return Err(unknown("the backend server replied with a server error"));
         }
         Ok(())
     }
@@ -265,7 +275,7 @@
             .emit(EventDraft::new("forward.failed").field("peer", address).error("reason", error));
         match error.nothing_sent() {
             true => not_run("the gateway of the other region cannot be reached"),
-            false => unknown("the link to the other region broke"),
+            false => unknown("the connection to the other region was lost"),
         }
     }
 
@@ -280,16 +290,17 @@
         let first = match first {
             Some(Some(Ok(bytes))) => bytes,
             Some(Some(Err(error))) => return Err(self.forward_failure(address, &error)),
-            Some(None) => return Err(unknown("the other region's answer has no head")),
+            Some(None) => return Err(unknown("the other region's answer ended before its head")),
             None => return Err(unknown("the other region did not answer in time")),
         };
         let reply = decode::<ForwardReply>(&first)
-            .map_err(|_| unknown("the other region's answer does not decode"))?;
+            .map_err(|_| unknown("the other region's answer could not be decoded"))?;
         match reply {
             ForwardReply::Answer { id, status, headers, backend, ran } if id == plan.id => {
                 Ok(AttemptAnswer {
-                    status: StatusCode::from_u16(status)
-                        .map_err(|_| unknown("the other region's status is not one"))?,
+                    status: StatusCode::from_u16(status).map_err(|_| {
+                        unknown("the other region's answer has an invalid status code")
+                    })?,
                     headers,
                     body: Box::pin(stream.map(|item| item.map_err(incomplete_forward))),
                     backend,
@@ -301,14 +312,16 @@
             ForwardReply::Answer { .. } => {
                 self.metrics.breached(Promise::OwnAnswer);
                 self.emit(plan, "answer.swapped", |e| e.field("region", region));
-                Err(unknown("the other region answered another request"))
+                Err(unknown("the other region sent the answer to another request"))
             }
             ForwardReply::NotRun { reason, .. } => Err(AttemptFailure::NotRun { reason }),
-            ForwardReply::Unknown => Err(unknown("the other region lost the answer")),
+            ForwardReply::Unknown => {
+                Err(unknown("the other region lost the answer of a request that may have run"))
+            }
         }
     }
 
-    /// Time until the caller has no use for an answer any more.
+    /// Returns the time left until the deadline of the request.
     pub(crate) fn remaining(&self, plan: &CallPlan) -> Duration {
         plan.deadline.since(self.context.clock.now())
     }
@@ -330,12 +343,12 @@
     HeaderValue::try_from(id.to_string()).expect("a UUID's text is visible ASCII")
 }
 
-/// What a backend server says of whether the request ran.
+/// Returns the run state that the headers of a backend server report.
 pub(crate) fn reported_run_state(headers: &HeaderMap) -> Option<RunState> {
     headers.get(RunState::HEADER).and_then(RunState::from_value)
 }
 
-/// The priority as engines take it: a whole number, the higher the more urgent.
+/// Returns the priority as inference engines expect it: an integer, higher is more urgent.
 fn engine_priority(plan: &CallPlan) -> i32 {
     match plan.priority {
         Priority::High => 1,
@@ -344,7 +357,8 @@
     }
 }
 
-/// The headers of a message that go with its content to the next hop. Tokens stay here.
+/// Returns the end-to-end headers that are passed to the next hop with the content. Credentials,
+/// hop-by-hop headers and the gateway's own headers are removed.
 pub(crate) fn content_headers(mut headers: HeaderMap) -> Vec<ContentHeader> {
     strip_hop_by_hop(&mut headers);
     for name in [AUTHORIZATION, HOST, CONTENT_LENGTH, REQUEST_HEADER, RunState::HEADER] {
--- a/crates/gateway/src/attempt_guard.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! What one attempt holds while it runs, and gives back when it is dropped.
+//! Resources that an attempt holds while it runs and releases on drop.
 
 use {
     futures::channel::oneshot,
@@ -9,14 +9,14 @@
     std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration},
 };
 
-/// How long a request holds a slot where none has been measured yet.
+/// Assumed holding time of a slot before the first measurement.
 const DEFAULT_HOLDING_TIME: Duration = Duration::from_secs(4);
 
-/// Weight of a new sample in the average hold.
+/// Weight of a new sample in the exponentially weighted moving average of holding times.
 const HOLDING_TIME_EWMA_WEIGHT: f64 = 0.05;
 
-/// A slot of this gateway and a count at the backend server. Dropped when the answer has ended or
-/// was given up, however that came about.
+/// An admission slot of this gateway and a dispatch count at the backend server. Dropped when the
+/// answer ends, fails or is abandoned.
 #[derive(Default)]
 pub(crate) struct AttemptGuard {
     pub(crate) _permit: Option<AdmissionPermit>,
@@ -25,7 +25,7 @@
 }
 
 impl AttemptGuard {
-    /// The backend server has begun to answer.
+    /// Records that the backend server has sent the first token.
     pub(crate) fn first_token(&self) {
         if let Some(dispatch) = &self.dispatch {
             dispatch.first_token();
@@ -33,8 +33,8 @@
     }
 }
 
-/// Counts the seconds that a request occupies a backend server: the cost measure, and the average
-/// hold that the decision needs.
+/// Measures the time that a request occupies a backend server. Feeds the engine time metric and the
+/// average holding time that routing uses.
 pub(crate) struct EngineTimeMeter {
     pub(crate) metrics: Rc<MetricSet>,
     pub(crate) clock: Rc<dyn Clock>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The average time a request of each model holds a slot, as an exponentially weighted mean.
+/// The average slot holding time of each model, as an exponentially weighted moving average.
 #[derive(Debug, Default)]
 pub(crate) struct HoldingTimes {
     seconds: RefCell<HashMap<ModelName, f64>>,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Wakes requests that wait for a slot when one may have become free.
+/// Wakes requests that wait for capacity when a slot may have become free.
 #[derive(Debug, Default)]
 pub(crate) struct CapacitySignal {
     waiters: RefCell<Vec<oneshot::Sender<()>>>,
@@ -91,10 +91,11 @@
         let _notified = receiver.await;
     }
 
-    /// Wakes all who wait now. Each decides anew; those for whom nothing changed wait again.
+    /// Wakes all current waiters. Each repeats its routing decision and waits again if there is
+    /// still no capacity.
     pub(crate) fn notify(&self) {
         for waiter in self.waiters.take() {
-            let _gone = waiter.send(());
+            let _disconnected = waiter.send(());
         }
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, checked and ready to be placed.
+//! A checked request of a caller, ready to be routed.
 
 use {
     crate::{memory::MemoryReservation, span::RequestSpan},
@@ -11,8 +11,8 @@
     std::rc::Rc,
 };
 
-/// A checked request. It is the same at every attempt; what differs between attempts is where it
-/// goes and at which token it resumes.
+/// A checked request. All attempts share its contents; they differ only in destination and in the
+/// token at which the answer resumes.
 #[derive(Debug, Clone)]
 pub(crate) struct CallPlan {
     pub(crate) id: RequestId,
@@ -28,17 +28,17 @@
     pub(crate) idempotency: Idempotency,
     pub(crate) received: MonotonicTime,
     pub(crate) deadline: MonotonicTime,
-    /// The region of the gateway that took the request from its caller, where it came from there.
+    /// The region in which the caller sent the request, if it was forwarded from another region.
     pub(crate) origin: Option<RegionName>,
-    /// The token at which the answer begins: above zero where an earlier attempt broke off.
+    /// Index of the first token of the answer; above zero when an interrupted answer is resumed.
     pub(crate) offset: u64,
-    /// The account of the caller's request; shared by all copies of the plan.
+    /// Lifecycle record of the caller's request, shared by all clones of the plan.
     pub(crate) span: Rc<RequestSpan>,
-    /// The memory of the body, given back when the last copy of the plan is dropped.
+    /// Memory reservation for the body, released when the last clone of the plan is dropped.
     pub(crate) memory: MemoryReservation,
 }
 
-/// What goes to the backend server.
+/// The content of a request as sent to the backend server.
 #[derive(Debug, Clone)]
 pub(crate) struct CallContent {
     pub(crate) method: Method,
@@ -48,41 +48,42 @@
     pub(crate) streamed: bool,
 }
 
-/// A header that is passed on.
+/// An end-to-end header that is passed on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ContentHeader {
     pub(crate) name: String,
     pub(crate) value: Vec<u8>,
 }
 
-/// Whether a request may be run again.
+/// Idempotency of a request, which decides if it may be retried.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Idempotency {
     /// Idempotent: may be retried and resumed.
     Idempotent,
-    /// Non-idempotent without a key: never retried once dispatched.
+    /// Non-idempotent without a key: not retried once it may have run.
     NonIdempotent,
-    /// Non-idempotent under a key: claimed before it is dispatched, never retried after.
+    /// Non-idempotent with an idempotency key: claimed before dispatch, not retried afterwards.
     Keyed(OrderKey),
 }
 
 impl CallPlan {
-    /// Whether another attempt may follow one that may have run.
+    /// Returns whether the request may be attempted again after an attempt that may have run.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.idempotency == Idempotency::Idempotent
     }
 
-    /// Whether it runs under a key.
+    /// Returns whether the request has an idempotency key.
     pub(crate) fn is_keyed(&self) -> bool {
         matches!(self.idempotency, Idempotency::Keyed(_))
     }
 
-    /// The service that the request belongs to.
+    /// Returns the service that the request belongs to.
     pub(crate) fn service(&self) -> &ServiceName {
         &self.document.name
     }
 
-    /// The regions in which it may run: the target's, cut down to the home it is bound to.
+    /// Returns the regions in which the request may run: those allowed for its target, restricted
+    /// to the home region of the workspace if it has one.
     pub(crate) fn regions(&self) -> Vec<RegionName> {
         let allowed = self.document.regions_of(&self.target).unwrap_or_default();
         let bound = |region: &&RegionName| self.home.as_ref().is_none_or(|home| home == *region);
--- a/crates/gateway/src/chat.rs
+++ b/crates/gateway/src/chat.rs
@@ -1,15 +1,15 @@
-//! The parts of OpenAI-compatible bodies that the gateway must understand; the rest passes through
-//! as it came.
+//! The parts of OpenAI-compatible bodies that the gateway interprets. Everything else passes
+//! through unchanged.
 
 use {
     crate::refusal, gullglade_backend::PromptBlocks, gullglade_http::ApiError,
     gullglade_units::ModelName, serde::Deserialize, std::borrow::Cow,
 };
 
-/// Tokens of an answer where the caller names no bound.
+/// Maximum answer length, in tokens, if the request sets none.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// What the gateway reads from the body of a completion request.
+/// The fields of a completion request that the gateway interprets.
 #[derive(Debug)]
 pub(crate) struct CompletionRequest {
     pub(crate) model: ModelName,
@@ -73,7 +73,7 @@
 }
 
 impl RawCompletion<'_> {
-    /// The prompt's text as [`PromptBlocks::new`] wants it.
+    /// Returns the text of the prompt in the form that [`PromptBlocks::new`] expects.
     fn text(&self) -> String {
         let mut text = String::new();
         for message in &self.messages {
@@ -95,13 +95,13 @@
     }
 }
 
-/// What the gateway reads from one event of a streamed answer, or from a whole answer.
+/// The fields that the gateway interprets in an event of a streamed answer or in a complete answer.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AnswerChunk<'a> {
-    /// The engine's id of the answer.
+    /// The id that the inference engine gave the answer.
     #[serde(default, borrow)]
     pub(crate) id: Cow<'a, str>,
-    /// Place of this event's token in the answer, from engines that state it.
+    /// Index of this event's token in the answer, if the engine states it.
     #[serde(default)]
     pub(crate) token_index: Option<u64>,
     #[serde(default, borrow)]
@@ -125,7 +125,7 @@
 }
 
 impl AnswerChunk<'_> {
-    /// Whether this event carries a token.
+    /// Returns whether this event carries a token.
     pub(crate) fn has_token(&self) -> bool {
         self.choices.iter().any(|choice| {
             let content = choice.delta.as_ref().and_then(|d| d.content.as_deref());
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Whether this event says why the answer ended.
+    /// Returns whether this event carries a finish reason.
     pub(crate) fn is_finish(&self) -> bool {
         self.choices.iter().any(|choice| choice.finish_reason.is_some())
     }
--- a/crates/gateway/src/claimed.rs
+++ b/crates/gateway/src/claimed.rs
@@ -1,4 +1,5 @@
-//! Requests under a key: claimed before they are placed, permitted just before the first byte.
+//! Requests with an idempotency key: claimed before routing, and permitted to run immediately
+//! before the first byte is sent.
 
 use {
     crate::{
@@ -18,35 +19,35 @@
     std::time::Duration,
 };
 
-/// Says that an answer is the stored one of an earlier send.
+/// Reply header that marks the stored answer of an earlier send.
 const REPLAYED_HEADER: HeaderName = HeaderName::from_static("gullglade-replayed");
 
-/// When to resend while another send is running.
+/// Retry delay stated to a caller while another send with the same key is running.
 const RESEND_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// How far the claim on a request's key has come.
+/// The state of the claim on a request's key.
 #[derive(Debug, Default)]
 pub(crate) enum ClaimStage {
     /// The request has no key.
     #[default]
     None,
-    /// This send may go on to its dispatch.
+    /// The claim is granted; this send may proceed to dispatch.
     Granted(ClaimGrant),
-    /// This send may run.
+    /// This send holds the permit to run.
     Running(RunPermit),
 }
 
-/// What a claim means for the request.
+/// The next step after a claim.
 enum ClaimStep {
-    /// Place it.
+    /// Route the request.
     Proceed(ClaimStage),
-    /// Answer this.
+    /// Send this reply.
     Reply(Box<Response<ReplyBody>>),
 }
 
 impl Gateway {
-    /// Answers a request within the claim on its key: with the stored answer where there is one,
-    /// else by `answer`; a failure of that gives the claim up.
+    /// Answers a request under the claim on its key: with the stored answer if one exists,
+    /// otherwise by calling `answer`. Releases the claim if `answer` fails.
     pub(crate) async fn answer_claimed(
         &self,
         plan: &CallPlan,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Claims the request's key, where it has one.
+    /// Claims the key of the request, if it has one.
     async fn claim(&self, plan: &CallPlan) -> Result<ClaimStep, ApiError> {
         let Idempotency::Keyed(key) = &plan.idempotency else {
             return Ok(ClaimStep::Proceed(ClaimStage::None));
@@ -89,7 +90,8 @@
         claim_step(outcome, key)
     }
 
-    /// Turns the grant into the permit to run. Nothing of the request may go out before.
+    /// Exchanges the grant for the permit to run. No byte of the request may be sent before this
+    /// succeeds.
     pub(crate) async fn begin_run(&self, history: &mut AttemptHistory) -> Result<(), ApiError> {
         match std::mem::take(&mut history.claim) {
             ClaimStage::Granted(grant) => {
@@ -101,13 +103,13 @@
         Ok(())
     }
 
-    /// What a caller may be told after `error`, once the claim is given up. `not-run` stands only
-    /// where the replicas agree that no send under the key has run.
+    /// Releases the claim after `error` and returns the error for the caller. It reports `not-run`
+    /// only if the replicas agree that no send with the key has run.
     async fn release_claim(&self, history: &mut AttemptHistory, error: ApiError) -> ApiError {
         let proof = match std::mem::take(&mut history.claim) {
             ClaimStage::None => return error,
             ClaimStage::Granted(grant) => grant.release_not_run().await,
-            // Dropping the permit records `unknown`.
+            // Dropping the permit records the outcome as unknown.
             ClaimStage::Running(_) if history.may_have_run => return error,
             ClaimStage::Running(permit) => permit.release_not_run().await,
         };
@@ -147,14 +149,14 @@
         ClaimOutcome::RanUnkept => Err(ApiError::new(
             StatusCode::CONFLICT,
             "already_run",
-            format!("{key} has run; its answer was not kept: ask the service for it"),
+            format!("{key} ran, but its answer was not stored; ask the service for the result"),
         )
         .run(RunState::Run)),
         ClaimOutcome::Unknown => Err(refusal::outcome_unknown(false)),
         ClaimOutcome::InProgress => Err(ApiError::new(
             StatusCode::CONFLICT,
             "in_progress",
-            format!("another send under {key} may be running; resend the same to get its answer"),
+            format!("another send of {key} may be running; resend the same request for its answer"),
         )
         .run(RunState::Unknown)
         .retry_after(RESEND_RETRY_AFTER)),
@@ -182,7 +184,7 @@
     ApiError::new(status, kind, error.to_string()).run(run).retry_after(RESEND_RETRY_AFTER)
 }
 
-/// The stored answer of an earlier send.
+/// Builds the reply from the stored answer of an earlier send.
 fn replay(answer: &StoredAnswer) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::full(answer.body().clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status()).unwrap_or(StatusCode::OK);
--- a/crates/gateway/src/claimed/tests.rs
+++ b/crates/gateway/src/claimed/tests.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a claim is given up.
+//! The run state reported to a caller when a claim is released.
 
 use {
     crate::testing::{BackendBehavior, DOCUMENT, TestGateway},
@@ -10,7 +10,7 @@
     std::{future::ready, rc::Rc},
 };
 
-/// Grants every claim; a release ends with `proof`.
+/// Grants every claim; a release returns `proof`.
 #[derive(Clone, Copy)]
 struct FixedProof {
     proof: ReleaseProof,
@@ -41,9 +41,10 @@
     fn spawn(&self, _task: LocalFuture<'static, ()>) {}
 }
 
-/// Guards against an order placed twice, since another send under its key had run.
+/// Guards against an order that is placed twice because `not-run` was reported although another
+/// send with its key had run.
 #[test]
-fn not_run_is_said_only_with_the_replicas_proof() {
+fn reports_not_run_only_with_proof_from_the_replicas() {
     struct Case {
         proof: ReleaseProof,
         run: &'static str,
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -1,4 +1,4 @@
-//! Completions: answers whole and streamed.
+//! Completion requests, with buffered and streamed answers.
 
 use {
     crate::{
@@ -17,12 +17,12 @@
     http::{Request, Response, header::CONTENT_TYPE},
 };
 
-/// The most bytes of an answer that is not streamed.
+/// Maximum size of an answer that is not streamed.
 const BUFFERED_ANSWER_LIMIT_BYTES: usize = 16 << 20;
 
 impl Gateway {
-    /// Answers `POST /v1/chat/completions` and `POST /v1/completions`.
-    pub(crate) async fn complete(
+    /// Serves `POST /v1/chat/completions` and `POST /v1/completions`.
+    pub(crate) async fn serve_completion(
         &self,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
@@ -33,8 +33,8 @@
         outcome
     }
 
-    /// Attempts until an answer has begun well enough to be sent: an error of the status line can
-    /// be told only before the first byte.
+    /// Attempts the request until an answer is ready to be sent. Failures are handled before the
+    /// first byte because an error status cannot be sent after it.
     async fn begin_answer(
         &self,
         plan: &CallPlan,
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Reads an answer to its end and checks that it is this request's. `None`: it is lost.
+    /// Reads a complete answer and checks that it belongs to this request. Returns `None` if the
+    /// answer is lost.
     async fn buffered_answer(
         &self,
         plan: &CallPlan,
@@ -84,18 +85,19 @@
         self.check_answer_id(plan, &chunk)
     }
 
-    /// Whether the answer names this request. Engines take the id of their answer from the request
-    /// that the gateway gave them, some with a prefix of their own.
+    /// Checks that the id of the answer ends in the id of this request. Inference engines derive
+    /// the id of their answer from the id that the gateway sent, some with a prefix of their own.
     pub(crate) fn check_answer_id(&self, plan: &CallPlan, chunk: &AnswerChunk<'_>) -> bool {
-        let own = plan.id.ends(&chunk.id);
-        if !own {
+        let matches = plan.id.ends(&chunk.id);
+        if !matches {
             self.metrics.breached(Promise::OwnAnswer);
             self.emit(plan, "answer.swapped", |e| e);
         }
-        own
+        matches
     }
 
-    /// Notes an answer that began and was lost, and says whether the loop may go on.
+    /// Records the loss of an answer that had begun. Returns an error if no further attempt is
+    /// allowed.
     pub(crate) fn handle_lost_answer(
         &self,
         plan: &CallPlan,
@@ -120,17 +122,17 @@
     answer.status.is_success() && value.is_some_and(|v| v.starts_with(b"text/event-stream"))
 }
 
-/// The whole body, or `None` where it breaks off or is longer than `limit`.
+/// Reads the complete body. Returns `None` if it breaks off or exceeds `limit` bytes.
 pub(crate) async fn collect_body(body: &mut LocalStream, limit: usize) -> Option<Bytes> {
-    let mut whole = bytes::BytesMut::new();
+    let mut collected = bytes::BytesMut::new();
     while let Some(piece) = body.next().await {
         let piece = piece.ok()?;
-        if whole.len() + piece.len() > limit {
+        if collected.len() + piece.len() > limit {
             return None;
         }
-        whole.extend_from_slice(&piece);
+        collected.extend_from_slice(&piece);
     }
-    Some(whole.freeze())
+    Some(collected.freeze())
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/completion/tests.rs
+++ b/crates/gateway/src/completion/tests.rs
@@ -1,10 +1,10 @@
-//! Answers that must not be shown as whole.
+//! Incomplete answers that must not appear complete.
 
 use crate::testing::{BackendBehavior, DOCUMENT, TestGateway};
 
-/// Guards against an answer without its last words that looks whole.
+/// Guards against a truncated answer that appears complete.
 #[test]
-fn a_stream_without_a_finish_reason_is_not_whole() {
+fn stream_without_finish_reason_is_incomplete() {
     let document = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
     let gateway = TestGateway::new(&document, true, BackendBehavior::Unfinished);
     let ask =
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,29 +1,29 @@
-//! Settings of a gateway.
+//! Gateway settings.
 
 use {
     gullglade_units::{FailureDomain, RegionName, VmName},
     std::time::Duration,
 };
 
-/// Who a gateway is and how long it waits. Start from [`GatewayConfig::new`].
+/// Identity and limits of a gateway. [`GatewayConfig::new`] sets the defaults.
 #[derive(Debug, Clone)]
 pub struct GatewayConfig {
-    /// Its VM.
+    /// The VM it runs on.
     pub vm: VmName,
     /// Its region.
     pub region: RegionName,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Most attempts for one request, the first included; 4.
+    /// Maximum number of attempts for one request, including the first. Default: 4.
     pub attempt_limit: u32,
-    /// Most bytes of request bodies held at a time; 128 MiB.
+    /// Maximum total size of the request bodies held at a time, in bytes. Default: 128 MiB.
     pub body_memory_bytes: usize,
-    /// How long a resend waits for the answer of a send that is running; 10 s.
+    /// Maximum time that a resend waits for the answer of a running send. Default: 10 s.
     pub claim_wait: Duration,
 }
 
 impl GatewayConfig {
-    /// The defaults.
+    /// Returns a configuration with default limits.
     pub fn new(vm: VmName, region: RegionName, domain: FailureDomain) -> Self {
         Self {
             vm,
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,4 +1,4 @@
-//! From what this gateway knows to a decision: the rows that the policy reads are filled here.
+//! Builds the inputs of the routing policy from the state of this gateway and applies its decision.
 
 use {
     crate::{
@@ -20,15 +20,16 @@
     std::time::Duration,
 };
 
-/// Prompt tokens a second of a backend server that states none (a plain service).
+/// Prefill rate, in tokens per second, assumed for a backend server that states none (a plain
+/// service).
 const DEFAULT_PREFILL_RATE: f64 = 10_000.0;
 
-/// A decision, copied out of the borrowed rows.
+/// A routing decision with owned values.
 pub(crate) enum Placement {
     Local(SelectedBackend),
     Remote(RegionName),
     Wait(Duration),
-    /// Every backend server that may take it has requested a back-off, the first until then.
+    /// Every eligible backend server has requested a back-off; the earliest ends at this time.
     Backoff(MonotonicTime),
     Refuse(RefuseReason, Duration),
 }
@@ -40,10 +41,10 @@
         history: &AttemptHistory,
         queue_wait: Duration,
     ) -> Placement {
-        let rows = self.directory.region_statuses(&plan.target);
-        let offers: Vec<RegionOffer<'_>> = rows
+        let statuses = self.directory.region_statuses(&plan.target);
+        let offers: Vec<RegionOffer<'_>> = statuses
             .iter()
-            .filter(|row| !history.failed_regions.contains(&row.region))
+            .filter(|status| !history.failed_regions.contains(&status.region))
             .map(region_offer)
             .collect();
         let regions = plan.regions();
@@ -56,7 +57,8 @@
             let allowed = || admitted().filter(|view| view.backoff_until.is_none());
             let mut usable: Vec<&BackendView<'_>> =
                 allowed().filter(|view| !history.failed_backends.contains(view.name)).collect();
-            // Where all have failed once, another try at one of them is better than none.
+            // If every backend server has failed this request and no region is offered, retry one
+            // of them.
             if usable.is_empty() && offers.is_empty() {
                 usable = allowed().collect();
             }
@@ -117,17 +119,18 @@
         self.admission.is_over_share(&queue, &plan.workspace, admission_priority(plan))
     }
 
-    /// States how many requests this gateway may have running for `target`.
+    /// Updates the number of requests that this gateway may run concurrently for `target`.
     pub(crate) fn refresh_capacity(&self, target: &ServiceTarget) {
         let model = target_model(target);
         let gateways = self.directory.gateway_count();
         let GladeSettings { overcommit, reserve, .. } = GladeSettings::default();
         let capacity = self.backends.with_candidates(backend_target(target), |views| {
-            // What one server cannot take for now must not be let through to the others. Where
-            // none takes anything, requests wait for the first that does.
-            let has_open = views.iter().any(|view| view.backoff_until.is_none());
-            let open = views.iter().filter(|view| !has_open || view.backoff_until.is_none());
-            let candidates: Vec<_> = open.map(|view| candidate(view, &[], model)).collect();
+            // Capacity of a backend server in back-off must not be used to admit requests to the
+            // others. If all are in back-off, requests wait for the first one to become available.
+            let has_available = views.iter().any(|view| view.backoff_until.is_none());
+            let available =
+                views.iter().filter(|view| !has_available || view.backoff_until.is_none());
+            let candidates: Vec<_> = available.map(|view| candidate(view, &[], model)).collect();
             permit_capacity(&candidates, overcommit, reserve, gateways)
         });
         let limits = PoolLimits { permits: capacity.permits, over_share: capacity.over_share };
@@ -149,18 +152,18 @@
     }
 }
 
-fn region_offer(row: &RegionStatus) -> RegionOffer<'_> {
+fn region_offer(status: &RegionStatus) -> RegionOffer<'_> {
     RegionOffer {
-        region: &row.region,
-        reachable: row.reachable,
-        link: row.link,
-        slots: row.slots,
-        free_slots: row.free_slots,
-        prefill_tokens: row.prefill_tokens,
-        prefill_rate: row.prefill_rate,
-        age: row.age,
-        since_return: row.since_return,
-        share: row.share,
+        region: &status.region,
+        reachable: status.reachable,
+        link: status.link,
+        slots: status.slots,
+        free_slots: status.free_slots,
+        prefill_tokens: status.prefill_tokens,
+        prefill_rate: status.prefill_rate,
+        age: status.age,
+        since_return: status.since_return,
+        share: status.share,
     }
 }
 
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the other gateways and of other regions.
+//! The view that a gateway has of the other gateways and regions.
 
 use {
     crate::decide::backend_target,
@@ -9,76 +9,79 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Another region, as far as one target is concerned.
+/// State of another region with respect to one target.
 #[derive(Debug, Clone)]
 pub struct RegionStatus {
     /// The region.
     pub region: RegionName,
-    /// Whether a gateway there was heard of lately.
+    /// Set if one of its gateways was heard from recently.
     pub reachable: bool,
-    /// One-way delay between gateways.
+    /// One-way network delay between gateways.
     pub link: Duration,
-    /// Slots of its backend servers for the target.
+    /// Total slots of its backend servers for the target.
     pub slots: u32,
-    /// Slots that it says are free.
+    /// Free slots that the region reports.
     pub free_slots: u32,
-    /// Prompt tokens waiting there.
+    /// Prompt tokens queued there.
     pub prefill_tokens: u32,
-    /// Prompt tokens its backend servers read in a second.
+    /// Aggregate prefill rate of its backend servers, in tokens per second.
     pub prefill_rate: f64,
-    /// Time since it said so.
+    /// Age of this report.
     pub age: Duration,
-    /// Time since it came back from an outage or a partition.
+    /// Time since the region became reachable again after an outage or a partition.
     pub since_return: Duration,
-    /// Part of its free slots that this gateway may count on.
+    /// Fraction of its free slots that this gateway may count on.
     pub share: f64,
 }
 
-/// A gateway that a caller may use.
+/// A gateway that callers may use as an entry point.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EntryGateway {
     /// Its VM.
     pub name: VmName,
     /// Its region.
     pub region: RegionName,
-    /// Where callers reach it.
+    /// URL at which callers reach it.
     pub url: String,
-    /// 0 is the best group; callers use a lower group only where no better one answers.
+    /// Preference group; 0 is the most preferred. Callers use a higher group only if no gateway of
+    /// a lower one answers.
     pub rank: u32,
-    /// Share of the callers of its group, in parts of the group's sum.
+    /// Weight within its group. A gateway receives its weight divided by the sum of the group's
+    /// weights.
     pub weight: u32,
 }
 
 /// The answer to `GET /v1/entry`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EntryAnswer {
-    /// Milliseconds for which it may be used.
+    /// Time for which the answer may be cached, in milliseconds.
     pub ttl_ms: u64,
-    /// The gateways, best first.
+    /// The gateways, most preferred first.
     pub gateways: Vec<EntryGateway>,
 }
 
-/// Answers from what this process knows; never waits.
+/// Lookup of gateways and regions. Answers from local state and never blocks.
 pub trait RegionDirectory {
-    /// Other regions that may take requests for `target`.
+    /// Returns the other regions that may take requests for `target`.
     fn region_statuses(&self, target: &ServiceTarget) -> Vec<RegionStatus>;
 
-    /// Peer addresses of the gateways of `region`, the one to use first in front.
+    /// Returns the peer addresses of the gateways of `region`, in order of preference.
     fn gateway_addresses(&self, region: &RegionName) -> Vec<SocketAddr>;
 
-    /// Gateways of this region, this one included, that share its backend servers.
+    /// Returns the number of gateways in this region, including this one, that share its backend
+    /// servers.
     fn gateway_count(&self) -> usize {
         1
     }
 
-    /// The gateways that callers of a service allowed in `regions` should use.
+    /// Returns the gateways that callers of a service allowed in `regions` should use.
     fn entry(&self, regions: &[RegionName]) -> EntryAnswer;
 
-    /// A call to the gateway at `address` did not get through.
+    /// Records a failed call to the gateway at `address`.
     fn note_failure(&self, address: SocketAddr);
 }
 
-/// The directory of a process: what its relay has heard of.
+/// A directory based on what the backend relay of this process has received.
 pub struct RelayDirectory {
     local_region: RegionName,
     relay: BackendRelay,
@@ -86,14 +89,15 @@
 }
 
 impl RelayDirectory {
-    /// The directory of a gateway in `here`.
+    /// Creates the directory of a gateway in `local_region`.
     pub fn new(local_region: RegionName, relay: BackendRelay, context: ProcessContext) -> Self {
         Self { local_region, table: EntryTable::new(relay.clone(), context), relay }
     }
 
     fn region_status(&self, summary: RegionSummary) -> RegionStatus {
         let totals = summary.totals;
-        // All gateways of this region read the same offer; each counts on its part of it.
+        // All gateways of this region read the same offer, so each counts on an equal fraction of
+        // it.
         let share = 1.0 / self.relay.members().len().max(1) as f64;
         RegionStatus {
             region: summary.region,
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Messages between two gateways: a request on its one hop to another region, and its answer.
+//! Messages between gateways of two regions: a forwarded request and its answer.
 
 use {
     crate::call::ContentHeader,
@@ -11,8 +11,8 @@
 /// The peer method that carries a [`ForwardRequest`].
 pub(crate) const FORWARD_METHOD: &str = "forward.call";
 
-/// A request on its one hop. It names where it came from, so that the receiver can refuse to send
-/// it any further.
+/// A request forwarded to another region. It carries its region of origin so that the receiver can
+/// refuse to forward it again.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ForwardRequest {
     pub(crate) id: RequestId,
@@ -26,40 +26,41 @@
     pub(crate) headers: Vec<ContentHeader>,
     pub(crate) body: Vec<u8>,
     pub(crate) streamed: bool,
-    /// Whether the receiver may run it again after a failed attempt of its own.
+    /// Set if the receiver may retry the request after a failed attempt of its own.
     pub(crate) repeatable: bool,
-    /// Milliseconds the caller still waits.
+    /// Time left until the caller's deadline, in milliseconds.
     pub(crate) remaining_millis: u64,
-    /// The token at which the answer is to begin.
+    /// Index of the first token that the answer is to contain.
     pub(crate) offset: u64,
     pub(crate) prompt_tokens: u64,
     pub(crate) prompt_blocks: Vec<PrefixHash>,
     pub(crate) max_tokens: u64,
 }
 
-/// The first message of the answer; the body follows in further ones.
+/// The first message of the answer; the body follows in further messages.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum ForwardReply {
     /// A backend server answered.
     Answer {
-        /// The id of the request, checked against the one asked.
+        /// Id of the request, compared with the id that was sent.
         id: RequestId,
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Headers to pass on.
+        /// End-to-end headers of the answer.
         headers: Vec<ContentHeader>,
-        /// Who answered.
+        /// The backend server that answered.
         backend: BackendName,
-        /// False where the backend server says that it found the request faulty and did not run it.
+        /// False if the backend server states that it rejected the request as invalid without
+        /// running it.
         ran: bool,
     },
-    /// It was certainly not run here.
+    /// The request certainly did not run in this region.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: String,
-        /// When to ask again.
+        /// Delay before a retry, in milliseconds.
         retry_millis: u64,
     },
-    /// It may have run here, and the answer is lost.
+    /// The request may have run in this region, and its answer is lost.
     Unknown,
 }
--- a/crates/gateway/src/forward_server.rs
+++ b/crates/gateway/src/forward_server.rs
@@ -1,4 +1,5 @@
-//! The receiving end of a forward: a request of another region's caller, run here or not at all.
+//! Server side of forwarding: runs requests from gateways of other regions and never forwards them
+//! again.
 
 use {
     crate::{
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Passes on an answer piece by piece; a break of it breaks the reply.
+    /// Relays an answer piece by piece. If the answer breaks off, the reply fails too.
     async fn relay_forwarded(
         &self,
         plan: &CallPlan,
@@ -85,8 +86,8 @@
                 answer.guard.first_token();
             }
             if piece.is_err() {
-                // The gateway that resumes the answer sends it back here, and must not meet the same
-                // backend server first.
+                // The sender resumes the answer with a new forward to this region. Recording the
+                // failure keeps that attempt from choosing the same backend server first.
                 self.backends.note_failure(&answer.backend);
             }
             reply.send(piece.map_err(PeerFault::unavailable)?).await?;
@@ -94,7 +95,7 @@
         Ok(())
     }
 
-    /// Tells operators which gateway is about to break a promise.
+    /// Reports to operators which gateway sent a request that would violate `promise`.
     fn report_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
         self.metrics.breached(promise);
         self.events.emit(
@@ -107,8 +108,8 @@
         );
     }
 
-    /// Checks a forwarded request as if its sender could be wrong: an older configuration there
-    /// must not bring data here, and no request may travel in a loop.
+    /// Validates a forwarded request without trusting its sender: an outdated configuration there
+    /// must not move data to this region, and a request must not loop between regions.
     fn forwarded_plan(
         &self,
         from: &PeerIdentity,
@@ -116,13 +117,15 @@
     ) -> Result<CallPlan, &'static str> {
         if check_forward(Some(&request.origin), &from.region, &self.config.region).is_err() {
             self.report_breach(Promise::NoLoop, from, &request);
-            return Err("the request has travelled between regions before");
+            return Err("the request has already been forwarded between regions");
         }
         if self.is_draining() {
             return Err("the gateway is shutting down");
         }
-        let memory =
-            self.memory.reserve(request.body.len()).ok_or("the gateway's memory is used up")?;
+        let memory = self
+            .memory
+            .reserve(request.body.len())
+            .ok_or("the gateway has no memory left for request bodies")?;
         let view = self.documents.current().ok_or("the gateway has no configuration")?;
         let document = view.document(&request.service).ok_or("the service is not known here")?;
         let rules = document
@@ -152,7 +155,7 @@
             target: request.target,
             content: CallContent {
                 method: Method::try_from(request.method.as_str())
-                    .map_err(|_| "the method is not one")?,
+                    .map_err(|_| "the request method is not valid")?,
                 path: request.path,
                 headers: request.headers,
                 body: Bytes::from(request.body),
--- a/crates/gateway/src/forward_server/tests.rs
+++ b/crates/gateway/src/forward_server/tests.rs
@@ -1,4 +1,4 @@
-//! What a gateway does with requests that other regions' gateways hand over, some of them wrongly.
+//! Requests forwarded by gateways of other regions, including invalid ones.
 
 use {
     crate::{
@@ -28,13 +28,13 @@
     }
 }
 
-/// The reply to one forwarded request.
+/// The reply to a forwarded request.
 struct ForwardOutcome {
     head: ForwardReply,
     ended: Result<(), PeerFault>,
 }
 
-/// Hands over a request as the gateway of `from` would.
+/// Forwards a request as the gateway of `from` would.
 fn forward(receiver: &TestGateway, from: &str, request: &ForwardRequest) -> ForwardOutcome {
     let from = PeerIdentity {
         vm: VmName::try_from(format!("{from}-1")).unwrap(),
@@ -51,7 +51,7 @@
     ForwardOutcome { head, ended }
 }
 
-/// A request of a caller in puget.
+/// Returns a request of a caller in puget.
 fn caller_request(receiver: &TestGateway) -> ForwardRequest {
     ForwardRequest {
         id: RequestId::new(&receiver.context),
@@ -82,33 +82,39 @@
     reason: &'static str,
 }
 
-/// Guards against a request that goes round between regions.
+/// Guards against requests that loop between regions.
 #[test]
-fn a_request_on_its_second_hop_is_refused() {
-    let travelled = "the request has travelled between regions before";
+fn refuses_requests_that_were_forwarded_before() {
+    let forwarded = "the request has already been forwarded between regions";
     let cases = [
         HopCase { name: "first hop", from: "puget", origin: "puget", runs: 1, reason: "" },
-        HopCase { name: "passed on", from: "inland", origin: "puget", runs: 0, reason: travelled },
+        HopCase {
+            name: "forwarded twice",
+            from: "inland",
+            origin: "puget",
+            runs: 0,
+            reason: forwarded,
+        },
         HopCase {
             name: "sent back",
             from: "inland",
             origin: LOCAL_REGION,
             runs: 0,
-            reason: travelled,
+            reason: forwarded,
         },
         HopCase {
             name: "from here",
             from: LOCAL_REGION,
             origin: LOCAL_REGION,
             runs: 0,
-            reason: travelled,
+            reason: forwarded,
         },
         HopCase {
-            name: "false name",
+            name: "false origin",
             from: LOCAL_REGION,
             origin: "puget",
             runs: 0,
-            reason: travelled,
+            reason: forwarded,
         },
     ];
     for case in cases {
@@ -122,49 +128,49 @@
     }
 }
 
-/// Guards against a request that travels on to a third region.
+/// Guards against requests that are forwarded to a third region.
 #[test]
-fn a_forwarded_request_is_run_here_or_nowhere() {
+fn never_forwards_a_forwarded_request() {
     let receiver = TestGateway::new(DOCUMENT, false, BackendBehavior::Answers);
     let outcome = forward(&receiver, "puget", &caller_request(&receiver));
-    assert_eq!(receiver.transport.opened.get(), 0, "it was passed on: {:?}", outcome.head);
+    assert_eq!(receiver.transport.opened.get(), 0, "it was forwarded: {:?}", outcome.head);
     assert_ne!(refusal(&outcome.head), "", "{:?}", outcome.head);
 }
 
 struct DocumentCase {
     name: &'static str,
-    /// Replaced in the receiver's document, and by what.
+    /// A part of the receiver's document and its replacement.
     change: (&'static str, &'static str),
     reason: &'static str,
 }
 
-/// Guards against a request that runs in a region that its team has just forbidden.
+/// Guards against requests that run in a region which the service's document has just excluded.
 #[test]
-fn the_receivers_document_decides_whatever_the_sender_knew() {
+fn checks_forwarded_requests_against_the_receivers_document() {
     let forbidden = "the service's document does not allow this region";
     let cases = [
         DocumentCase {
-            name: "the service may not be here",
+            name: "the service excludes the region",
             change: (ALL_REGIONS, r#"["puget", "inland"]"#),
             reason: forbidden,
         },
         DocumentCase {
-            name: "the model may not be here",
+            name: "the model excludes the region",
             change: ("name = \"ballast\"", "name = \"ballast\"\nregions = [\"puget\"]"),
             reason: forbidden,
         },
         DocumentCase {
-            name: "the workspace is bound to its home",
+            name: "the workspace has another home region",
             change: ("name = \"roadmasters\"", "name = \"roadmasters\"\nhome = \"puget\""),
             reason: forbidden,
         },
         DocumentCase {
-            name: "the workspace is gone",
+            name: "the workspace was removed",
             change: ("name = \"roadmasters\"", "name = \"clerks\""),
             reason: "the workspace is not known here",
         },
         DocumentCase {
-            name: "the service is gone",
+            name: "the service was removed",
             change: ("service = \"ballast-order-desk\"", "service = \"another\""),
             reason: "the service is not known here",
         },
@@ -179,9 +185,10 @@
     }
 }
 
-/// Guards against orders placed twice, and half answers that look whole, after a lost connection.
+/// Guards against orders that are placed twice, and incomplete answers that appear complete, after
+/// a lost connection.
 #[test]
-fn what_was_lost_here_is_not_told_as_refused_or_whole() {
+fn reports_lost_answers_as_unknown_or_incomplete() {
     let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::LosesConnection);
     let order = ForwardRequest { repeatable: false, ..caller_request(&receiver) };
     let outcome = forward(&receiver, "puget", &order);
@@ -190,12 +197,12 @@
     let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::BreaksOff);
     let outcome = forward(&receiver, "puget", &caller_request(&receiver));
     assert!(matches!(outcome.head, ForwardReply::Answer { .. }), "{:?}", outcome.head);
-    assert!(outcome.ended.is_err(), "a broken answer ended as a whole one");
+    assert!(outcome.ended.is_err(), "an incomplete answer ended without an error");
 }
 
-/// Guards against a stop that is held up by work of other regions.
+/// Guards against a shutdown that is delayed by requests from other regions.
 #[test]
-fn a_draining_gateway_takes_nothing_over() {
+fn refuses_forwarded_requests_while_draining() {
     let receiver = TestGateway::new(DOCUMENT, true, BackendBehavior::Answers);
     receiver.gateway.drain();
     let outcome = forward(&receiver, "puget", &caller_request(&receiver));
@@ -203,45 +210,45 @@
     assert_eq!(receiver.client.sends.get(), 0);
 }
 
-struct SilentCase {
+struct SenderDeadlineCase {
     name: &'static str,
-    /// Replaced in the receiver's document, and by what.
+    /// A part of the receiver's document and its replacement.
     change: (&'static str, &'static str),
     attempt_limit: u32,
     remaining_millis: u64,
     is_served: bool,
 }
 
-/// Guards against runs for another region's caller that end before the limit of the gateway that
-/// has this caller.
+/// Guards against runs for another region's caller that end before the deadline set by the gateway
+/// of this caller.
 #[test]
-fn the_senders_limit_binds_a_silent_run() {
+fn forwarded_run_ends_at_the_senders_deadline() {
     let shorter = ("[[models]]", "limits = { deadline_ms = 500 }\n[[models]]");
     let same = ("", "");
     let cases = [
-        SilentCase {
-            name: "in time",
+        SenderDeadlineCase {
+            name: "answers in time",
             change: same,
             attempt_limit: 4,
             remaining_millis: 10_000,
             is_served: true,
         },
-        SilentCase {
+        SenderDeadlineCase {
             name: "last attempt",
             change: same,
             attempt_limit: 1,
             remaining_millis: 10_000,
             is_served: true,
         },
-        SilentCase {
-            name: "shorter limit in the receiver's version",
+        SenderDeadlineCase {
+            name: "shorter deadline in the document of the receiver",
             change: shorter,
             attempt_limit: 4,
             remaining_millis: 10_000,
             is_served: true,
         },
-        SilentCase {
-            name: "the sender gives up",
+        SenderDeadlineCase {
+            name: "the deadline of the sender passes",
             change: same,
             attempt_limit: 1,
             remaining_millis: 5_000,
@@ -269,9 +276,9 @@
     }
 }
 
-/// Guards against runs for another region's caller that the stop of this gateway cuts off.
+/// Guards against runs for another region's caller that are cut off when this gateway drains.
 #[test]
-fn a_stop_midway_ends_no_run_for_another_region() {
+fn draining_does_not_interrupt_forwarded_runs() {
     for before in 0..4 {
         let pause = AnswerPause { before, length: Duration::from_secs(6) };
         let receiver = TestGateway::warmed_up(&TestSetup {
@@ -290,10 +297,10 @@
     }
 }
 
-/// Guards against requests of other regions that wait here for the end of a back-off, while their
-/// own region may have room.
+/// Guards against forwarded requests that wait here for the end of a back-off, while their region
+/// of origin may have capacity.
 #[test]
-fn a_region_whose_backend_servers_back_off_takes_nothing_over() {
+fn refuses_forwarded_requests_during_a_back_off() {
     let headers = &[("gullglade-run", "not-run"), ("retry-after", "2")];
     let receiver = TestGateway::warmed_up(&TestSetup {
         behavior: BackendBehavior::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
@@ -308,7 +315,7 @@
     assert_eq!(receiver.client.sends.get(), 1);
 }
 
-/// Why it was not run; empty where it may have.
+/// Returns the reason why the request did not run, or an empty string if it may have run.
 fn refusal(head: &ForwardReply) -> &str {
     match head {
         ForwardReply::NotRun { reason, .. } => reason,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,5 @@
-//! The gateway: its parts, its paths, and what every module of this crate shares.
+//! The gateway: its dependencies, its HTTP routes, and the state that all modules of this crate
+//! share.
 
 use {
     crate::{
@@ -29,40 +30,40 @@
     },
 };
 
-/// What a gateway is made of. Each is a seam at which a test can put a fake.
+/// Dependencies of a gateway. Tests substitute fakes for them.
 pub struct GatewayDependencies {
-    /// Time, randomness and tasks.
+    /// Clock, random number generator and task spawner.
     pub context: ProcessContext,
     /// The configuration in force.
     pub documents: Rc<dyn ConfigSource>,
     /// Backend servers of this region.
     pub backends: Rc<BackendTable>,
-    /// Tells the region's other gateways what backend servers announce.
+    /// Distributes backend server announcements to the other gateways of this region.
     pub relay: BackendRelay,
-    /// Other gateways and regions.
+    /// Lookup of other gateways and regions.
     pub directory: Rc<dyn RegionDirectory>,
-    /// Claims on keys.
+    /// Coordinates claims on idempotency keys.
     pub claims: Rc<dyn ClaimCoordinator>,
-    /// Lets requests in.
+    /// Admission queue for local slots.
     pub admission: AdmissionQueue,
-    /// Calls backend servers.
+    /// HTTP client for backend servers.
     pub client: Rc<dyn HttpClient>,
-    /// Calls other gateways.
+    /// Transport for calls to other gateways.
     pub transport: Rc<dyn PeerTransport>,
-    /// The time line.
+    /// Sink for timeline events.
     pub events: Rc<dyn EventSink>,
     /// Metrics.
     pub metrics: Rc<MetricSet>,
 }
 
-/// One gateway. Serves callers as a [`RequestHandler`] and other gateways as a `PeerHandler` for
-/// the prefix `forward`.
+/// A gateway. Serves callers as a [`RequestHandler`] and other gateways as a `PeerHandler` for the
+/// method prefix `forward`.
 #[derive(Clone)]
 pub struct Gateway {
     shared: Rc<GatewayShared>,
 }
 
-/// The state that all requests of a gateway share.
+/// State shared by all requests of a gateway.
 pub struct GatewayShared {
     pub(crate) config: GatewayConfig,
     pub(crate) context: ProcessContext,
@@ -87,24 +88,24 @@
 
 type PolicyKey = (ServiceName, ServiceTarget);
 
-/// A policy and the document's cap that it was made for.
+/// A routing policy and the document's limit on the forwarded share that it was created with.
 struct PolicyEntry {
     cap: f64,
     policy: Rc<CheckedPolicy<GladePolicy>>,
 }
 
-/// A retry budget and the document's share that it was made for.
+/// A retry budget and the document's retry share that it was created with.
 struct BudgetEntry {
     ratio: f64,
     budget: Rc<RetryBudget>,
 }
 
-/// What a gateway carries now.
+/// Current load and state of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub open_requests: u64,
-    /// Whether it refuses new ones.
+    /// Set while the gateway refuses new requests.
     pub draining: bool,
 }
 
@@ -117,7 +118,7 @@
 }
 
 impl Gateway {
-    /// A gateway of these parts.
+    /// Creates a gateway from its configuration and dependencies.
     pub fn new(config: GatewayConfig, dependencies: GatewayDependencies) -> Self {
         let shared = GatewayShared {
             context: dependencies.context,
@@ -143,13 +144,14 @@
         Self { shared: Rc::new(shared) }
     }
 
-    /// Leaves entry answers and refuses new requests; those in progress go on.
+    /// Starts draining: new requests are refused, and the gateway is no longer an entry point.
+    /// Requests in progress continue.
     pub fn drain(&self) {
         self.draining.set(true);
         self.events.emit(EventDraft::new("gateway.draining").field("gateway", &self.config.vm));
     }
 
-    /// What it carries now.
+    /// Returns the current load and state.
     pub fn status(&self) -> GatewayStatus {
         GatewayStatus {
             open_requests: u64::try_from(self.metrics.open_requests().get()).unwrap_or(0),
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Something about backend servers changed: requests that wait are decided anew, with the slots
-    /// there are now.
+    /// Updates capacities after a change of backend servers and wakes waiting requests, which
+    /// repeat their routing decision.
     pub fn backends_changed(&self) {
         if let Some(view) = self.documents.current() {
             for document in view.documents() {
@@ -177,12 +179,12 @@
         }
     }
 
-    /// Index of the configuration in force, where there is one.
+    /// Returns the index of the configuration in force, or `None` without one.
     pub fn configuration_index(&self) -> Option<u64> {
         self.documents.current().map(|view| view.index())
     }
 
-    /// Whether it has a configuration and takes new requests.
+    /// Returns whether the gateway has a configuration and accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.documents.current().is_some() && !self.draining.get()
     }
@@ -190,20 +192,20 @@
     async fn serve(&self, request: Request<RequestBody>) -> Result<Response<ReplyBody>, ApiError> {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
-            (&Method::POST, "/v1/announce") => self.announce(request).await,
-            (&Method::GET, "/v1/entry") => self.entry(&request),
-            (&Method::GET, "/v1/models") => self.models(&request),
+            (&Method::POST, "/v1/announce") => self.serve_announce(request).await,
+            (&Method::GET, "/v1/entry") => self.serve_entry(&request),
+            (&Method::GET, "/v1/models") => self.serve_models(&request),
             (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-                self.complete(request).await
+                self.serve_completion(request).await
             }
-            (_, path) if path.starts_with("/services/") => self.plain(request).await,
+            (_, path) if path.starts_with("/services/") => self.serve_plain(request).await,
             (_, path) => Err(refusal::not_found(path)),
         }
     }
 }
 
 impl GatewayShared {
-    /// Emits an event of one request.
+    /// Emits an event for one request.
     pub(crate) fn emit(
         &self,
         plan: &CallPlan,
@@ -217,7 +219,7 @@
         self.draining.get()
     }
 
-    /// The name under which requests for `target` queue and are measured.
+    /// Returns the name under which requests for `target` are queued and counted in metrics.
     pub(crate) fn queue_name(&self, target: &ServiceTarget) -> ModelName {
         match target {
             ServiceTarget::Model(model) => model.clone(),
@@ -226,13 +228,14 @@
         }
     }
 
-    /// How long a request for `target` holds a slot, on average.
+    /// Returns the average time that a request for `target` holds a slot.
     pub(crate) fn average_holding_time(&self, target: &ServiceTarget) -> Duration {
         self.holding_times.get(&self.queue_name(target))
     }
 
-    /// The policy that decides `plan`: one for each service and target, since each has its own
-    /// account of what it sent away. Replaced where the document's cap changed.
+    /// Returns the routing policy for `plan`. There is one for each service and target, since each
+    /// limits the share of requests it forwards on its own. Replaced when the limit in the document
+    /// changes.
     pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<GladePolicy>> {
         let key = (plan.service().clone(), plan.target.clone());
         let cap = plan.document.limits.away_share;
@@ -244,7 +247,8 @@
         Rc::clone(&entry.policy)
     }
 
-    /// The retries that a service may still make. Replaced where the document's share changed.
+    /// Returns the retry budget of a service. Replaced when the retry share in the document
+    /// changes.
     pub(crate) fn retry_budget(&self, document: &ServiceDocument) -> Rc<RetryBudget> {
         let ratio = document.limits.retry_share;
         let mut budgets = self.budgets.borrow_mut();
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! From a caller's HTTP request to a checked [`CallPlan`].
+//! Validates a caller's HTTP request and turns it into a [`CallPlan`].
 
 use {
     crate::{
@@ -19,14 +19,14 @@
     std::rc::Rc,
 };
 
-/// The caller's key for a non-idempotent request.
+/// Request header with the idempotency key of a non-idempotent request.
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The path prefix of plain services.
+/// Path prefix of plain services.
 const SERVICES_PREFIX: &str = "/services/";
 
 impl Gateway {
-    /// What the bearer token of a request allows.
+    /// Returns the grants of the request's bearer token.
     pub(crate) fn grants(&self, headers: &HeaderMap) -> Result<Vec<TokenGrant>, ApiError> {
         let view = self.documents.current().ok_or_else(refusal::no_configuration)?;
         let value = headers.get(AUTHORIZATION).ok_or_else(refusal::no_token)?;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Reads a completion request and binds it to the workspace whose service uses the model.
+    /// Reads a completion request and binds it to the workspace whose service offers the model.
     pub(crate) async fn plan_completion(
         &self,
         request: Request<RequestBody>,
@@ -78,8 +78,7 @@
         Ok(plan)
     }
 
-    /// Reserves the memory that a body may take: what it declares, or the limit where it declares
-    /// nothing.
+    /// Reserves memory for a body: its declared length, or `limit` bytes if it declares none.
     fn reserve(&self, body: &RequestBody, limit: usize) -> Result<MemoryReservation, ApiError> {
         let declared = body.declared_length().and_then(|length| usize::try_from(length).ok());
         let bytes = declared.unwrap_or(limit).min(limit);
@@ -101,9 +100,9 @@
         grant: TokenGrant,
         target: ServiceTarget,
     ) -> Result<CallPlan, ApiError> {
-        let marked =
+        let is_marked_non_idempotent =
             grant.document.is_non_idempotent(head.method.as_str(), head.uri.path(), &target);
-        let idempotency = idempotency_of(&head.headers, marked)?;
+        let idempotency = idempotency_of(&head.headers, is_marked_non_idempotent)?;
         let received = self.context.clock.now();
         let rules = grant.rules();
         let id = RequestId::new(&self.context);
@@ -142,8 +141,8 @@
     (scheme.eq_ignore_ascii_case("bearer") && !token.is_empty()).then_some(token)
 }
 
-/// The grant whose service uses `target`. A target that no grant uses is refused in the same words
-/// whether or not it exists.
+/// Returns the grant whose service offers `target`. If there is none, the error is the same whether
+/// or not the target exists.
 fn choose_grant(grants: Vec<TokenGrant>, target: &ServiceTarget) -> Result<TokenGrant, ApiError> {
     let uses = |grant: &TokenGrant| grant.document.regions_of(target).is_some();
     grants.into_iter().find(uses).ok_or_else(|| refusal::not_allowed(target))
@@ -154,10 +153,14 @@
     if body.len() > limit { Err(refusal::too_large(limit)) } else { Ok(()) }
 }
 
-/// A key marks a request as non-idempotent even where the document does not.
-fn idempotency_of(headers: &HeaderMap, marked: bool) -> Result<Idempotency, ApiError> {
+/// Determines the idempotency of a request. A key marks it as non-idempotent even if the document
+/// does not.
+fn idempotency_of(
+    headers: &HeaderMap,
+    is_marked_non_idempotent: bool,
+) -> Result<Idempotency, ApiError> {
     match headers.get(KEY_HEADER) {
-        None if marked => Ok(Idempotency::NonIdempotent),
+        None if is_marked_non_idempotent => Ok(Idempotency::NonIdempotent),
         None => Ok(Idempotency::Idempotent),
         Some(value) => {
             let text = String::from_utf8_lossy(value.as_bytes()).into_owned();
@@ -168,12 +171,12 @@
     }
 }
 
-/// Splits `/services/{name}/rest?query` into the name and the path that the service sees.
+/// Splits `/services/{name}/rest?query` into the name and the path that the service receives.
 fn split_service(head: &Parts) -> Result<(ServiceName, String), ApiError> {
     let path = head.uri.path();
     let rest = path.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
-    let (name, below) = rest.split_once('/').unwrap_or((rest, ""));
+    let (name, service_path) = rest.split_once('/').unwrap_or((rest, ""));
     let name = ServiceName::try_from(name).map_err(|_| refusal::not_found(path))?;
     let query = head.uri.query().map(|q| format!("?{q}")).unwrap_or_default();
-    Ok((name, format!("/{below}{query}")))
+    Ok((name, format!("/{service_path}{query}")))
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,17 +1,17 @@
-//! The caller session: authenticate, claim, admit, route, relay.
+//! The request path of the gateway: authenticate, claim, admit, route and relay.
 //!
-//! A [`Gateway`] answers callers' HTTP and the forwarded requests of gateways in other regions. It
-//! owns no policy: configuration, membership, the decision, admission, claims and transports are
-//! traits or libraries of their own, and this crate is the order in which they are asked. That
-//! order keeps the promises:
+//! A [`Gateway`] serves callers over HTTP and accepts requests forwarded by gateways of other
+//! regions. Configuration, membership, routing policy, admission, claims and transports are traits
+//! or separate crates; this crate calls them in the order that upholds these guarantees:
 //!
-//! 1. a request is checked and bound to one workspace of one service before anything else;
-//! 2. a non-idempotent request under a key is claimed before it is placed, and the claim is turned
-//!    into a permit just before the first byte goes out;
-//! 3. a decision is asked for each attempt, so no attempt can leave the allowed regions;
-//! 4. an attempt that failed says whether it may have run; only what was certainly not run, or is
-//!    idempotent, is attempted again, and the caller is told the same;
-//! 5. an answer is relayed with its id and its end checked; whatever is not whole ends visibly.
+//! 1. A request is authenticated and bound to one workspace of one service before anything else.
+//! 2. A non-idempotent request with an idempotency key is claimed before it is routed, and the
+//!    claim is exchanged for a run permit immediately before the first byte is sent.
+//! 3. Every attempt is routed separately, so no attempt can leave the allowed regions.
+//! 4. A failed attempt states whether it may have run. Only a request that is idempotent or
+//!    certainly did not run is retried, and the caller receives the same statement.
+//! 5. An answer is relayed only after its id is checked, and its end is passed on only when the
+//!    answer is complete. An incomplete answer ends with a visible error.
 
 mod announce;
 mod answer;
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -25,8 +25,8 @@
 }
 
 impl Gateway {
-    /// The models that the caller's token allows.
-    pub(crate) fn models(
+    /// Serves the models that the caller's token allows.
+    pub(crate) fn serve_models(
         &self,
         request: &Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
@@ -42,14 +42,14 @@
         Ok(json(&ModelList { object: "list", data }))
     }
 
-    /// The gateways that the caller should use, from what this VM knows by itself.
-    pub(crate) fn entry(
+    /// Serves the gateways that the caller should use, from the local state of this gateway.
+    pub(crate) fn serve_entry(
         &self,
         request: &Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let grants = self.grants(request.headers())?;
-        let asked = requested_service(request)?;
-        let grant = match &asked {
+        let requested = requested_service(request)?;
+        let grant = match &requested {
             Some(service) => grants.iter().find(|g| g.document.name == *service),
             None => grants.first(),
         };
@@ -58,7 +58,8 @@
     }
 }
 
-/// Regions whose gateways the caller may use: its requests are read where they enter.
+/// Returns the regions whose gateways the caller may use. A gateway reads the requests it receives,
+/// so a workspace bound to a home region may only enter there.
 fn entry_regions(grant: &TokenGrant) -> Vec<RegionName> {
     match &grant.rules().home {
         Some(home) => vec![home.clone()],
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,21 +1,21 @@
-//! A bound on the memory that request bodies take together.
+//! A limit on the total memory of request bodies.
 //!
-//! Each body has a limit of its own, and each caller may have many connections: 20,000 connections
-//! with bodies of 1 MiB would need 20 GB on a small VM. It would be noticed when the system ends
-//! the process, with every request in it. Refusing what does not fit keeps the rest.
+//! Each body has its own limit, but a caller may open many connections: 20,000 connections with
+//! bodies of 1 MiB would need 20 GB, more than a small VM has. The system would then kill the
+//! process and all its requests. Refusing the requests that exceed the budget protects the others.
 
 use std::{cell::Cell, fmt, rc::Rc};
 
-/// The bytes that may be held.
+/// The memory that is still available for request bodies.
 #[derive(Debug)]
 pub(crate) struct MemoryBudget {
     free: Rc<Cell<usize>>,
 }
 
-/// Bytes taken out of a budget until it is dropped. A copy shares them.
+/// Bytes reserved from a budget until the last clone is dropped. Clones share the reservation.
 #[derive(Clone, Default)]
 pub(crate) struct MemoryReservation {
-    held: Option<Rc<ReservedBytes>>,
+    reserved: Option<Rc<ReservedBytes>>,
 }
 
 struct ReservedBytes {
@@ -28,22 +28,22 @@
         Self { free: Rc::new(Cell::new(bytes)) }
     }
 
-    /// Takes `bytes`; `None` where fewer are free.
+    /// Reserves `bytes`. Returns `None` if fewer are available.
     pub(crate) fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        let left = self.free.get().checked_sub(bytes)?;
-        self.free.set(left);
-        let held = ReservedBytes { free: Rc::clone(&self.free), bytes };
-        Some(MemoryReservation { held: Some(Rc::new(held)) })
+        let remaining = self.free.get().checked_sub(bytes)?;
+        self.free.set(remaining);
+        let reserved = ReservedBytes { free: Rc::clone(&self.free), bytes };
+        Some(MemoryReservation { reserved: Some(Rc::new(reserved)) })
     }
 }
 
 impl MemoryReservation {
-    /// Gives back what a body did not need. To be called before the share is copied.
+    /// Reduces the reservation to `bytes`. Has no effect once the reservation has been cloned.
     pub(crate) fn shrink(mut self, bytes: usize) -> Self {
-        if let Some(held) = self.held.as_mut().and_then(Rc::get_mut) {
-            let spare = held.bytes.saturating_sub(bytes);
-            held.bytes -= spare;
-            held.free.set(held.free.get() + spare);
+        if let Some(reserved) = self.reserved.as_mut().and_then(Rc::get_mut) {
+            let excess = reserved.bytes.saturating_sub(bytes);
+            reserved.bytes -= excess;
+            reserved.free.set(reserved.free.get() + excess);
         }
         self
     }
@@ -57,7 +57,11 @@
 
 impl fmt::Debug for MemoryReservation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "MemoryShare({} bytes)", self.held.as_ref().map_or(0, |held| held.bytes))
+        write!(
+            f,
+            "MemoryShare({} bytes)",
+            self.reserved.as_ref().map_or(0, |reserved| reserved.bytes)
+        )
     }
 }
 
--- a/crates/gateway/src/memory/tests.rs
+++ b/crates/gateway/src/memory/tests.rs
@@ -1,28 +1,28 @@
-//! The bound on request bodies gives back exactly what it lent.
+//! Accounting of the memory budget for request bodies.
 
 use super::MemoryBudget;
 
 #[test]
-fn a_share_is_given_back_once_whatever_is_copied() {
+fn releases_a_cloned_reservation_once() {
     let budget = MemoryBudget::new(100);
-    let share = budget.reserve(80).unwrap();
+    let reservation = budget.reserve(80).unwrap();
     assert!(budget.reserve(21).is_none());
-    let share = share.shrink(30);
-    let copy = share.clone();
+    let reservation = reservation.shrink(30);
+    let clone_of_reservation = reservation.clone();
     let other = budget.reserve(70).unwrap();
     assert!(budget.reserve(1).is_none());
-    drop(share);
-    assert!(budget.reserve(1).is_none(), "a copy still holds the body");
-    drop(copy);
+    drop(reservation);
+    assert!(budget.reserve(1).is_none(), "a clone still holds the reservation");
+    drop(clone_of_reservation);
     drop(other);
     assert!(budget.reserve(100).is_some());
 }
 
 #[test]
-fn a_body_longer_than_reserved_does_not_free_more() {
+fn oversized_body_does_not_release_extra_memory() {
     let budget = MemoryBudget::new(10);
-    let share = budget.reserve(4).unwrap().shrink(9);
+    let reservation = budget.reserve(4).unwrap().shrink(9);
     assert!(budget.reserve(7).is_none());
-    drop(share);
+    drop(reservation);
     assert!(budget.reserve(10).is_some());
 }
--- a/crates/gateway/src/pending_sends.rs
+++ b/crates/gateway/src/pending_sends.rs
@@ -1,4 +1,4 @@
-//! Sends to backend servers that may still be taken back.
+//! Sends to backend servers that can still be revoked.
 
 use {
     futures::channel::oneshot,
@@ -13,24 +13,24 @@
 
 type SendKey = (BackendRun, u64);
 
-/// The sends that have not ended, by the run that they go to.
+/// The sends in progress, by the backend run that they go to.
 #[derive(Default)]
 pub(crate) struct PendingSends {
     sends: RefCell<BTreeMap<SendKey, (SendPermit, oneshot::Sender<()>)>>,
     next_number: Cell<u64>,
 }
 
-/// One send. Dropped, it has ended.
+/// A send in progress. It is removed from the table on drop.
 pub(crate) struct PendingSend {
     table: Rc<PendingSends>,
     key: SendKey,
     pub(crate) permit: SendPermit,
-    /// Told when the send is taken back.
+    /// Completes when the send is revoked.
     pub(crate) revoked: oneshot::Receiver<()>,
 }
 
 impl PendingSends {
-    /// Begins a send to `run`.
+    /// Registers a send to `run`.
     pub(crate) fn begin(self: &Rc<Self>, run: &BackendRun) -> PendingSend {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -41,7 +41,8 @@
         PendingSend { table: Rc::clone(self), key, permit, revoked }
     }
 
-    /// Takes back what has no connection yet, for a run that wants nothing more.
+    /// Revokes the sends to `run` that have no connection yet, after the run has asked for no more
+    /// requests.
     pub(crate) fn revoke(&self, run: &BackendRun) {
         let all = (run.clone(), 0)..=(run.clone(), u64::MAX);
         let mut sends = self.sends.borrow_mut();
@@ -49,7 +50,7 @@
         for key in keys {
             let send = sends.remove(&key).filter(|(permit, _)| permit.revoke());
             if let Some((_, revoke_sender)) = send {
-                // Nobody waits any more where the caller has just left.
+                // The receiver is gone if the caller has disconnected.
                 let _: Result<(), ()> = revoke_sender.send(());
             }
         }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placing a request: ask for a decision, make the attempt, and judge its failure.
+//! The attempt loop: route the request, make an attempt, and decide on a retry after a failure.
 
 use {
     crate::{
@@ -20,28 +20,28 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often a request that waits in the queue asks whether another region has become better.
+/// Interval at which a queued request checks if another region has become the better choice.
 const ROUTE_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What happened to a request so far.
+/// The attempts made for a request so far.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
-    /// Attempts made.
+    /// Number of attempts made.
     pub(crate) attempts: u32,
-    /// Whether one of them may have run.
+    /// Set if one of the attempts may have run.
     pub(crate) may_have_run: bool,
-    /// How far the claim on the request's key has come.
+    /// State of the claim on the request's key.
     pub(crate) claim: ClaimStage,
-    /// Backend servers that failed it.
+    /// Backend servers whose attempt failed.
     pub(crate) failed_backends: Vec<BackendName>,
-    /// Regions that could not take it.
+    /// Regions whose attempt failed.
     pub(crate) failed_regions: Vec<RegionName>,
     last_reason: Option<String>,
 }
 
 impl Gateway {
-    /// Places `plan` until an attempt answers, or nothing more may be tried. The error is what the
-    /// caller is told.
+    /// Attempts `plan` until an attempt answers or no further attempt is allowed. Returns the error
+    /// for the caller in the latter case.
     pub(crate) async fn run_attempts(
         &self,
         plan: &CallPlan,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Makes one attempt. The outer error is a refusal that no further attempt would change.
+    /// Makes one attempt. The outer error is a refusal that further attempts would not change.
     ///
-    /// The order is the one that the replay of arrivals measures (`crates/experiment`): decide with
-    /// the wait that the queue would mean, wait in the queue only where that is the best, and decide
-    /// anew with a slot in hand. The place in the queue is kept while another region is asked, since
-    /// that may refuse.
+    /// The order of the steps is the same as in the arrival replay of `crates/experiment`: route
+    /// with the expected queueing delay, wait in the queue only if the policy prefers that, and
+    /// route again once a slot is granted. The queue position is kept while another region is
+    /// tried, since that region may refuse.
     async fn attempt(
         &self,
         plan: &CallPlan,
@@ -98,7 +98,8 @@
                         .attempt_backend(plan, history, backend, position.take_permit())
                         .await;
                 }
-                // What another region sent here goes on in its queue there.
+                // A forwarded request does not wait for the end of a back-off here; it continues in
+                // the queue of its region of origin.
                 Placement::Backoff(until) if plan.origin.is_none() && until < plan.deadline => {
                     self.wait_for_change(plan, until.since(self.context.clock.now())).await;
                 }
@@ -127,7 +128,8 @@
         history.attempts += 1;
         let guard = AttemptGuard { _permit: permit, ..AttemptGuard::default() };
         let outcome = self.attempt_local(plan, &backend, guard).await;
-        // A back-off says when to come back.
+        // A backend server in back-off is tried again when the back-off ends, so it does not count
+        // as failed.
         if outcome.is_err() && self.backends.backoff_until(backend.name()).is_none() {
             history.failed_backends.push(backend.run.backend);
         }
@@ -151,14 +153,14 @@
         Ok(outcome)
     }
 
-    /// How long a request of the plan's workspace would wait in the queue.
+    /// Returns the expected queueing delay for the workspace and priority of `plan`.
     fn expected_wait(&self, plan: &CallPlan) -> Duration {
         let queue = self.queue_name(&plan.target);
         self.admission.expected_wait(&queue, &plan.workspace, admission_priority(plan))
     }
 
-    /// Waits in the queue for a slot. Without one, another region has become the better place
-    /// meanwhile, which the caller decides anew.
+    /// Waits in the queue for a slot. Returns without one if another region has become the better
+    /// choice; the caller then routes again.
     async fn wait_for_slot(
         &self,
         plan: &CallPlan,
@@ -201,7 +203,7 @@
         })
     }
 
-    /// Waits until a slot may have become free. The caller's own deadline bounds the sum of waits.
+    /// Waits until a slot may have become free, `at_most` has passed or the deadline is reached.
     async fn wait_for_change(&self, plan: &CallPlan, at_most: Duration) {
         let limit = at_most.min(self.remaining(plan)).max(Duration::from_millis(1));
         let _notified = timeout(&*self.context.clock, limit, self.capacity_signal.notified()).await;
@@ -226,9 +228,10 @@
         history.last_reason = Some(reason);
     }
 
-    /// Whether a further attempt keeps every promise: it is idempotent or was certainly not run, a
-    /// claimed request's permit is spent, and retries stay within the service's budget, so that an
-    /// outage of backend servers does not multiply the load on those left.
+    /// Returns whether another attempt is allowed and takes it from the retry budget. The request
+    /// must be idempotent or certainly not run, a request with a key is never retried because its
+    /// permit is spent, and the service's retry budget keeps an outage of backend servers from
+    /// multiplying the load on the rest.
     pub(crate) fn may_retry(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
         let now = self.context.clock.now();
         history.attempts < self.config.attempt_limit
@@ -236,8 +239,8 @@
             && self.retry_budget(&plan.document).try_retry(now)
     }
 
-    /// Waits for a retry that the budget does not have, where it comes in time: the caller of `plan`
-    /// has a part of the answer. Others may take it first.
+    /// Waits until the retry budget allows a retry, if it does before the deadline. Used when the
+    /// caller already has part of the answer. Another request may take the retry first.
     pub(crate) async fn await_retry_budget(&self, plan: &CallPlan, history: &AttemptHistory) {
         if history.attempts >= self.config.attempt_limit || !plan.is_idempotent() {
             return;
@@ -272,14 +275,15 @@
     ) -> ApiError {
         let text = match reason {
             RefuseReason::Residency => "no region that the service allows can take it",
-            RefuseReason::Loop => "it has been forwarded before",
-            RefuseReason::NoBackend => "no backend server in reach serves it",
-            RefuseReason::TooLate => "no backend server can begin before its deadline",
+            RefuseReason::Loop => "it has already been forwarded between regions",
+            RefuseReason::NoBackend => "no reachable backend server serves it",
+            RefuseReason::TooLate => "no backend server can start it before its deadline",
         };
         self.no_answer_error(plan, history, &text, retry_after)
     }
 
-    /// A refusal says `not-run` only where no attempt can have run.
+    /// Returns the error for a request without an answer. It states `not-run` only if no attempt
+    /// can have run.
     pub(crate) fn no_answer_error(
         &self,
         plan: &CallPlan,
--- a/crates/gateway/src/placement/tests.rs
+++ b/crates/gateway/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Requests that wait in the queue while another region is asked.
+//! Requests that wait in the queue while another region is tried.
 
 use {
     crate::testing::{AnswerPause, BackendBehavior, PeerBehavior, TestGateway, TestSetup},
@@ -7,7 +7,7 @@
     std::time::Duration,
 };
 
-/// More than the backend server takes at once.
+/// More requests than the backend server runs concurrently.
 const REQUESTS: usize = 14;
 
 const CHAT_BODY: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
@@ -19,9 +19,9 @@
     refuses_after: Duration,
 }
 
-/// Guards against requests whose turn in the queue is given up for a region that then refuses them.
+/// Guards against requests that lose their queue position to a forward which is then refused.
 #[test]
-fn a_place_in_the_queue_outlasts_the_refusal_of_another_region() {
+fn keeps_queue_position_when_another_region_refuses() {
     let soon = Duration::from_millis(100);
     let late = Duration::from_millis(1_500);
     let cases = [
@@ -29,7 +29,7 @@
         QueueCase { name: "last attempt", attempt_limit: 1, has_budget: true, refuses_after: soon },
         QueueCase { name: "no budget", attempt_limit: 4, has_budget: false, refuses_after: soon },
         QueueCase {
-            name: "refused after its turn",
+            name: "refused after a slot was granted",
             attempt_limit: 1,
             has_budget: false,
             refuses_after: late,
@@ -45,15 +45,15 @@
             ..TestSetup::default()
         });
         let answers = gateway.world.run_until(async {
-            let asking = (0..REQUESTS).map(|_| gateway.send("/v1/chat/completions", CHAT_BODY));
+            let sending = (0..REQUESTS).map(|_| gateway.send("/v1/chat/completions", CHAT_BODY));
             let spending = gateway.keep_retry_budget_empty(has_budget);
-            futures::join!(join_all(asking), spending).0
+            futures::join!(join_all(sending), spending).0
         });
         let served = answers.iter().filter(|(head, _)| head.status == StatusCode::OK).count();
-        assert_eq!(served, REQUESTS, "{name}: the others were refused");
-        let asked = gateway.transport.opened.get();
-        let most = u32::try_from(REQUESTS).unwrap();
-        assert!((1..=most).contains(&asked), "{name}: the other region was asked {asked} times");
-        assert_eq!(gateway.client.sends.get(), most, "{name}");
+        assert_eq!(served, REQUESTS, "{name}: requests were refused");
+        let forwarded = gateway.transport.opened.get();
+        let expected = u32::try_from(REQUESTS).unwrap();
+        assert!((1..=expected).contains(&forwarded), "{name}: {forwarded} requests were forwarded");
+        assert_eq!(gateway.client.sends.get(), expected, "{name}");
     }
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: one request, one answer, passed through.
+//! Plain services: requests and answers are passed through without interpretation.
 
 use {
     crate::{
@@ -16,23 +16,23 @@
     http::{Request, Response},
 };
 
-/// Bytes of an answer that are read before its head goes out: an answer that breaks off within
-/// them can still be repeated or told as an error.
+/// Bytes of an answer that are buffered before its head is sent. An answer that breaks off within
+/// them can still be retried or reported with an error status.
 const ANSWER_PREFIX_BYTES: usize = 256 << 10;
 
-/// The beginning of an answer.
+/// The buffered start of an answer.
 enum AnswerPrefix {
-    /// All of it.
+    /// The complete answer.
     Whole(Vec<Bytes>),
-    /// More will follow.
+    /// The start of an answer that continues.
     Partial(Vec<Bytes>),
-    /// It broke off.
+    /// The answer broke off.
     Lost,
 }
 
 impl Gateway {
-    /// Answers `/services/{name}/...`.
-    pub(crate) async fn plain(
+    /// Serves `/services/{name}/...`.
+    pub(crate) async fn serve_plain(
         &self,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
@@ -82,8 +82,9 @@
         reply(plan, &answer, ReplyBody::full(pieces.concat()))
     }
 
-    /// Passes on the pieces read and whatever follows. The head promises no length, so only the
-    /// terminal chunk makes it whole, and that is sent only after the service's own end.
+    /// Relays the buffered pieces and the rest of the answer. The head states no length, so the
+    /// caller takes the answer as complete only at the terminal chunk, which is sent only after the
+    /// service has ended its answer.
     fn streamed_plain_reply(
         &self,
         plan: &CallPlan,
@@ -107,7 +108,7 @@
     }
 }
 
-/// Passes on a long answer of a plain service.
+/// Relays a long answer of a plain service.
 struct PlainRelay {
     plan: CallPlan,
     rest: LocalStream,
@@ -128,7 +129,7 @@
                 Some((Err(error), self))
             }
             None => {
-                // A long answer is not kept; that it ran is.
+                // A long answer is not stored; only the fact that the request ran is recorded.
                 if let Some(record) = self.record.take() {
                     record.store_outcome_only().await;
                 }
--- a/crates/gateway/src/queue_position.rs
+++ b/crates/gateway/src/queue_position.rs
@@ -1,4 +1,4 @@
-//! A request's place in this gateway's queue, kept while another region is asked.
+//! The position of a request in the admission queue, kept while another region is tried.
 
 use {
     futures::future::{Either, select},
@@ -7,39 +7,40 @@
     std::{pin::pin, time::Duration},
 };
 
-/// How long a slot waits for a request that another region has been asked to take. A refusal comes
-/// within a round trip.
+/// Maximum time that a granted slot is reserved for a request while another region is tried. A
+/// region refuses within one round trip.
 const SLOT_RESERVATION: Duration = Duration::from_millis(250);
 
-/// Waits for a slot.
+/// Future that completes when a slot is granted or refused.
 pub(crate) type SlotWait = LocalFuture<'static, Result<AdmissionPermit, AdmissionRefusal>>;
 
-/// A request's place in the queue.
+/// The position of a request in the admission queue.
 #[derive(Default)]
 pub(crate) enum QueuePosition {
-    /// It has not been in the queue, or was refused there.
+    /// The request has not been queued, or the queue refused it.
     #[default]
     NotQueued,
-    /// It waits for its turn.
+    /// The request is waiting in the queue.
     Waiting(SlotWait),
-    /// It has a slot.
+    /// The request holds a slot.
     Granted(AdmissionPermit),
-    /// Its turn came while another region was asked, and the slot went to the next.
+    /// A slot was granted while another region was tried, and passed to the next request.
     SlotReleased,
 }
 
 impl QueuePosition {
-    /// Whether the request may go on here without another attempt being granted.
+    /// Returns whether the request entered the queue, in which case it may continue here without a
+    /// retry from the budget.
     pub(crate) fn has_entered(&self) -> bool {
         !matches!(self, Self::NotQueued)
     }
 
-    /// Whether it has a slot.
+    /// Returns whether the request holds a slot.
     pub(crate) fn is_granted(&self) -> bool {
         matches!(self, Self::Granted(_))
     }
 
-    /// Takes the slot, where it has one.
+    /// Takes the slot, if the request holds one.
     pub(crate) fn take_permit(&mut self) -> Option<AdmissionPermit> {
         match std::mem::take(self) {
             Self::Granted(permit) => Some(permit),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Runs `asking` and keeps the place meanwhile.
+    /// Runs `forward` and keeps the queue position meanwhile.
     pub(crate) async fn hold_during<T>(
         &mut self,
         clock: &dyn Clock,
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The refusals a caller can meet, each with its stable code and remedy.
+//! Error replies to callers, each with a stable code and a remedy.
 
 use {
     gullglade_http::{ApiError, RunState},
@@ -6,7 +6,7 @@
     std::{fmt::Display, time::Duration},
 };
 
-/// How soon to ask again where nothing better is known.
+/// Retry delay if no better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(crate) fn bad_body(reason: &dyn Display) -> ApiError {
@@ -35,12 +35,13 @@
     )
 }
 
-/// One answer for "does not exist" and "not yours", so that nothing about others leaks.
-pub(crate) fn not_allowed(what: &dyn Display) -> ApiError {
+/// Returns the same error for a target that does not exist and one that the token does not allow,
+/// so that nothing about other workspaces leaks.
+pub(crate) fn not_allowed(target: &dyn Display) -> ApiError {
     ApiError::new(
         StatusCode::FORBIDDEN,
         "not_allowed",
-        format!("this token does not allow {what}; GET /v1/models lists what it allows"),
+        format!("this token does not allow {target}; GET /v1/models lists what it allows"),
     )
 }
 
@@ -56,7 +57,7 @@
     ApiError::new(
         StatusCode::SERVICE_UNAVAILABLE,
         "no_configuration",
-        "this gateway has no configuration yet; use another gateway or ask again",
+        "this gateway has no configuration yet; use another gateway or retry later",
     )
     .retry_after(DEFAULT_RETRY_AFTER)
 }
@@ -65,7 +66,7 @@
     ApiError::new(
         StatusCode::SERVICE_UNAVAILABLE,
         "no_memory",
-        "this gateway holds as many request bodies as it may; use another gateway or ask again",
+        "this gateway has no memory left for request bodies; use another gateway or retry later",
     )
     .retry_after(DEFAULT_RETRY_AFTER)
 }
@@ -74,7 +75,7 @@
     ApiError::new(
         StatusCode::SERVICE_UNAVAILABLE,
         "draining",
-        "this gateway is shutting down; ask GET /v1/entry on another one",
+        "this gateway is shutting down; find another one with GET /v1/entry",
     )
     .retry_after(DEFAULT_RETRY_AFTER)
 }
@@ -100,17 +101,19 @@
     ApiError::new(StatusCode::BAD_REQUEST, "invalid_header", format!("{name}: {reason}"))
 }
 
-/// A backend server may have run the request, and the answer is lost.
+/// Error for a request that a backend server may have run and whose answer is lost.
 pub(crate) fn outcome_unknown(repeatable: bool) -> ApiError {
     let remedy = if repeatable {
         "the request is idempotent and may be sent again"
     } else {
-        "ask the service whether it ran before sending it under a new key"
+        "check with the service if it ran before sending it with a new key"
     };
     ApiError::new(
         StatusCode::BAD_GATEWAY,
         "outcome_unknown",
-        format!("the connection to the backend server broke before its answer was whole; {remedy}"),
+        format!(
+            "the connection to the backend server was lost before the answer was complete; {remedy}"
+        ),
     )
     .run(RunState::Unknown)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,5 +1,5 @@
-//! Streamed answers: every event checked, broken streams resumed where that is safe, and the end
-//! passed on only where the backend server's own end was seen.
+//! Relays streamed answers. Every event is checked, an interrupted stream is resumed if that is
+//! safe, and the end is passed on only if the backend server ended the stream itself.
 
 use {
     crate::{
@@ -21,11 +21,12 @@
     std::rc::Rc,
 };
 
-/// The data of the last event of a whole answer.
+/// Data of the event that ends a complete answer.
 const DONE: &str = "[DONE]";
 
-/// Relays one streamed answer, over as many attempts as it takes. A caller that hangs up drops it,
-/// and with it the attempt's stream: the backend server sees its connection close and stops.
+/// Relays one streamed answer, over as many attempts as needed. If the caller disconnects, the
+/// relay is dropped together with the stream of the attempt; the backend server sees its connection
+/// close and stops.
 pub(crate) struct EventRelay {
     gateway: Gateway,
     plan: CallPlan,
@@ -41,21 +42,21 @@
     series: Rc<ModelSeries>,
 }
 
-/// One step of the relay.
+/// The result of reading one event.
 enum RelayStep {
-    /// Pass this on.
+    /// Pass this event on.
     Event(Bytes),
-    /// Nothing to pass on.
+    /// The event is not passed on.
     Skip,
-    /// The answer is whole.
+    /// The answer is complete.
     End,
     /// The attempt broke off.
     Broken,
 }
 
 impl EventRelay {
-    /// Relays `answer`. Its head goes out with its first event, so that an attempt which breaks
-    /// before that can still be repeated or told as an error.
+    /// Relays `answer`. Its head is sent with its first event, so that an attempt that fails before
+    /// that can still be retried or reported with an error status.
     pub(crate) async fn start(
         gateway: Gateway,
         plan: CallPlan,
@@ -66,7 +67,7 @@
         let series = gateway.metrics.model(&gateway.queue_name(&plan.target));
         let record = AnswerRecord::new(&plan, &answer, std::mem::take(&mut history.claim));
         let body = std::mem::replace(&mut answer.body, Box::pin(stream::empty()));
-        // Boxed: the stream of the reply moves its state with each event.
+        // Boxed because `stream::unfold` moves its state with each event.
         let mut relay = Box::new(Self {
             gateway,
             plan,
@@ -93,7 +94,7 @@
         Ok(response)
     }
 
-    /// The next piece for the caller; `None` after a whole answer.
+    /// Returns the next piece for the caller, or `None` after a complete answer.
     async fn next_item(&mut self) -> Option<Result<Bytes, BodyError>> {
         if self.outcome.is_some() {
             return None;
@@ -108,7 +109,8 @@
         }
     }
 
-    /// The next event, resumed as often as allowed; `None` after the last.
+    /// Returns the next event, resuming the answer as often as allowed, or `None` after the last
+    /// event.
     async fn next_event(&mut self) -> Result<Option<Bytes>, ApiError> {
         loop {
             match self.step().await {
@@ -147,7 +149,7 @@
         }
         let token = chunk.has_token();
         self.finished |= chunk.is_finish();
-        // A resumed engine opens its answer anew; the caller has seen that opening.
+        // A resumed engine sends the opening event again, which the caller already has.
         if self.tokens > 0 && !token && !self.finished {
             return RelayStep::Skip;
         }
@@ -174,7 +176,7 @@
         self.tokens += 1;
     }
 
-    /// Stores the answer for resends and hands out the last event.
+    /// Stores the answer for resends and returns the final event.
     async fn end(&mut self) -> Option<Bytes> {
         if self.outcome.is_some() {
             return None;
@@ -188,9 +190,9 @@
         Some(last)
     }
 
-    /// Goes on at the token where the attempt broke off, at another place.
+    /// Resumes the answer with a new attempt at the token where the last one broke off.
     async fn resume(&mut self) -> Result<(), ApiError> {
-        // A run whose events cannot be used may still be at work; dropping its stream ends it.
+        // A run whose events are unusable may still be active; dropping its stream stops it.
         self.events = empty_events();
         self.guard = AttemptGuard::default();
         if self.tokens > 0 {
--- a/crates/gateway/src/relay/tests.rs
+++ b/crates/gateway/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! Answers that stand still, and answers that are given up.
+//! Answers that pause, and answers that are abandoned.
 
 use {
     crate::testing::{
@@ -19,16 +19,16 @@
     has_budget: bool,
 }
 
-/// The neighbours that leave a request nothing but the run it has.
-fn setups_without_alternative(pause: AnswerPause, here_only: &str) -> Vec<PauseCase<'_>> {
+/// Returns setups in which no other backend server or region can take the request over.
+fn setups_without_alternative(pause: AnswerPause, local_only: &str) -> Vec<PauseCase<'_>> {
     let behavior = BackendBehavior::Pauses(pause);
     let refuses = PeerBehavior::Refuses(Duration::from_millis(100));
     let base = || TestSetup { behavior, peers: refuses, ..TestSetup::default() };
-    let away = || TestSetup { has_engines: false, peers: PeerBehavior::Pauses(pause), ..base() };
+    let remote = || TestSetup { has_engines: false, peers: PeerBehavior::Pauses(pause), ..base() };
     vec![
         PauseCase {
             name: "no other backend server and no other region",
-            setup: TestSetup { document: here_only, ..base() },
+            setup: TestSetup { document: local_only, ..base() },
             has_budget: true,
         },
         PauseCase { name: "the other region refuses", setup: base(), has_budget: true },
@@ -38,20 +38,20 @@
             has_budget: true,
         },
         PauseCase { name: "no budget", setup: base(), has_budget: false },
-        PauseCase { name: "in the other region", setup: away(), has_budget: true },
+        PauseCase { name: "in the other region", setup: remote(), has_budget: true },
         PauseCase {
             name: "in the other region, last attempt",
-            setup: TestSetup { attempt_limit: 1, ..away() },
+            setup: TestSetup { attempt_limit: 1, ..remote() },
             has_budget: true,
         },
-        PauseCase { name: "in the other region, no budget", setup: away(), has_budget: false },
+        PauseCase { name: "in the other region, no budget", setup: remote(), has_budget: false },
     ]
 }
 
-/// Guards against runs that are given up after a pause though nobody else can answer.
+/// Guards against runs that are abandoned after a pause although nothing else can answer.
 #[test]
-fn a_pause_ends_no_run_that_nobody_can_take_over() {
-    let here_only = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
+fn pause_does_not_end_a_run_without_alternative() {
+    let local_only = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
     let paths = [
         ("/v1/chat/completions", STREAMED_BODY),
         ("/v1/chat/completions", BUFFERED_BODY),
@@ -61,7 +61,7 @@
         for before in 0..5 {
             let pause = AnswerPause { before, length: Duration::from_millis(millis) };
             for PauseCase { name, setup, has_budget } in
-                setups_without_alternative(pause, &here_only)
+                setups_without_alternative(pause, &local_only)
             {
                 for (path, body) in paths {
                     let gateway = TestGateway::warmed_up(&setup);
@@ -71,7 +71,7 @@
                         gateway.world.run_until(async { futures::join!(answering, spending) });
                     let name = format!("{name}, {pause:?}, {path} {body}");
                     assert_eq!(head.status, StatusCode::OK, "{name}");
-                    assert!(answer.is_some(), "{name}: the answer broke off");
+                    assert!(answer.is_some(), "{name}: the answer is incomplete");
                     let runs = gateway.client.sends.get() + gateway.transport.opened.get();
                     assert_eq!(runs, 1, "{name}");
                 }
@@ -83,22 +83,22 @@
 struct ChangeCase {
     name: &'static str,
     change: fn(&TestGateway),
-    /// Whether the run is in the other region.
+    /// Set if the run is in the other region.
     is_remote: bool,
 }
 
-/// Guards against runs that are cut off by a change at the gateway or in what it knows of the backend
-/// server, while that is at work.
+/// Guards against runs that are cut off by a state change of the gateway or of the backend server
+/// that runs them.
 #[test]
-fn a_change_midway_ends_no_run() {
+fn state_change_does_not_interrupt_a_run() {
     let cases = [
         ChangeCase {
-            name: "the gateway stops",
+            name: "the gateway drains",
             change: |gateway| gateway.gateway.drain(),
             is_remote: false,
         },
         ChangeCase {
-            name: "the gateway stops",
+            name: "the gateway drains",
             change: |gateway| gateway.gateway.drain(),
             is_remote: true,
         },
@@ -108,11 +108,11 @@
             is_remote: false,
         },
         ChangeCase {
-            name: "its name is announced by another run",
+            name: "another run announces its name",
             change: |gateway| gateway.renew(2, 10),
             is_remote: false,
         },
-        ChangeCase { name: "it announces itself no more", change: |_| (), is_remote: false },
+        ChangeCase { name: "its announcement is not renewed", change: |_| (), is_remote: false },
     ];
     let paths = [("/v1/chat/completions", STREAMED_BODY), ("/v1/chat/completions", BUFFERED_BODY)];
     for ChangeCase { name, change, is_remote } in cases {
@@ -132,9 +132,9 @@
                 let answering = gateway.send(path, body);
                 let ((head, answer), ()) =
                     gateway.world.run_until(async { futures::join!(answering, changing) });
-                let name = format!("{name}, away: {is_remote}, {pause:?}, {body}");
+                let name = format!("{name}, remote: {is_remote}, {pause:?}, {body}");
                 assert_eq!(head.status, StatusCode::OK, "{name}");
-                assert!(answer.is_some(), "{name}: the answer broke off");
+                assert!(answer.is_some(), "{name}: the answer is incomplete");
                 let runs = gateway.client.sends.get() + gateway.transport.opened.get();
                 assert_eq!(runs, 1, "{name}");
             }
@@ -142,10 +142,10 @@
     }
 }
 
-/// Guards against two backend servers at work on one request: the one whose answer cannot be used,
-/// and the next.
+/// Guards against two backend servers that run one request at the same time: the one whose answer
+/// is unusable, and the next.
 #[test]
-fn a_run_that_cannot_be_used_ends_before_the_next_begins() {
+fn unusable_run_ends_before_the_next_begins() {
     let gateway = TestGateway::warmed_up(&TestSetup {
         behavior: BackendBehavior::OutOfOrder,
         ..TestSetup::default()
@@ -155,9 +155,10 @@
     assert_eq!(gateway.client.runs.max.get(), 1, "{}", head.status);
 }
 
-/// Guards against an answer that breaks off for want of a retry that comes in its time.
+/// Guards against a started answer that breaks off although the retry budget refills before the
+/// deadline.
 #[test]
-fn an_answer_that_has_begun_waits_for_a_retry_that_comes_in_time() {
+fn started_answer_waits_for_the_retry_budget_until_its_deadline() {
     struct Case {
         deadline_ms: u64,
         is_whole: bool,
@@ -176,10 +177,10 @@
         let began = gateway.context.clock.now();
         let (head, answer) = gateway.post_without_key("/v1/chat/completions", STREAMED_BODY);
         let took = gateway.context.clock.now().since(began);
-        let what = format!("{deadline_ms} ms: {answer:?} after {took:?}");
-        assert_eq!(head.status, StatusCode::OK, "{what}");
-        assert_eq!(answer.is_some(), is_whole, "{what}");
-        assert_eq!(gateway.client.sends.get(), if is_whole { 2 } else { 1 }, "{what}");
-        assert!(is_whole || took < Duration::from_millis(50), "{what}");
+        let context = format!("{deadline_ms} ms: {answer:?} after {took:?}");
+        assert_eq!(head.status, StatusCode::OK, "{context}");
+        assert_eq!(answer.is_some(), is_whole, "{context}");
+        assert_eq!(gateway.client.sends.get(), if is_whole { 2 } else { 1 }, "{context}");
+        assert!(is_whole || took < Duration::from_millis(50), "{context}");
     }
 }
--- a/crates/gateway/src/span.rs
+++ b/crates/gateway/src/span.rs
@@ -1,4 +1,4 @@
-//! The account of one caller's request: begun once, ended once, however it ends.
+//! The lifecycle record of a caller's request: started once and ended once, on every path.
 
 use {
     crate::{call::CallPlan, gateway::GatewayShared},
@@ -10,9 +10,8 @@
     std::{cell::Cell, fmt, rc::Rc},
 };
 
-/// Counts a request as open until it is dropped, then records how it ended. Dropped without an
-/// outcome, as when a caller hangs up and the task with everything in it goes, it counts as
-/// cancelled.
+/// Counts a request as open until dropped, then records its outcome. A request that is dropped
+/// without an outcome, as after the caller disconnects, counts as cancelled.
 pub(crate) struct RequestSpan {
     id: RequestId,
     service: ServiceName,
@@ -28,7 +27,7 @@
 }
 
 impl RequestSpan {
-    /// Begins the account of a caller's request.
+    /// Starts the record of a caller's request.
     pub(crate) fn begin(
         gateway: &GatewayShared,
         id: RequestId,
@@ -54,7 +53,8 @@
         Rc::new(Self { id, service, started, outcome, recorder: Some(recorder) })
     }
 
-    /// The span of a forwarded request, whose account is kept where its caller is.
+    /// Creates the span of a forwarded request, which records nothing: the gateway that received
+    /// the request from the caller does.
     pub(crate) fn for_forwarded(
         id: RequestId,
         service: &ServiceName,
@@ -64,13 +64,13 @@
         Rc::new(Self { id, service, started: now, outcome, recorder: None })
     }
 
-    /// States how the request ended.
+    /// Sets the outcome of the request.
     pub(crate) fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(Some(outcome));
     }
 
-    /// States how a request ended that never got to an answer of its own; an answer states its
-    /// end by itself, when its last byte is out.
+    /// Sets the outcome of a request that failed before an answer began. The outcome of an answer
+    /// is set when its last byte is sent.
     pub(crate) fn set_error_outcome(&self, outcome: &Result<Response<ReplyBody>, ApiError>) {
         match outcome {
             Ok(_) => {}
@@ -104,7 +104,7 @@
 }
 
 impl GatewayShared {
-    /// Notes the time to the first token.
+    /// Records the time to the first token.
     pub(crate) fn record_first_token(&self, plan: &CallPlan) {
         let time = self.context.clock.now().since(plan.received);
         self.metrics.first_token(&self.queue_name(&plan.target), time);
--- a/crates/gateway/src/statements.rs
+++ b/crates/gateway/src/statements.rs
@@ -1,4 +1,4 @@
-//! What backend servers state of themselves with their answers, and what this gateway does by it.
+//! Handles the statements about their own state that backend servers make in reply headers.
 
 use {
     crate::{
@@ -14,17 +14,17 @@
     std::time::Duration,
 };
 
-/// Says that the backend server finishes what it has and wants nothing new.
+/// Reply header of a backend server that finishes its requests and accepts no new ones.
 const LEAVING_HEADER: HeaderName = HeaderName::from_static("gullglade-leaving");
 
-/// The time between two gateways that resume after a back-off, on average.
+/// Average interval between the times at which two gateways resume after a back-off.
 const RESUME_SPACING: Duration = Duration::from_millis(10);
 
-/// All gateways resume within this.
+/// Maximum time within which all gateways resume after a back-off.
 const MAX_RESUME_SPREAD: Duration = Duration::from_secs(1);
 
 impl Gateway {
-    /// Acts by what the head of an answer states.
+    /// Applies the statements in the head of a reply.
     pub(crate) fn apply_statements(&self, selected: &SelectedBackend, head: &Parts) {
         let BackendStatements { backoff, is_leaving, .. } = parse_statements(head);
         if let Some(backoff) = backoff {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Counts the statement as the announcement `leaving`, which is final for the run and told to
-    /// all gateways of the region.
+    /// Handles the statement like an announcement of the state `leaving`, which is final for the
+    /// run and is distributed to all gateways of the region.
     fn apply_leaving(&self, selected: &SelectedBackend) {
         let BackendRun { backend, incarnation } = &selected.run;
         let Some(record) = self.backends.record(backend) else { return };
@@ -58,14 +58,14 @@
         };
         let gateway = self.clone();
         self.context.spawner.spawn(Box::pin(async move {
-            // Refused only where another run has taken the name meanwhile.
-            let _told = gateway.relay.announce(&announcement).await;
+            // Refused only if another run has taken the name meanwhile.
+            let _announced = gateway.relay.announce(&announcement).await;
             gateway.backends_changed();
         }));
     }
 
-    /// Sends nothing to the backend server until the back-off is over. Gateways that were rejected
-    /// together would also resume together, so each adds a part of its own.
+    /// Stops sending to the backend server until the back-off ends. Gateways that were rejected
+    /// together would also resume together, so each adds a random delay.
     fn apply_backoff(&self, selected: &SelectedBackend, backoff: StatedBackoff) {
         if backoff.duration().is_zero() {
             return;
@@ -102,13 +102,13 @@
     }
 }
 
-/// A form that nobody knows counts as stated: work that is kept from one backend server goes to
-/// another one.
+/// Returns whether the header value is true. An unknown value counts as true, since the requests
+/// kept from this backend server go to another one.
 fn is_set(value: &HeaderValue) -> bool {
     !matches!(value.as_bytes().trim_ascii(), b"0" | b"false")
 }
 
-/// A time that cannot be read, as a date, is not stated.
+/// Parses a delay in seconds. Other forms, such as a date, are ignored.
 fn parse_backoff(text: &str) -> Option<StatedBackoff> {
     let seconds: f64 = text.trim().parse().ok()?;
     StatedBackoff::try_from(seconds).ok()
--- a/crates/gateway/src/statements/tests.rs
+++ b/crates/gateway/src/statements/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of the statements that backend servers make with their answers.
+//! Handling of the statements that backend servers make in reply headers.
 
 use {
     crate::testing::{AnswerPause, BackendBehavior, DOCUMENT, HeaderPair, TestGateway, TestSetup},
@@ -10,13 +10,13 @@
 const CHAT_BODY: &str = r#"{"model":"ballast","messages":[{"role":"user","content":"Quote."}]}"#;
 const CHAT: &str = "/v1/chat/completions";
 
-/// The time between two requests.
+/// Interval between two requests.
 const SPACING: Duration = Duration::from_millis(100);
 
 const NOT_RUN: HeaderPair = ("gullglade-run", "not-run");
 
-/// Sends so many requests one after the other while the engines renew their leases; how many were
-/// served.
+/// Sends `requests` requests one after the other while the engines renew their leases. Returns the
+/// number of requests that were served.
 async fn send_requests(gateway: &TestGateway, requests: u64, sequence: u64) -> u64 {
     let mut served = 0;
     for number in 0..requests {
@@ -31,14 +31,14 @@
 struct BackoffCase {
     status: u16,
     headers: &'static [HeaderPair],
-    /// How long nothing may come; zero where the answer requests nothing.
+    /// Time for which no request may arrive; zero if the reply requests no back-off.
     backoff: Duration,
 }
 
-/// Guards against requests to a backend server that has asked for a back-off, and against one that
-/// lasts for ever.
+/// Guards against requests to a backend server that has requested a back-off, and against a
+/// back-off that never ends.
 #[test]
-fn a_backend_server_gets_nothing_during_the_back_off_that_it_requests() {
+fn sends_nothing_during_a_requested_back_off() {
     let seconds = Duration::from_secs;
     let cases = [
         BackoffCase { status: 503, headers: &[NOT_RUN, ("retry-after", "2")], backoff: seconds(2) },
@@ -87,60 +87,63 @@
         });
         let served = gateway.world.run_until(send_requests(&gateway, 80, 10));
         let arrivals = gateway.client.arrivals.borrow();
-        let least = arrivals.windows(2).map(|pair| pair[1].since(pair[0])).min();
-        let least = least.unwrap_or_else(|| panic!("{name}: it did not come back"));
+        let min_interval = arrivals.windows(2).map(|pair| pair[1].since(pair[0])).min();
+        let min_interval =
+            min_interval.unwrap_or_else(|| panic!("{name}: no request arrived after the back-off"));
         match backoff.is_zero() {
-            true => assert!(least < Duration::from_millis(500), "{name}: {least:?}"),
+            true => assert!(min_interval < Duration::from_millis(500), "{name}: {min_interval:?}"),
             false => {
-                assert!(least >= backoff, "{name}: {least:?}");
+                assert!(min_interval >= backoff, "{name}: {min_interval:?}");
                 assert_eq!(served, 80, "{name}");
             }
         }
     }
 }
 
-struct LateCase {
+struct RevokeCase {
     status: u16,
     headers: &'static [HeaderPair],
 }
 
-/// Guards against requests that wait for a connection to a backend server that wants nothing more.
+/// Guards against requests that keep waiting for a connection to a backend server that has asked
+/// for no more requests.
 #[test]
-fn what_waits_for_a_connection_is_taken_back_by_a_statement() {
-    const FIRST: Duration = Duration::from_millis(50);
+fn statement_revokes_requests_waiting_for_a_connection() {
+    const ACCEPT_DELAY: Duration = Duration::from_millis(50);
     const CONCURRENT_REQUESTS: usize = 8;
     let cases = [
-        LateCase { status: 503, headers: &[NOT_RUN, ("retry-after", "2")] },
-        LateCase { status: 503, headers: &[NOT_RUN, ("gullglade-leaving", "true")] },
-        LateCase { status: 200, headers: &[("gullglade-leaving", "true")] },
+        RevokeCase { status: 503, headers: &[NOT_RUN, ("retry-after", "2")] },
+        RevokeCase { status: 503, headers: &[NOT_RUN, ("gullglade-leaving", "true")] },
+        RevokeCase { status: 200, headers: &[("gullglade-leaving", "true")] },
     ];
-    for LateCase { status, headers } in cases {
+    for RevokeCase { status, headers } in cases {
         let name = format!("{status} {headers:?}");
         let status = StatusCode::from_u16(status).unwrap();
         let gateway = TestGateway::warmed_up(&TestSetup {
-            behavior: BackendBehavior::AcceptsLate(status, headers, FIRST),
+            behavior: BackendBehavior::AcceptsLate(status, headers, ACCEPT_DELAY),
             has_second_engine: true,
             ..TestSetup::default()
         });
-        let asks = (0..CONCURRENT_REQUESTS).map(|_| gateway.send(CHAT, CHAT_BODY));
-        let replies = gateway.world.run_until(join_all(asks));
+        let sends = (0..CONCURRENT_REQUESTS).map(|_| gateway.send(CHAT, CHAT_BODY));
+        let replies = gateway.world.run_until(join_all(sends));
         let served = replies.iter().filter(|(head, _)| head.status == StatusCode::OK).count();
         assert_eq!(served, CONCURRENT_REQUESTS, "{name}");
         assert_eq!(
             gateway.client.arrivals.borrow().len(),
             1,
-            "{name}: nothing after the statement"
+            "{name}: requests arrived after the statement"
         );
         assert!(
             gateway.client.sends.get() > CONCURRENT_REQUESTS as u32,
-            "{name}: some waited there"
+            "{name}: no request waited for a connection"
         );
     }
 }
 
-/// Guards against a backend server that is lost for the day by one absurd back-off.
+/// Guards against a backend server that is out of service indefinitely after one excessive
+/// back-off.
 #[test]
-fn an_absurd_back_off_ends_after_ten_minutes() {
+fn limits_a_back_off_to_ten_minutes() {
     let headers = &[NOT_RUN, ("retry-after", "1000000000")];
     let gateway = TestGateway::warmed_up(&TestSetup {
         behavior: BackendBehavior::Rejects(1, StatusCode::SERVICE_UNAVAILABLE, headers),
@@ -153,37 +156,37 @@
     assert!((600..=602).contains(&pause.as_secs()), "{pause:?}");
 }
 
-struct WaitCase {
+struct BackoffWaitCase {
     name: &'static str,
     deadline: &'static str,
     status: StatusCode,
-    least: Duration,
-    most: Duration,
+    min_wait: Duration,
+    max_wait: Duration,
 }
 
-/// Guards against requests that wait in vain for the end of a back-off, and against those that are
-/// refused though they could wait.
+/// Guards against requests that wait for the end of a back-off beyond their deadline, and against
+/// requests that are refused although they could wait.
 #[test]
-fn a_request_waits_for_the_end_of_a_back_off_only_where_it_can() {
-    let here_only = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
+fn waits_for_the_end_of_a_back_off_only_before_the_deadline() {
+    let local_only = DOCUMENT.replace(r#"["puget", "columbia", "inland"]"#, r#"["columbia"]"#);
     let cases = [
-        WaitCase {
+        BackoffWaitCase {
             name: "can wait",
             deadline: "limits = { deadline_ms = 30000 }\n[[models]]",
             status: StatusCode::OK,
-            least: Duration::from_millis(2_000),
-            most: Duration::from_millis(2_100),
+            min_wait: Duration::from_millis(2_000),
+            max_wait: Duration::from_millis(2_100),
         },
-        WaitCase {
+        BackoffWaitCase {
             name: "cannot wait",
             deadline: "limits = { deadline_ms = 1900 }\n[[models]]",
             status: StatusCode::SERVICE_UNAVAILABLE,
-            least: Duration::ZERO,
-            most: Duration::from_millis(10),
+            min_wait: Duration::ZERO,
+            max_wait: Duration::from_millis(10),
         },
     ];
-    for WaitCase { name, deadline, status, least, most } in cases {
-        let document = here_only.replacen("[[models]]", deadline, 1);
+    for BackoffWaitCase { name, deadline, status, min_wait, max_wait } in cases {
+        let document = local_only.replacen("[[models]]", deadline, 1);
         let headers = &[NOT_RUN, ("retry-after", "2")];
         let gateway = TestGateway::warmed_up(&TestSetup {
             document: &document,
@@ -206,19 +209,19 @@
             assert!(matches!(wait, None | Some("2" | "3")), "{name}: {wait:?}");
             assert_eq!(wait.is_some(), status != StatusCode::OK, "{name}");
         }
-        assert!((least..=most).contains(&took), "{name}: {took:?}");
+        assert!((min_wait..=max_wait).contains(&took), "{name}: {took:?}");
         let sends = if status == StatusCode::OK { 3 } else { 1 };
         assert_eq!(gateway.client.sends.get(), sends, "{name}");
     }
 }
 struct LeavingCase {
     value: &'static str,
-    leaves: bool,
+    is_leaving: bool,
 }
 
-/// Guards against new requests to a backend server that has said with an answer that it leaves.
+/// Guards against new requests to a backend server that has stated in a reply that it is leaving.
 #[test]
-fn a_backend_server_that_says_it_leaves_gets_nothing_new() {
+fn sends_nothing_to_a_backend_server_that_states_leaving() {
     let pause = AnswerPause { before: 2, length: Duration::from_secs(1) };
     let headers = |value| -> &'static [HeaderPair] {
         match value {
@@ -229,12 +232,12 @@
         }
     };
     let cases = [
-        LeavingCase { value: "true", leaves: true },
-        LeavingCase { value: "1", leaves: true },
-        LeavingCase { value: "false", leaves: false },
-        LeavingCase { value: "0", leaves: false },
+        LeavingCase { value: "true", is_leaving: true },
+        LeavingCase { value: "1", is_leaving: true },
+        LeavingCase { value: "false", is_leaving: false },
+        LeavingCase { value: "0", is_leaving: false },
     ];
-    for LeavingCase { value, leaves } in cases {
+    for LeavingCase { value, is_leaving } in cases {
         let gateway = TestGateway::warmed_up(&TestSetup {
             behavior: BackendBehavior::SendsHeaders(headers(value), pause),
             has_second_engine: true,
@@ -243,21 +246,21 @@
         let served = gateway.world.run_until(send_requests(&gateway, 40, 10));
         assert_eq!(served, 40, "{value}: an answer was cut off");
         let arrivals = gateway.client.arrivals.borrow().len();
-        assert_eq!(arrivals == 1, leaves, "{value}: it got {arrivals} requests");
-        // Another run of it begins without statements.
+        assert_eq!(arrivals == 1, is_leaving, "{value}: it received {arrivals} requests");
+        // A new run of the backend server starts without statements.
         gateway.renew(2, 100);
         gateway.world.run_for(Duration::from_secs(1));
-        let asking = async {
+        let sending = async {
             for sequence in 101..141 {
                 gateway.renew(2, sequence);
                 gateway.send(CHAT, CHAT_BODY).await;
                 gateway.context.clock.sleep(SPACING).await;
             }
         };
-        gateway.world.run_until(asking);
+        gateway.world.run_until(sending);
         assert!(
             gateway.client.arrivals.borrow().len() > arrivals,
-            "{value}: its next run got nothing"
+            "{value}: its next run received no requests"
         );
     }
 }
--- a/crates/gateway/src/testing.rs
+++ b/crates/gateway/src/testing.rs
@@ -1,4 +1,4 @@
-//! A gateway whose neighbours are fakes, for this crate's tests.
+//! A gateway with fake backend servers and peers, for the tests of this crate.
 
 mod fakes;
 
@@ -29,13 +29,13 @@
     AnswerPause, BackendBehavior, FakeClient, FakeTransport, HeaderPair, PeerBehavior,
 };
 
-/// The most bytes of a reply in these tests.
+/// Maximum size of a reply body.
 const BODY_LIMIT: usize = 1 << 20;
 
-/// How long backend servers have served when a test begins.
+/// Time for which backend servers have been serving when a test begins.
 const WARM_UP: Duration = Duration::from_secs(15);
 
-/// The gateway's region.
+/// Region of the gateway under test.
 pub(crate) const LOCAL_REGION: &str = "columbia";
 
 pub(crate) const DOCUMENT: &str = r#"
@@ -53,7 +53,7 @@
 token_sha256 = ["e6b65e762ddebe3e893b84a5aa2f51f69965cf051c9015ef121d07e40c1c91ca"]
 "#;
 
-/// Offers plenty of free engines in inland, from some time on.
+/// Reports the region inland as reachable, with ample free capacity, from a given time on.
 struct InlandDirectory {
     from: MonotonicTime,
     clock: Rc<dyn Clock>,
@@ -86,17 +86,17 @@
     fn note_failure(&self, _address: SocketAddr) {}
 }
 
-/// How the neighbours of a gateway under test behave.
+/// Configuration of a gateway under test and its fakes.
 pub(crate) struct TestSetup<'a> {
     pub(crate) document: &'a str,
-    /// Whether an engine and a plain service have announced themselves.
+    /// Set if an engine and a plain service have announced themselves.
     pub(crate) has_engines: bool,
     pub(crate) behavior: BackendBehavior,
     pub(crate) peers: PeerBehavior,
-    /// Since when another region offers itself, counted from the begin of the test.
+    /// Time from the start of the test after which another region is reachable.
     pub(crate) offers_from: Duration,
     pub(crate) attempt_limit: u32,
-    /// Whether there is a second engine, which always answers.
+    /// Set if there is a second engine, which always answers.
     pub(crate) has_second_engine: bool,
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// A gateway in [`LOCAL_REGION`] whose neighbours are fakes.
+/// A gateway in [`LOCAL_REGION`] with fake backend servers and peers.
 pub(crate) struct TestGateway {
     pub(crate) world: FakeWorld,
     pub(crate) gateway: Gateway,
@@ -141,12 +141,12 @@
         Self::with_setup(&setup, claims)
     }
 
-    /// A gateway as `setup` wants it, with claims of its own.
+    /// Creates a gateway from `setup`, with local claims, after the warm-up of its backend servers.
     pub(crate) fn warmed_up(setup: &TestSetup<'_>) -> Self {
         let gateway = Self::with_setup(setup, |context| {
             Rc::new(LocalClaims::first_start(context, ClaimSettings::default()))
         });
-        // A backend server that has just joined is trusted with a part of its slots only.
+        // Only a fraction of the slots of a backend server is used while it warms up.
         for sequence in 2..=4 {
             gateway.world.run_for(WARM_UP / 3);
             if setup.has_engines {
@@ -185,12 +185,17 @@
         let own = own_gateway();
         let mut config = GatewayConfig::new(own.vm.clone(), region(LOCAL_REGION), domain());
         config.attempt_limit = attempt_limit;
-        let seams = RelayDependencies {
+        let relay_dependencies = RelayDependencies {
             transport: Rc::clone(&transport) as _,
             events: Rc::new(NullSink),
             context: context.clone(),
         };
-        let relay = BackendRelay::new(own, Rc::clone(&backends), RelayConfig::default(), seams);
+        let relay = BackendRelay::new(
+            own,
+            Rc::clone(&backends),
+            RelayConfig::default(),
+            relay_dependencies,
+        );
         let document = Rc::new(ServiceDocument::try_from(document).unwrap());
         let dependencies = GatewayDependencies {
             documents: Rc::new(FixedConfig::new(ConfigView::new(1, [document]))),
@@ -213,27 +218,27 @@
         Self { world, gateway, client, transport, metrics, context }
     }
 
-    /// Sends a request of the workspace `roadmasters` and returns the reply's head, and its body
-    /// where that is whole.
+    /// Sends a request of the workspace `roadmasters` with an idempotency key. Returns the head of
+    /// the reply, and its body if it is complete.
     pub(crate) fn post_with_key(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
         let (request, body) = caller_request(path, body);
         let request = request.header("idempotency-key", "order-1");
         self.world.run_until(self.handle((request, body)))
     }
 
-    /// The same for a request that may be repeated.
+    /// Sends a request without a key and waits for the reply.
     pub(crate) fn post_without_key(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
         self.world.run_until(self.send(path, body))
     }
 
-    /// Lets the engines announce themselves anew, as serving.
+    /// Renews the announcements of the engines, in the state serving.
     pub(crate) fn renew(&self, incarnation: u64, sequence: u64) {
         announce(&self.gateway.backends, incarnation, sequence);
         self.announce_second_engine(sequence);
         self.gateway.backends_changed();
     }
 
-    /// Lets the first engine announce that it leaves.
+    /// Announces that the first engine is leaving.
     pub(crate) fn announce_leaving(&self, sequence: u64) {
         let run = ("engine-1", 1, sequence);
         let text = announcement(run, "engine", address()).replace("serving", "leaving");
@@ -246,12 +251,12 @@
         announce_one(&self.gateway.backends, &text);
     }
 
-    /// The reply to a request that may be repeated.
+    /// Sends a request without a key.
     pub(crate) async fn send(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
         self.handle(caller_request(path, body)).await
     }
 
-    /// Takes all retries that the budget has now.
+    /// Takes all retries that the budget allows now.
     pub(crate) fn drain_retry_budget(&self) {
         let view = self.gateway.documents.current().unwrap();
         let document = Rc::clone(view.documents().next().unwrap());
@@ -259,7 +264,7 @@
         while budget.try_retry(self.context.clock.now()) {}
     }
 
-    /// Keeps the retry budget empty for some seconds, unless it is to be had.
+    /// Keeps the retry budget empty for six seconds, unless `has_budget` is set.
     pub(crate) async fn keep_retry_budget_empty(&self, has_budget: bool) {
         let view = self.gateway.documents.current().unwrap();
         let document = Rc::clone(view.documents().next().unwrap());
@@ -298,7 +303,7 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// Where the second engine takes requests.
+/// Address of the second engine.
 fn second_engine_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10))
 }
--- a/crates/gateway/src/testing/fakes.rs
+++ b/crates/gateway/src/testing/fakes.rs
@@ -1,4 +1,4 @@
-//! Backend servers and gateways of other regions that do as they are told.
+//! Fake backend servers and fake gateways of other regions.
 
 use {
     super::second_engine_address,
@@ -23,7 +23,7 @@
     },
 };
 
-/// What the backend server does with a request.
+/// The behavior of the first backend server.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum BackendBehavior {
     Answers,
@@ -31,48 +31,50 @@
     LosesConnection,
     /// Streams one token and `[DONE]`, without a finish reason.
     Unfinished,
-    /// Answers whole, after a pause.
+    /// Sends a complete answer, with a pause.
     Pauses(AnswerPause),
-    /// Streams a token out of order, and goes on without an end.
+    /// Streams a token out of order and then nothing, without an end.
     OutOfOrder,
-    /// Answers whole, after a pause, and states this.
+    /// Sends a complete answer with these headers, with a pause.
     SendsHeaders(&'static [HeaderPair], AnswerPause),
-    /// Rejects so many requests and states this, then answers whole.
+    /// Rejects this number of requests with this status and these headers, then sends complete
+    /// answers.
     Rejects(u32, StatusCode, &'static [HeaderPair]),
-    /// States this with the first answer, after a while, and takes twice as long to accept the
-    /// connections of all other requests. The second engine answers after the same while.
+    /// Sends the first answer with this status and these headers after the delay, and accepts the
+    /// connections of all other requests after twice the delay. The second engine answers after the
+    /// delay.
     AcceptsLate(StatusCode, &'static [HeaderPair], Duration),
 }
 
-/// A header of an answer.
+/// Name and value of a reply header.
 pub(crate) type HeaderPair = (&'static str, &'static str);
 
-/// Where an answer stands still, and for how long.
+/// Position and length of a pause in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AnswerPause {
-    /// 0: before its head; else before this piece of its body, counted from 1.
+    /// 0: before the head; otherwise before this piece of the body, counted from 1.
     pub(crate) before: usize,
     pub(crate) length: Duration,
 }
 
 impl AnswerPause {
-    /// It comes at once.
+    /// No pause.
     pub(crate) const NONE: Self = Self { before: 0, length: Duration::ZERO };
 
-    /// The time before a part of the answer.
+    /// Returns the delay before a part of the answer.
     fn delay_before(self, part: usize) -> Duration {
         if part == self.before { self.length } else { Duration::ZERO }
     }
 }
 
-/// Runs that are at work.
+/// Number of active runs, and its maximum.
 #[derive(Default)]
 pub(crate) struct RunCounter {
     current: Cell<u32>,
     pub(crate) max: Cell<u32>,
 }
 
-/// One run, at work until it is dropped.
+/// An active run; it ends on drop.
 struct ActiveRun(Rc<RunCounter>);
 
 impl ActiveRun {
@@ -89,11 +91,11 @@
     }
 }
 
-/// A backend server that counts what reaches it.
+/// Fake client that counts the requests sent to backend servers.
 pub(crate) struct FakeClient {
     pub(crate) sends: Cell<u32>,
     pub(crate) runs: Rc<RunCounter>,
-    /// When each request came to the first engine.
+    /// Arrival times of the requests at the first engine.
     pub(crate) arrivals: RefCell<Vec<MonotonicTime>>,
     has_sent_first_reply: Cell<bool>,
     behavior: BackendBehavior,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// What becomes of a request that comes now; the second engine always answers.
+    /// Returns the behavior for a request that is sent now. The second engine always answers.
     fn next_behavior(&self, address: SocketAddr) -> BackendBehavior {
         self.sends.set(self.sends.get() + 1);
         let is_second = address == second_engine_address();
@@ -134,7 +136,7 @@
         }
     }
 
-    /// The reply to a request whose connection may be accepted late.
+    /// Returns the reply to a request whose connection may be accepted late.
     async fn late_accepted_reply(
         &self,
         address: SocketAddr,
@@ -179,7 +181,7 @@
         let first = header(OFFSET_HEADER).map_or(0, |offset| offset.parse().unwrap());
         let pieces = match is_streamed(request.body()) {
             true => event_pieces(id, first),
-            false => whole_pieces(id),
+            false => buffered_pieces(id),
         };
         let body = with_pause(pieces, pause, Rc::clone(&self.clock));
         let body = body.map(move |piece| {
@@ -209,7 +211,7 @@
     }
 }
 
-/// How many tokens an answer has.
+/// Number of tokens of a complete answer.
 const TOKENS: u64 = 3;
 
 fn is_streamed(body: &[u8]) -> bool {
@@ -222,7 +224,7 @@
     Bytes::from(format!("data: {event}\n\n"))
 }
 
-/// The pieces of a streamed answer.
+/// Returns the pieces of a streamed answer, starting at the token `first`.
 fn event_pieces(id: &str, first: u64) -> Vec<Bytes> {
     let choices = serde_json::json!([{"index": 0, "delta": {}, "finish_reason": "stop"}]);
     let last = serde_json::json!({"id": id, "choices": choices});
@@ -230,13 +232,13 @@
     tokens.chain([Bytes::from(format!("data: {last}\n\ndata: [DONE]\n\n"))]).collect()
 }
 
-/// The pieces of an answer that is not streamed.
-fn whole_pieces(id: &str) -> Vec<Bytes> {
-    let whole = Bytes::from(serde_json::json!({"id": id, "choices": []}).to_string());
-    vec![whole.slice(..5), whole.slice(5..9), whole.slice(9..)]
+/// Returns the pieces of an answer that is not streamed.
+fn buffered_pieces(id: &str) -> Vec<Bytes> {
+    let answer = Bytes::from(serde_json::json!({"id": id, "choices": []}).to_string());
+    vec![answer.slice(..5), answer.slice(5..9), answer.slice(9..)]
 }
 
-/// The pieces with the pause between them.
+/// Yields the pieces with the pause between them.
 fn with_pause(
     pieces: Vec<Bytes>,
     pause: AnswerPause,
@@ -310,18 +312,18 @@
     format!("data: {event}\n\ndata: [DONE]\n\n")
 }
 
-/// What the gateways of other regions do with a request.
+/// The behavior of the gateways of other regions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PeerBehavior {
-    /// Their answer ends without a head.
+    /// The reply stream ends without a head.
     Ends,
-    /// Certainly not run, after this time.
+    /// States after this time that the request did not run.
     Refuses(Duration),
-    /// A backend server there answers whole, after a pause.
+    /// Relays a complete answer, with a pause.
     Pauses(AnswerPause),
 }
 
-/// Counts the calls to other gateways.
+/// Fake transport that counts the calls to other gateways.
 pub(crate) struct FakeTransport {
     pub(crate) opened: Cell<u32>,
     behavior: PeerBehavior,
@@ -359,7 +361,7 @@
         let id = request.id.to_string();
         let (pieces, kind) = match request.streamed {
             true => (event_pieces(&id, request.offset), "text/event-stream"),
-            false => (whole_pieces(&id), "application/json"),
+            false => (buffered_pieces(&id), "application/json"),
         };
         let value = kind.as_bytes().to_vec();
         let head = ForwardReply::Answer {
