--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -103,7 +103,7 @@
             stale_config: self.documents.may_be_stale(),
             model,
             role: if model.is_some() { BackendRole::Generate } else { BackendRole::Service },
-            prompt_tokens: clamp_u32(plan.prompt.tokens),
+            prompt_tokens: saturating_u32(plan.prompt.tokens),
             hold: self.average_holding_time(&plan.target),
             target: plan.document.target.first_token,
             deadline: Some(self.remaining(plan)),
@@ -190,14 +190,14 @@
         capacity: EngineCapacity { slots: view.capacity.slots, prefill_rate: rate },
         report: LoadReport {
             active: view.load.running.saturating_add(view.load.waiting),
-            prefill_tokens: clamp_u32(view.load.queued_prefill_tokens),
+            prefill_tokens: saturating_u32(view.load.queued_prefill_tokens),
             age: view.load_age,
         },
         own: OwnLoad {
             active: own.active,
             active_at_report: own.active_at_report,
-            prefill_tokens: clamp_u32(own.prefill_tokens),
-            prefill_tokens_at_report: clamp_u32(own.prefill_tokens_at_report),
+            prefill_tokens: saturating_u32(own.prefill_tokens),
+            prefill_tokens_at_report: saturating_u32(own.prefill_tokens_at_report),
         },
         cached_tokens: view.expected_cached_tokens(blocks),
         link: Duration::ZERO,
@@ -205,6 +205,6 @@
     }
 }
 
-pub(crate) fn clamp_u32(value: u64) -> u32 {
+pub(crate) fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -144,8 +144,8 @@
 /// Returns the grant whose service offers `target`. If there is none, the error is the same whether
 /// or not the target exists.
 fn choose_grant(grants: Vec<TokenGrant>, target: &ServiceTarget) -> Result<TokenGrant, ApiError> {
-    let uses = |grant: &TokenGrant| grant.document.regions_of(target).is_some();
-    grants.into_iter().find(uses).ok_or_else(|| refusal::not_allowed(target))
+    let offers_target = |grant: &TokenGrant| grant.document.regions_of(target).is_some();
+    grants.into_iter().find(offers_target).ok_or_else(|| refusal::not_allowed(target))
 }
 
 fn check_length(body: &Bytes, grant: &TokenGrant) -> Result<(), ApiError> {
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -6,7 +6,7 @@
         attempt_guard::{AttemptGuard, EngineTimeMeter},
         call::CallPlan,
         claimed::ClaimStage,
-        decide::{Placement, clamp_u32},
+        decide::{Placement, saturating_u32},
         gateway::Gateway,
         queue_position::{QueuePosition, SlotWait},
         refusal,
@@ -199,7 +199,7 @@
             model: self.queue_name(&plan.target),
             priority: admission_priority(plan),
             deadline: Some(plan.deadline),
-            cost: clamp_u32(plan.prompt.tokens + plan.max_tokens),
+            cost: saturating_u32(plan.prompt.tokens + plan.max_tokens),
         })
     }
 
--- a/crates/gateway/src/placement/tests.rs
+++ b/crates/gateway/src/placement/tests.rs
@@ -40,7 +40,7 @@
         let gateway = TestGateway::warmed_up(&TestSetup {
             behavior: BackendBehavior::Pauses(pause),
             peers: PeerBehavior::Refuses(refuses_after),
-            offers_from: Duration::from_millis(500),
+            remote_reachable_after: Duration::from_millis(500),
             attempt_limit,
             ..TestSetup::default()
         });
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -23,7 +23,7 @@
 /// The buffered start of an answer.
 enum AnswerPrefix {
     /// The complete answer.
-    Whole(Vec<Bytes>),
+    Complete(Vec<Bytes>),
     /// The start of an answer that continues.
     Partial(Vec<Bytes>),
     /// The answer broke off.
@@ -54,7 +54,7 @@
             answer.guard.first_token();
             match prefix {
                 AnswerPrefix::Lost => self.handle_lost_answer(plan, &answer.source(), history)?,
-                AnswerPrefix::Whole(pieces) => {
+                AnswerPrefix::Complete(pieces) => {
                     return Ok(self.buffered_plain_reply(plan, history, answer, pieces).await);
                 }
                 AnswerPrefix::Partial(pieces) => {
@@ -102,8 +102,8 @@
             ended: false,
         };
         let first = stream::iter(pieces.into_iter().map(Ok));
-        let whole = first.chain(stream::unfold(relay, PlainRelay::next));
-        *response.body_mut() = ReplyBody::stream(whole);
+        let body = first.chain(stream::unfold(relay, PlainRelay::next));
+        *response.body_mut() = ReplyBody::stream(body);
         response
     }
 }
@@ -156,5 +156,5 @@
             return AnswerPrefix::Partial(pieces);
         }
     }
-    AnswerPrefix::Whole(pieces)
+    AnswerPrefix::Complete(pieces)
 }
--- a/crates/gateway/src/relay/tests.rs
+++ b/crates/gateway/src/relay/tests.rs
@@ -161,11 +161,12 @@
 fn started_answer_waits_for_the_retry_budget_until_its_deadline() {
     struct Case {
         deadline_ms: u64,
-        is_whole: bool,
+        is_complete: bool,
     }
-    for Case { deadline_ms, is_whole } in
-        [Case { deadline_ms: 5_000, is_whole: true }, Case { deadline_ms: 300, is_whole: false }]
-    {
+    for Case { deadline_ms, is_complete } in [
+        Case { deadline_ms: 5_000, is_complete: true },
+        Case { deadline_ms: 300, is_complete: false },
+    ] {
         let document = format!("{DOCUMENT}[limits]\ndeadline_ms = {deadline_ms}\n");
         let gateway = TestGateway::warmed_up(&TestSetup {
             document: &document,
@@ -179,8 +180,8 @@
         let took = gateway.context.clock.now().since(began);
         let context = format!("{deadline_ms} ms: {answer:?} after {took:?}");
         assert_eq!(head.status, StatusCode::OK, "{context}");
-        assert_eq!(answer.is_some(), is_whole, "{context}");
-        assert_eq!(gateway.client.sends.get(), if is_whole { 2 } else { 1 }, "{context}");
-        assert!(is_whole || took < Duration::from_millis(50), "{context}");
+        assert_eq!(answer.is_some(), is_complete, "{context}");
+        assert_eq!(gateway.client.sends.get(), if is_complete { 2 } else { 1 }, "{context}");
+        assert!(is_complete || took < Duration::from_millis(50), "{context}");
     }
 }
--- a/crates/gateway/src/testing.rs
+++ b/crates/gateway/src/testing.rs
@@ -94,7 +94,7 @@
     pub(crate) behavior: BackendBehavior,
     pub(crate) peers: PeerBehavior,
     /// Time from the start of the test after which another region is reachable.
-    pub(crate) offers_from: Duration,
+    pub(crate) remote_reachable_after: Duration,
     pub(crate) attempt_limit: u32,
     /// Set if there is a second engine, which always answers.
     pub(crate) has_second_engine: bool,
@@ -107,7 +107,7 @@
             has_engines: true,
             behavior: BackendBehavior::Answers,
             peers: PeerBehavior::Ends,
-            offers_from: Duration::ZERO,
+            remote_reachable_after: Duration::ZERO,
             attempt_limit: 4,
             has_second_engine: false,
         }
@@ -168,7 +168,7 @@
             has_engines,
             behavior,
             peers,
-            offers_from,
+            remote_reachable_after,
             attempt_limit,
             has_second_engine: _,
         } = *setup;
@@ -202,7 +202,7 @@
             backends,
             relay,
             directory: Rc::new(InlandDirectory {
-                from: MonotonicTime(WARM_UP + offers_from),
+                from: MonotonicTime(WARM_UP + remote_reachable_after),
                 clock: Rc::clone(&context.clock),
             }),
             claims: claims(context.clone()),
--- a/crates/gateway/src/testing/fakes.rs
+++ b/crates/gateway/src/testing/fakes.rs
@@ -261,7 +261,7 @@
     ) -> LocalFuture<'a, Result<ClientReply, ClientError>> {
         let behavior = self.next_behavior(address);
         let (mut head, ()) = Response::new(()).into_parts();
-        let cut = BodyError::Incomplete { reason: "reset".to_owned() };
+        let reset_error = BodyError::Incomplete { reason: "reset".to_owned() };
         let reply = match behavior {
             BackendBehavior::SendsHeaders(stated, pause) => {
                 return Box::pin(async move {
@@ -290,12 +290,12 @@
             }
             BackendBehavior::Answers => Ok(ClientBody::from_bytes("{}")),
             BackendBehavior::BreaksOff => {
-                Ok(ClientBody::from_stream(stream::iter([Ok(Bytes::from("{")), Err(cut)])))
+                Ok(ClientBody::from_stream(stream::iter([Ok(Bytes::from("{")), Err(reset_error)])))
             }
             BackendBehavior::Unfinished => {
                 let value = HeaderValue::from_static("text/event-stream");
                 head.headers.insert(CONTENT_TYPE, value);
-                Ok(ClientBody::from_bytes(unfinished_stream(&request)))
+                Ok(ClientBody::from_bytes(stream_without_finish_reason(&request)))
             }
             BackendBehavior::LosesConnection => {
                 Err(ClientError::Sent { address, reason: "reset".to_owned() })
@@ -305,7 +305,7 @@
     }
 }
 
-fn unfinished_stream(request: &Request<Bytes>) -> String {
+fn stream_without_finish_reason(request: &Request<Bytes>) -> String {
     let id = request.headers()[REQUEST_HEADER].to_str().unwrap();
     let choices = serde_json::json!([{"index": 0, "delta": {"content": "a"}}]);
     let event = serde_json::json!({"id": id, "token_index": 0, "choices": choices});
