--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/announce`: backend servers join, renew and leave.
+//! `POST /v1/announce`: registration, lease renewal and departure of backend servers.
 
 use {
     crate::{gateway::Gateway, refusal},
@@ -9,16 +9,16 @@
     http::{HeaderMap, Request, Response, StatusCode, header::AUTHORIZATION},
 };
 
-/// The most bytes of an announcement.
-const ANNOUNCEMENT_LIMIT: usize = 256 << 10;
+/// Maximum size of the body of an announcement.
+const ANNOUNCEMENT_LIMIT_BYTES: usize = 256 << 10;
 
 impl Gateway {
-    pub(crate) async fn announce(
+    pub(crate) async fn serve_announce(
         &self,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let (head, body) = request.into_parts();
-        let body = body.collect(ANNOUNCEMENT_LIMIT).await?;
+        let body = body.collect(ANNOUNCEMENT_LIMIT_BYTES).await?;
         let announcement = Announcement::try_from(body.as_ref()).map_err(|e| {
             ApiError::new(StatusCode::BAD_REQUEST, "invalid_announcement", e.to_string())
         })?;
@@ -28,23 +28,24 @@
         Ok(Response::new(ReplyBody::json(&reply)))
     }
 
-    /// Where documents list names or tokens for the backend servers of what this one serves, it
-    /// must have them: without that, any process that reaches a gateway could receive callers'
-    /// requests and their data.
+    /// Checks the announcer against the names and tokens that documents list for the backend
+    /// servers of the models and services that it serves. Without this check, any process that
+    /// reaches a gateway could receive callers' requests and their data.
     fn check_announcer(
         &self,
         headers: &HeaderMap,
         announcement: &Announcement,
     ) -> Result<(), ApiError> {
-        // A renewal names no profile, and a new profile may name other models: whoever could renew,
-        // change or end another's announcement without its token could take it out of service.
+        // A renewal carries no profile, and a new profile may list other models. The recorded
+        // profile is therefore checked as well: otherwise a process without the token could renew,
+        // change or end the announcement of another backend server and take it out of service.
         let record = self.backends.record(&announcement.name);
         let known = record.as_ref().and_then(|record| record.profile());
         let view = self.documents.current().ok_or_else(refusal::no_configuration)?;
         let token = announcer_token(headers);
         for profile in announcement.profile.as_ref().into_iter().chain(known) {
             for document in view.documents().filter(|document| serves(profile, document)) {
-                check_rules(document, &announcement.name, token)?;
+                check_announce_rules(document, &announcement.name, token)?;
             }
         }
         Ok(())
@@ -63,7 +64,7 @@
     model || plain
 }
 
-fn check_rules(
+fn check_announce_rules(
     document: &ServiceDocument,
     name: &BackendName,
     token: Option<TokenHash>,
@@ -74,8 +75,10 @@
     if name_ok && token_ok {
         return Ok(());
     }
-    let message =
-        format!("the document of {} does not admit {name}; list its name and token", document.name);
+    let message = format!(
+        "the document of {} does not allow {name} to announce itself; list its name and token",
+        document.name
+    );
     Err(ApiError::new(StatusCode::FORBIDDEN, "announcer_not_allowed", message))
 }
 
--- a/crates/gateway/src/work.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! What one attempt holds while it runs, and gives back when it is dropped.
+//! Resources that an attempt holds while it runs and releases on drop.
 
 use {
     futures::channel::oneshot,
@@ -9,23 +9,23 @@
     std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration},
 };
 
-/// How long a request holds a slot where none has been measured yet.
-const FIRST_HOLD: Duration = Duration::from_secs(4);
+/// Assumed holding time of a slot before the first measurement.
+const DEFAULT_HOLDING_TIME: Duration = Duration::from_secs(4);
 
-/// Weight of a new sample in the average hold.
-const HOLD_WEIGHT: f64 = 0.05;
+/// Weight of a new sample in the exponentially weighted moving average of holding times.
+const HOLDING_TIME_EWMA_WEIGHT: f64 = 0.05;
 
-/// A slot of this gateway and a count at the backend server. Dropped when the answer has ended or
-/// was given up, however that came about.
+/// An admission slot of this gateway and a dispatch count at the backend server. Dropped when the
+/// answer ends, fails or is abandoned.
 #[derive(Default)]
-pub(crate) struct WorkGuard {
+pub(crate) struct AttemptGuard {
     pub(crate) _permit: Option<AdmissionPermit>,
     pub(crate) dispatch: Option<DispatchGuard>,
-    pub(crate) cost: Option<CostMeter>,
+    pub(crate) engine_time: Option<EngineTimeMeter>,
 }
 
-impl WorkGuard {
-    /// The backend server has begun to answer.
+impl AttemptGuard {
+    /// Records that the backend server has sent the first token.
     pub(crate) fn first_token(&self) {
         if let Some(dispatch) = &self.dispatch {
             dispatch.first_token();
@@ -33,38 +33,38 @@
     }
 }
 
-/// Counts the seconds that a request occupies a backend server: the cost measure, and the average
-/// hold that the decision needs.
-pub(crate) struct CostMeter {
+/// Measures the time that a request occupies a backend server. Feeds the engine time metric and the
+/// average holding time that routing uses.
+pub(crate) struct EngineTimeMeter {
     pub(crate) metrics: Rc<MetricSet>,
     pub(crate) clock: Rc<dyn Clock>,
     pub(crate) model: ModelName,
-    pub(crate) holds: Rc<HoldTable>,
-    pub(crate) changes: Rc<ChangeSignal>,
+    pub(crate) holding_times: Rc<HoldingTimes>,
+    pub(crate) capacity_signal: Rc<CapacitySignal>,
     pub(crate) started: MonotonicTime,
 }
 
-impl Drop for CostMeter {
+impl Drop for EngineTimeMeter {
     fn drop(&mut self) {
         let time = self.clock.now().since(self.started);
         self.metrics.engine_time(&self.model, time);
-        self.holds.record(&self.model, time);
-        self.changes.notify();
+        self.holding_times.record(&self.model, time);
+        self.capacity_signal.notify();
     }
 }
 
-/// The average time a request of each model holds a slot, as an exponentially weighted mean.
+/// The average slot holding time of each model, as an exponentially weighted moving average.
 #[derive(Debug, Default)]
-pub(crate) struct HoldTable {
+pub(crate) struct HoldingTimes {
     seconds: RefCell<HashMap<ModelName, f64>>,
 }
 
-impl HoldTable {
+impl HoldingTimes {
     pub(crate) fn record(&self, model: &ModelName, time: Duration) {
         let mut table = self.seconds.borrow_mut();
         let sample = time.as_secs_f64();
         match table.get_mut(model) {
-            Some(seconds) => *seconds += HOLD_WEIGHT * (sample - *seconds),
+            Some(seconds) => *seconds += HOLDING_TIME_EWMA_WEIGHT * (sample - *seconds),
             None => {
                 table.insert(model.clone(), sample);
             }
@@ -73,28 +73,29 @@
 
     pub(crate) fn get(&self, model: &ModelName) -> Duration {
         let seconds = self.seconds.borrow().get(model).copied();
-        seconds.map_or(FIRST_HOLD, Duration::from_secs_f64)
+        seconds.map_or(DEFAULT_HOLDING_TIME, Duration::from_secs_f64)
     }
 }
 
-/// Wakes requests that wait for a slot when one may have become free.
+/// Wakes requests that wait for capacity when a slot may have become free.
 #[derive(Debug, Default)]
-pub(crate) struct ChangeSignal {
+pub(crate) struct CapacitySignal {
     waiters: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
-impl ChangeSignal {
+impl CapacitySignal {
     /// Completes at the next [`notify`](Self::notify).
-    pub(crate) async fn next(&self) {
+    pub(crate) async fn notified(&self) {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().push(sender);
         let _notified = receiver.await;
     }
 
-    /// Wakes all who wait now. Each decides anew; those for whom nothing changed wait again.
+    /// Wakes all current waiters. Each repeats its routing decision and waits again if there is
+    /// still no capacity.
     pub(crate) fn notify(&self) {
         for waiter in self.waiters.take() {
-            let _gone = waiter.send(());
+            let _disconnected = waiter.send(());
         }
     }
 }
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -1,13 +1,13 @@
-//! Completions: answers whole and streamed.
+//! Completion requests, with buffered and streamed answers.
 
 use {
     crate::{
         answer::{AnswerRecord, reply},
-        attempt::{AnswerPlace, AttemptAnswer},
+        attempt::{AnswerSource, AttemptAnswer},
         call::CallPlan,
         chat::AnswerChunk,
         gateway::Gateway,
-        place::AttemptHistory,
+        placement::AttemptHistory,
         relay::EventRelay,
     },
     bytes::Bytes,
@@ -17,52 +17,53 @@
     http::{Request, Response, header::CONTENT_TYPE},
 };
 
-/// The most bytes of an answer that is not streamed.
-const WHOLE_ANSWER_LIMIT: usize = 16 << 20;
+/// Maximum size of an answer that is not streamed.
+const BUFFERED_ANSWER_LIMIT_BYTES: usize = 16 << 20;
 
 impl Gateway {
-    /// Answers `POST /v1/chat/completions` and `POST /v1/completions`.
-    pub(crate) async fn complete(
+    /// Serves `POST /v1/chat/completions` and `POST /v1/completions`.
+    pub(crate) async fn serve_completion(
         &self,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let plan = self.plan_completion(request).await?;
-        let answer = async |history: &mut AttemptHistory| self.first_answer(&plan, history).await;
+        let answer = async |history: &mut AttemptHistory| self.begin_answer(&plan, history).await;
         let outcome = self.answer_claimed(&plan, answer).await;
-        plan.span.set_refused(&outcome);
+        plan.span.set_error_outcome(&outcome);
         outcome
     }
 
-    /// Attempts until an answer has begun well enough to be sent: an error of the status line can
-    /// be told only before the first byte.
-    async fn first_answer(
+    /// Attempts the request until an answer is ready to be sent. Failures are handled before the
+    /// first byte because an error status cannot be sent after it.
+    async fn begin_answer(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
     ) -> Result<Response<ReplyBody>, ApiError> {
         loop {
-            let answer = self.place(plan, history).await?;
+            let answer = self.run_attempts(plan, history).await?;
             if is_event_stream(&answer) {
                 return EventRelay::start(self.clone(), plan.clone(), history, answer).await;
             }
-            let place = answer.place();
-            match self.whole_answer(plan, history, answer).await {
+            let source = answer.source();
+            match self.buffered_answer(plan, history, answer).await {
                 Some(response) => return Ok(response),
-                None => self.lost_answer(plan, &place, history)?,
+                None => self.handle_lost_answer(plan, &source, history)?,
             }
         }
     }
 
-    /// Reads an answer to its end and checks that it is this request's. `None`: it is lost.
-    async fn whole_answer(
+    /// Reads a complete answer and checks that it belongs to this request. Returns `None` if the
+    /// answer is lost.
+    async fn buffered_answer(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
         mut answer: AttemptAnswer,
     ) -> Option<Response<ReplyBody>> {
-        let body = collect(&mut answer.body, WHOLE_ANSWER_LIMIT).await?;
-        answer.work.first_token();
-        if answer.status.is_success() && !self.is_own_answer(plan, &body) {
+        let body = collect_body(&mut answer.body, BUFFERED_ANSWER_LIMIT_BYTES).await?;
+        answer.guard.first_token();
+        if answer.status.is_success() && !self.answer_matches_request(plan, &body) {
             return None;
         }
         if let Some(mut record) =
@@ -71,12 +72,12 @@
             record.push(&body);
             record.store().await;
         }
-        self.note_first_token(plan);
-        plan.span.set(RequestOutcome::Answered);
+        self.record_first_token(plan);
+        plan.span.set_outcome(RequestOutcome::Answered);
         Some(reply(plan, &answer, ReplyBody::full(body)))
     }
 
-    fn is_own_answer(&self, plan: &CallPlan, body: &[u8]) -> bool {
+    fn answer_matches_request(&self, plan: &CallPlan, body: &[u8]) -> bool {
         let Ok(chunk) = serde_json::from_slice::<AnswerChunk<'_>>(body) else {
             self.emit(plan, "answer.malformed", |e| e);
             return false;
@@ -84,32 +85,33 @@
         self.check_answer_id(plan, &chunk)
     }
 
-    /// Whether the answer names this request. Engines take the id of their answer from the request
-    /// that the gateway gave them, some with a prefix of their own.
+    /// Checks that the id of the answer ends in the id of this request. Inference engines derive
+    /// the id of their answer from the id that the gateway sent, some with a prefix of their own.
     pub(crate) fn check_answer_id(&self, plan: &CallPlan, chunk: &AnswerChunk<'_>) -> bool {
-        let own = plan.id.ends(&chunk.id);
-        if !own {
+        let matches = plan.id.ends(&chunk.id);
+        if !matches {
             self.metrics.breached(Promise::OwnAnswer);
             self.emit(plan, "answer.swapped", |e| e);
         }
-        own
+        matches
     }
 
-    /// Notes an answer that began and was lost, and says whether the loop may go on.
-    pub(crate) fn lost_answer(
+    /// Records the loss of an answer that had begun. Returns an error if no further attempt is
+    /// allowed.
+    pub(crate) fn handle_lost_answer(
         &self,
         plan: &CallPlan,
-        place: &AnswerPlace,
+        source: &AnswerSource,
         history: &mut AttemptHistory,
     ) -> Result<(), ApiError> {
-        if place.region == self.config.region {
-            self.backends.note_failure(&place.backend);
+        if source.region == self.config.region {
+            self.backends.note_failure(&source.backend);
         }
-        self.emit(plan, "answer.lost", |e| e.field("backend", &place.backend));
+        self.emit(plan, "answer.lost", |e| e.field("backend", &source.backend));
         history.may_have_run = true;
-        match self.may_try_again(plan, history) {
+        match self.may_retry(plan, history) {
             true => Ok(()),
-            false => Err(self.give_up(plan, history)),
+            false => Err(self.final_error(plan, history)),
         }
     }
 }
@@ -120,17 +122,17 @@
     answer.status.is_success() && value.is_some_and(|v| v.starts_with(b"text/event-stream"))
 }
 
-/// The whole body, or `None` where it breaks off or is longer than `limit`.
-pub(crate) async fn collect(body: &mut LocalStream, limit: usize) -> Option<Bytes> {
-    let mut whole = bytes::BytesMut::new();
+/// Reads the complete body. Returns `None` if it breaks off or exceeds `limit` bytes.
+pub(crate) async fn collect_body(body: &mut LocalStream, limit: usize) -> Option<Bytes> {
+    let mut collected = bytes::BytesMut::new();
     while let Some(piece) = body.next().await {
         let piece = piece.ok()?;
-        if whole.len() + piece.len() > limit {
+        if collected.len() + piece.len() > limit {
             return None;
         }
-        whole.extend_from_slice(&piece);
+        collected.extend_from_slice(&piece);
     }
-    Some(whole.freeze())
+    Some(collected.freeze())
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/forward_server.rs
+++ b/crates/gateway/src/forward_server.rs
@@ -1,12 +1,13 @@
-//! The receiving end of a forward: a request of another region's caller, run here or not at all.
+//! Server side of forwarding: runs requests from gateways of other regions and never forwards them
+//! again.
 
 use {
     crate::{
         attempt::AttemptAnswer,
-        call::{CallContent, CallPlan, RepeatGuard},
+        call::{CallContent, CallPlan, Idempotency},
         forward::{ForwardReply, ForwardRequest},
         gateway::Gateway,
-        place::AttemptHistory,
+        placement::AttemptHistory,
         span::RequestSpan,
     },
     bytes::Bytes,
@@ -58,13 +59,13 @@
         };
         self.emit(&plan, "forward.received", |e| e.optional("origin", plan.origin.as_ref()));
         let mut history = AttemptHistory::default();
-        match self.place(&plan, &mut history).await {
+        match self.run_attempts(&plan, &mut history).await {
             Ok(answer) => self.relay_forwarded(&plan, answer, reply).await,
             Err(error) => send_head(&mut reply, &refusal_reply(&error)).await,
         }
     }
 
-    /// Passes on an answer piece by piece; a break of it breaks the reply.
+    /// Relays an answer piece by piece. If the answer breaks off, the reply fails too.
     async fn relay_forwarded(
         &self,
         plan: &CallPlan,
@@ -82,11 +83,11 @@
         let mut first = true;
         while let Some(piece) = answer.body.next().await {
             if std::mem::take(&mut first) {
-                answer.work.first_token();
+                answer.guard.first_token();
             }
             if piece.is_err() {
-                // The gateway that resumes the answer sends it back here, and must not meet the same
-                // backend server first.
+                // The sender resumes the answer with a new forward to this region. Recording the
+                // failure keeps that attempt from choosing the same backend server first.
                 self.backends.note_failure(&answer.backend);
             }
             reply.send(piece.map_err(PeerFault::unavailable)?).await?;
@@ -94,8 +95,8 @@
         Ok(())
     }
 
-    /// Tells operators which gateway is about to break a promise.
-    fn note_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
+    /// Reports to operators which gateway sent a request that would violate `promise`.
+    fn report_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
         self.metrics.breached(promise);
         self.events.emit(
             EventDraft::new("forward.refused")
@@ -107,22 +108,24 @@
         );
     }
 
-    /// Checks a forwarded request as if its sender could be wrong: an older configuration there
-    /// must not bring data here, and no request may travel in a loop.
+    /// Validates a forwarded request without trusting its sender: an outdated configuration there
+    /// must not move data to this region, and a request must not loop between regions.
     fn forwarded_plan(
         &self,
         from: &PeerIdentity,
         request: ForwardRequest,
     ) -> Result<CallPlan, &'static str> {
         if check_forward(Some(&request.origin), &from.region, &self.config.region).is_err() {
-            self.note_breach(Promise::NoLoop, from, &request);
-            return Err("the request has travelled between regions before");
+            self.report_breach(Promise::NoLoop, from, &request);
+            return Err("the request has already been forwarded between regions");
         }
         if self.is_draining() {
             return Err("the gateway is shutting down");
         }
-        let memory =
-            self.memory.reserve(request.body.len()).ok_or("the gateway's memory is used up")?;
+        let memory = self
+            .memory
+            .reserve(request.body.len())
+            .ok_or("the gateway has no memory left for request bodies")?;
         let view = self.documents.current().ok_or("the gateway has no configuration")?;
         let document = view.document(&request.service).ok_or("the service is not known here")?;
         let rules = document
@@ -133,14 +136,14 @@
         let allowed = document.regions_of(&request.target).unwrap_or_default();
         let home_allows = rules.home.as_ref().is_none_or(|home| *home == self.config.region);
         if !allowed.contains(&self.config.region) || !home_allows {
-            self.note_breach(Promise::Residency, from, &request);
+            self.report_breach(Promise::Residency, from, &request);
             return Err("the service's document does not allow this region");
         }
         let received = self.context.clock.now();
-        let span = RequestSpan::elsewhere(request.id, &request.service, received);
-        let guard = match request.repeatable {
-            true => RepeatGuard::Repeatable,
-            false => RepeatGuard::Once,
+        let span = RequestSpan::for_forwarded(request.id, &request.service, received);
+        let idempotency = match request.repeatable {
+            true => Idempotency::Idempotent,
+            false => Idempotency::NonIdempotent,
         };
         Ok(CallPlan {
             id: request.id,
@@ -152,7 +155,7 @@
             target: request.target,
             content: CallContent {
                 method: Method::try_from(request.method.as_str())
-                    .map_err(|_| "the method is not one")?,
+                    .map_err(|_| "the request method is not valid")?,
                 path: request.path,
                 headers: request.headers,
                 body: Bytes::from(request.body),
@@ -160,7 +163,7 @@
             },
             prompt: PromptBlocks { tokens: request.prompt_tokens, blocks: request.prompt_blocks },
             max_tokens: request.max_tokens,
-            guard,
+            idempotency,
             received,
             deadline: received + Duration::from_millis(request.remaining_millis),
             origin: Some(request.origin),
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,13 +1,13 @@
-//! Plain services: one request, one answer, passed through.
+//! Plain services: requests and answers are passed through without interpretation.
 
 use {
     crate::{
         answer::{AnswerRecord, reply},
         attempt::AttemptAnswer,
+        attempt_guard::AttemptGuard,
         call::CallPlan,
         gateway::Gateway,
-        place::AttemptHistory,
-        work::WorkGuard,
+        placement::AttemptHistory,
     },
     bytes::Bytes,
     futures::{StreamExt, stream},
@@ -16,30 +16,30 @@
     http::{Request, Response},
 };
 
-/// Bytes of an answer that are read before its head goes out: an answer that breaks off within
-/// them can still be repeated or told as an error.
-const HELD_BYTES: usize = 256 << 10;
+/// Bytes of an answer that are buffered before its head is sent. An answer that breaks off within
+/// them can still be retried or reported with an error status.
+const ANSWER_PREFIX_BYTES: usize = 256 << 10;
 
-/// The beginning of an answer.
-enum HeldAnswer {
-    /// All of it.
-    Whole(Vec<Bytes>),
-    /// More will follow.
-    Begun(Vec<Bytes>),
-    /// It broke off.
+/// The buffered start of an answer.
+enum AnswerPrefix {
+    /// The complete answer.
+    Complete(Vec<Bytes>),
+    /// The start of an answer that continues.
+    Partial(Vec<Bytes>),
+    /// The answer broke off.
     Lost,
 }
 
 impl Gateway {
-    /// Answers `/services/{name}/...`.
-    pub(crate) async fn plain(
+    /// Serves `/services/{name}/...`.
+    pub(crate) async fn serve_plain(
         &self,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
         let plan = self.plan_plain(request).await?;
         let answer = async |history: &mut AttemptHistory| self.plain_answer(&plan, history).await;
         let outcome = self.answer_claimed(&plan, answer).await;
-        plan.span.set_refused(&outcome);
+        plan.span.set_error_outcome(&outcome);
         outcome
     }
 
@@ -49,22 +49,22 @@
         history: &mut AttemptHistory,
     ) -> Result<Response<ReplyBody>, ApiError> {
         loop {
-            let mut answer = self.place(plan, history).await?;
-            let held = hold(&mut answer.body).await;
-            answer.work.first_token();
-            match held {
-                HeldAnswer::Lost => self.lost_answer(plan, &answer.place(), history)?,
-                HeldAnswer::Whole(pieces) => {
-                    return Ok(self.whole_plain(plan, history, answer, pieces).await);
+            let mut answer = self.run_attempts(plan, history).await?;
+            let prefix = read_prefix(&mut answer.body).await;
+            answer.guard.first_token();
+            match prefix {
+                AnswerPrefix::Lost => self.handle_lost_answer(plan, &answer.source(), history)?,
+                AnswerPrefix::Complete(pieces) => {
+                    return Ok(self.buffered_plain_reply(plan, history, answer, pieces).await);
                 }
-                HeldAnswer::Begun(pieces) => {
-                    return Ok(self.long_plain(plan, history, answer, pieces));
+                AnswerPrefix::Partial(pieces) => {
+                    return Ok(self.streamed_plain_reply(plan, history, answer, pieces));
                 }
             }
         }
     }
 
-    async fn whole_plain(
+    async fn buffered_plain_reply(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
@@ -77,14 +77,15 @@
             pieces.iter().for_each(|piece| record.push(piece));
             record.store().await;
         }
-        self.note_first_token(plan);
-        plan.span.set(RequestOutcome::Answered);
+        self.record_first_token(plan);
+        plan.span.set_outcome(RequestOutcome::Answered);
         reply(plan, &answer, ReplyBody::full(pieces.concat()))
     }
 
-    /// Passes on the pieces read and whatever follows. The head promises no length, so only the
-    /// terminal chunk makes it whole, and that is sent only after the service's own end.
-    fn long_plain(
+    /// Relays the buffered pieces and the rest of the answer. The head states no length, so the
+    /// caller takes the answer as complete only at the terminal chunk, which is sent only after the
+    /// service has ended its answer.
+    fn streamed_plain_reply(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
@@ -96,22 +97,22 @@
         let relay = PlainRelay {
             plan: plan.clone(),
             rest: std::mem::replace(&mut answer.body, Box::pin(stream::empty())),
-            _work: answer.work,
+            _guard: answer.guard,
             record,
             ended: false,
         };
         let first = stream::iter(pieces.into_iter().map(Ok));
-        let whole = first.chain(stream::unfold(relay, PlainRelay::next));
-        *response.body_mut() = ReplyBody::stream(whole);
+        let body = first.chain(stream::unfold(relay, PlainRelay::next));
+        *response.body_mut() = ReplyBody::stream(body);
         response
     }
 }
 
-/// Passes on a long answer of a plain service.
+/// Relays a long answer of a plain service.
 struct PlainRelay {
     plan: CallPlan,
     rest: LocalStream,
-    _work: WorkGuard,
+    _guard: AttemptGuard,
     record: Option<AnswerRecord>,
     ended: bool,
 }
@@ -128,9 +129,9 @@
                 Some((Err(error), self))
             }
             None => {
-                // A long answer is not kept; that it ran is.
+                // A long answer is not stored; only the fact that the request ran is recorded.
                 if let Some(record) = self.record.take() {
-                    record.store_unkept().await;
+                    record.store_outcome_only().await;
                 }
                 self.end(RequestOutcome::Answered);
                 None
@@ -140,20 +141,20 @@
 
     fn end(&mut self, outcome: RequestOutcome) {
         self.ended = true;
-        self.plan.span.set(outcome);
+        self.plan.span.set_outcome(outcome);
     }
 }
 
-async fn hold(body: &mut LocalStream) -> HeldAnswer {
+async fn read_prefix(body: &mut LocalStream) -> AnswerPrefix {
     let mut pieces = Vec::new();
     let mut length = 0;
     while let Some(piece) = body.next().await {
-        let Ok(piece) = piece else { return HeldAnswer::Lost };
+        let Ok(piece) = piece else { return AnswerPrefix::Lost };
         length += piece.len();
         pieces.push(piece);
-        if length > HELD_BYTES {
-            return HeldAnswer::Begun(pieces);
+        if length > ANSWER_PREFIX_BYTES {
+            return AnswerPrefix::Partial(pieces);
         }
     }
-    HeldAnswer::Whole(pieces)
+    AnswerPrefix::Complete(pieces)
 }
--- a/crates/gateway/src/span.rs
+++ b/crates/gateway/src/span.rs
@@ -1,4 +1,4 @@
-//! The account of one caller's request: begun once, ended once, however it ends.
+//! The lifecycle record of a caller's request: started once and ended once, on every path.
 
 use {
     crate::{call::CallPlan, gateway::GatewayShared},
@@ -10,25 +10,24 @@
     std::{cell::Cell, fmt, rc::Rc},
 };
 
-/// Counts a request as open until it is dropped, then records how it ended. Dropped without an
-/// outcome, as when a caller hangs up and the task with everything in it goes, it counts as
-/// cancelled.
+/// Counts a request as open until dropped, then records its outcome. A request that is dropped
+/// without an outcome, as after the caller disconnects, counts as cancelled.
 pub(crate) struct RequestSpan {
     id: RequestId,
     service: ServiceName,
     started: MonotonicTime,
     outcome: Cell<Option<RequestOutcome>>,
-    account: Option<SpanAccount>,
+    recorder: Option<SpanRecorder>,
 }
 
-struct SpanAccount {
+struct SpanRecorder {
     clock: Rc<dyn Clock>,
     events: Rc<dyn EventSink>,
     metrics: Rc<MetricSet>,
 }
 
 impl RequestSpan {
-    /// Begins the account of a caller's request.
+    /// Starts the record of a caller's request.
     pub(crate) fn begin(
         gateway: &GatewayShared,
         id: RequestId,
@@ -45,48 +44,55 @@
                 .field("service", service)
                 .field("workspace", workspace),
         );
-        let account = SpanAccount {
+        let recorder = SpanRecorder {
             clock: Rc::clone(&gateway.context.clock),
             events: Rc::clone(&gateway.events),
             metrics: Rc::clone(&gateway.metrics),
         };
         let (service, outcome) = (service.clone(), Cell::new(None));
-        Rc::new(Self { id, service, started, outcome, account: Some(account) })
+        Rc::new(Self { id, service, started, outcome, recorder: Some(recorder) })
     }
 
-    /// The span of a forwarded request, whose account is kept where its caller is.
-    pub(crate) fn elsewhere(id: RequestId, service: &ServiceName, now: MonotonicTime) -> Rc<Self> {
+    /// Creates the span of a forwarded request, which records nothing: the gateway that received
+    /// the request from the caller does.
+    pub(crate) fn for_forwarded(
+        id: RequestId,
+        service: &ServiceName,
+        now: MonotonicTime,
+    ) -> Rc<Self> {
         let (service, outcome) = (service.clone(), Cell::new(None));
-        Rc::new(Self { id, service, started: now, outcome, account: None })
+        Rc::new(Self { id, service, started: now, outcome, recorder: None })
     }
 
-    /// States how the request ended.
-    pub(crate) fn set(&self, outcome: RequestOutcome) {
+    /// Sets the outcome of the request.
+    pub(crate) fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(Some(outcome));
     }
 
-    /// States how a request ended that never got to an answer of its own; an answer states its
-    /// end by itself, when its last byte is out.
-    pub(crate) fn set_refused(&self, outcome: &Result<Response<ReplyBody>, ApiError>) {
+    /// Sets the outcome of a request that failed before an answer began. The outcome of an answer
+    /// is set when its last byte is sent.
+    pub(crate) fn set_error_outcome(&self, outcome: &Result<Response<ReplyBody>, ApiError>) {
         match outcome {
             Ok(_) => {}
-            Err(error) if error.run == RunState::NotRun => self.set(RequestOutcome::Refused),
-            Err(_) => self.set(RequestOutcome::Failed),
+            Err(error) if error.run == RunState::NotRun => {
+                self.set_outcome(RequestOutcome::Refused)
+            }
+            Err(_) => self.set_outcome(RequestOutcome::Failed),
         }
     }
 }
 
 impl Drop for RequestSpan {
     fn drop(&mut self) {
-        let Some(account) = &self.account else { return };
+        let Some(recorder) = &self.recorder else { return };
         let outcome = self.outcome.get().unwrap_or(RequestOutcome::Cancelled);
-        account.metrics.open_requests().dec();
-        account.metrics.request_ended(&self.service, outcome);
-        account.events.emit(
+        recorder.metrics.open_requests().dec();
+        recorder.metrics.request_ended(&self.service, outcome);
+        recorder.events.emit(
             EventDraft::new("request.ended")
                 .field("request", self.id)
                 .field("outcome", outcome.label())
-                .millis("ms", account.clock.now().since(self.started)),
+                .millis("ms", recorder.clock.now().since(self.started)),
         );
     }
 }
@@ -98,8 +104,8 @@
 }
 
 impl GatewayShared {
-    /// Notes the time to the first token.
-    pub(crate) fn note_first_token(&self, plan: &CallPlan) {
+    /// Records the time to the first token.
+    pub(crate) fn record_first_token(&self, plan: &CallPlan) {
         let time = self.context.clock.now().since(plan.received);
         self.metrics.first_token(&self.queue_name(&plan.target), time);
     }
