--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -11,14 +11,14 @@
     /// Retries for each first attempt. Default 0.1.
     pub ratio: f64,
     /// Retries in a second that are allowed whatever the traffic. Default 1.
-    pub floor_rate: f64,
+    pub min_rate: f64,
     /// The most retries that may be saved up. Default 10.
     pub burst: f64,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
-        Self { ratio: 0.1, floor_rate: 1.0, burst: 10.0 }
+        Self { ratio: 0.1, min_rate: 1.0, burst: 10.0 }
     }
 }
 
@@ -47,7 +47,7 @@
     }
 
     /// Notes a first attempt.
-    pub fn first_attempt(&self, now: MonotonicTime) {
+    pub fn record_first_attempt(&self, now: MonotonicTime) {
         self.add(now, self.settings.ratio);
     }
 
@@ -63,17 +63,17 @@
     }
 
     /// Time until the next retry is allowed if no request comes.
-    pub fn pause(&self, now: MonotonicTime) -> Duration {
+    pub fn retry_after(&self, now: MonotonicTime) -> Duration {
         self.add(now, 0.0);
         let missing = (1.0 - self.state.borrow().credit).max(0.0);
-        Duration::from_secs_f64((missing / self.settings.floor_rate.max(1e-3)).min(60.0))
+        Duration::from_secs_f64((missing / self.settings.min_rate.max(1e-3)).min(60.0))
     }
 
     fn add(&self, now: MonotonicTime, credit: f64) {
         let mut state = self.state.borrow_mut();
         let elapsed = now.since(state.last).as_secs_f64();
         state.last = now.max(state.last);
-        let sum = state.credit + credit + elapsed * self.settings.floor_rate;
+        let sum = state.credit + credit + elapsed * self.settings.min_rate;
         state.credit = sum.min(self.settings.burst);
     }
 }
--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,7 +1,7 @@
 //! The waiting requests of one workspace at one priority.
 
 use {
-    crate::{AdmissionPermit, AdmissionPriority, AdmissionRefusal, AdmissionTicket},
+    crate::{AdmissionPermit, AdmissionPriority, AdmissionRefusal, AdmissionRequest},
     futures::channel::oneshot,
     gullglade_units::{MonotonicTime, WorkspaceName},
     std::collections::BTreeMap,
@@ -81,11 +81,11 @@
 
 impl Flow {
     /// An idle flow that may start at once.
-    pub(crate) fn new(ticket: &AdmissionTicket, start: u64) -> Self {
+    pub(crate) fn new(request: &AdmissionRequest, start: u64) -> Self {
         Self {
-            workspace: ticket.workspace.clone(),
-            priority: ticket.priority,
-            share: ticket.checked_share(),
+            workspace: request.workspace.clone(),
+            priority: request.priority,
+            share: request.checked_share(),
             running: 0,
             demand: DecayedSum::default(),
             next_start: MonotonicTime::default(),
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -10,9 +10,9 @@
 mod flow;
 mod pool;
 mod queue;
-mod ticket;
+mod request;
 
 pub use budget::{RetryBudget, RetrySettings};
 pub use pool::{PoolCounts, PoolLimits};
 pub use queue::{AdmissionPermit, AdmissionQueue, AdmissionSettings};
-pub use ticket::{AdmissionPriority, AdmissionRefusal, AdmissionTicket};
+pub use request::{AdmissionPriority, AdmissionRefusal, AdmissionRequest};
--- a/crates/admission/src/pool.rs
+++ b/crates/admission/src/pool.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        AdmissionPriority, AdmissionTicket,
+        AdmissionPriority, AdmissionRequest,
         flow::{DecayedSum, Flow, Waiter, WaiterKey, WaiterSender},
     },
     gullglade_units::{MonotonicTime, WorkspaceName},
@@ -40,11 +40,11 @@
 /// A flow's number within its pool.
 pub(crate) type FlowId = u64;
 
-/// Counts of one pool since its start. Always `entered = granted + refused + cancelled + waiting`.
+/// Counts of one pool since its start. Always `arrived = granted + refused + cancelled + waiting`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolCounts {
     /// Requests that came.
-    pub entered: u64,
+    pub arrived: u64,
     /// Requests that got a permit.
     pub granted: u64,
     /// Requests refused: not run.
@@ -176,24 +176,24 @@
 
     /// Notes that a request has come, whatever becomes of it: a workspace whose requests are refused asks
     /// for as much as before.
-    pub(crate) fn note_demand(&mut self, ticket: &AdmissionTicket, now: MonotonicTime) {
-        let id = self.flow_id(ticket);
+    pub(crate) fn note_demand(&mut self, request: &AdmissionRequest, now: MonotonicTime) {
+        let id = self.flow_id(request);
         self.demand.add(now, 1.0);
         let Some(flow) = self.flows.get_mut(&id) else { return };
         flow.demand.add(now, 1.0);
-        self.known_shares += ticket.checked_share() - flow.share;
-        flow.share = ticket.checked_share();
+        self.known_shares += request.checked_share() - flow.share;
+        flow.share = request.checked_share();
     }
 
     /// Puts a request into the queue.
     pub(crate) fn push(
         &mut self,
-        ticket: &AdmissionTicket,
+        request: &AdmissionRequest,
         sender: WaiterSender,
         now: MonotonicTime,
     ) -> WaiterPlace {
-        let id = self.flow_id(ticket);
-        let deadline = ticket.deadline.unwrap_or(MonotonicTime(Duration::MAX));
+        let id = self.flow_id(request);
+        let deadline = request.deadline.unwrap_or(MonotonicTime(Duration::MAX));
         let key = WaiterKey { deadline, sequence: self.next_sequence };
         self.next_sequence += 1;
         let virtual_now = self.virtual_now;
@@ -201,9 +201,9 @@
             if flow.waiters.is_empty() {
                 flow.start = flow.start.max(virtual_now);
             }
-            flow.waiters.insert(key, Waiter { charge: charge(ticket), sender });
+            flow.waiters.insert(key, Waiter { charge: charge(request), sender });
         });
-        self.counts.entered += 1;
+        self.counts.arrived += 1;
         self.counts.waiting += 1;
         WaiterPlace { flow: id, key }
     }
@@ -277,16 +277,16 @@
         Some((workspace, waiter))
     }
 
-    fn flow_id(&mut self, ticket: &AdmissionTicket) -> FlowId {
-        let key = (ticket.priority, ticket.workspace.clone());
+    fn flow_id(&mut self, request: &AdmissionRequest) -> FlowId {
+        let key = (request.priority, request.workspace.clone());
         if let Some(id) = self.ids.get(&key) {
             return *id;
         }
         self.forget_idle();
         let id = self.next_flow;
         self.next_flow += 1;
-        self.flows.insert(id, Flow::new(ticket, self.virtual_now));
-        self.known_shares += ticket.checked_share();
+        self.flows.insert(id, Flow::new(request, self.virtual_now));
+        self.known_shares += request.checked_share();
         self.ids.insert(key, id);
         id
     }
@@ -365,6 +365,6 @@
 /// The longest wait that is ever stated, seconds.
 const MAX_WAIT: f64 = 3_600.0;
 
-fn charge(ticket: &AdmissionTicket) -> u64 {
-    (f64::from(ticket.cost.max(1)) * CHARGE_SCALE / ticket.checked_share()) as u64
+fn charge(request: &AdmissionRequest) -> u64 {
+    (f64::from(request.cost.max(1)) * CHARGE_SCALE / request.checked_share()) as u64
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        AdmissionPriority, AdmissionRefusal, AdmissionTicket, PoolCounts, PoolLimits,
+        AdmissionPriority, AdmissionRefusal, AdmissionRequest, PoolCounts, PoolLimits,
         pool::{FlowId, Pool, WaiterPlace},
     },
     futures::{
@@ -21,12 +21,16 @@
     /// Models that may have a queue; a request for one more is refused. Default 1,024.
     pub model_limit: usize,
     /// How long a permit is held, until this is measured. Default 4 s.
-    pub first_hold: Duration,
+    pub initial_holding_time: Duration,
 }
 
 impl Default for AdmissionSettings {
     fn default() -> Self {
-        Self { waiting_limit: 4_096, model_limit: 1_024, first_hold: Duration::from_secs(4) }
+        Self {
+            waiting_limit: 4_096,
+            model_limit: 1_024,
+            initial_holding_time: Duration::from_secs(4),
+        }
     }
 }
 
@@ -95,12 +99,12 @@
 
     /// Waits for a slot. A refusal that can be known at once is answered at once. Dropping the future
     /// gives the place in the queue back, dropping the permit gives the slot back.
-    pub fn enter(
+    pub fn acquire(
         &self,
-        ticket: AdmissionTicket,
+        request: AdmissionRequest,
     ) -> LocalFuture<'static, Result<AdmissionPermit, AdmissionRefusal>> {
         let shared = self.shared.clone();
-        Box::pin(async move { shared.enter(ticket).await })
+        Box::pin(async move { shared.acquire(request).await })
     }
 }
 
@@ -110,51 +114,52 @@
         if let Some(pool) = pools.get_mut(model) {
             return work(pool);
         }
-        let pool = pools.entry(model.clone()).or_insert(Pool::new(self.settings.first_hold));
+        let pool =
+            pools.entry(model.clone()).or_insert(Pool::new(self.settings.initial_holding_time));
         work(pool)
     }
 
-    async fn enter(
+    async fn acquire(
         self: Rc<Self>,
-        ticket: AdmissionTicket,
+        request: AdmissionRequest,
     ) -> Result<AdmissionPermit, AdmissionRefusal> {
-        self.check_model(&ticket)?;
+        self.check_model(&request)?;
         let now = self.context.clock.now();
-        self.with_pool(&ticket.model, |pool| pool.note_demand(&ticket, now));
-        self.check_deadline(&ticket, now)?;
+        self.with_pool(&request.model, |pool| pool.note_demand(&request, now));
+        self.check_deadline(&request, now)?;
         let (sender, receiver) = oneshot::channel();
-        let place = self.with_pool(&ticket.model, |pool| pool.push(&ticket, sender, now));
-        let guard = PlaceGuard { shared: self.clone(), model: ticket.model.clone(), place };
-        self.shorten(&ticket.model);
-        self.grant(&ticket.model);
-        guard.await_turn(receiver, ticket.deadline.map(|deadline| deadline.since(now))).await
+        let place = self.with_pool(&request.model, |pool| pool.push(&request, sender, now));
+        let guard = PlaceGuard { shared: self.clone(), model: request.model.clone(), place };
+        self.shorten(&request.model);
+        self.grant(&request.model);
+        guard.await_turn(receiver, request.deadline.map(|deadline| deadline.since(now))).await
     }
 
-    fn check_model(&self, ticket: &AdmissionTicket) -> Result<(), AdmissionRefusal> {
+    fn check_model(&self, request: &AdmissionRequest) -> Result<(), AdmissionRefusal> {
         let pools = self.pools.borrow();
-        if pools.contains_key(&ticket.model) || pools.len() < self.settings.model_limit {
+        if pools.contains_key(&request.model) || pools.len() < self.settings.model_limit {
             return Ok(());
         }
-        Err(queue_full(&ticket.model, ticket.workspace.clone(), MIN_RETRY_AFTER))
+        Err(queue_full(&request.model, request.workspace.clone(), MIN_RETRY_AFTER))
     }
 
     /// Refuses what would start after its deadline. Held back until the deadline it would still be
     /// refused, but its caller could do nothing with the answer any more.
     fn check_deadline(
         &self,
-        ticket: &AdmissionTicket,
+        request: &AdmissionRequest,
         now: MonotonicTime,
     ) -> Result<(), AdmissionRefusal> {
-        let Some(deadline) = ticket.deadline else { return Ok(()) };
-        self.with_pool(&ticket.model, |pool| {
-            let wait = pool.expected_wait(&ticket.workspace, ticket.priority, now);
+        let Some(deadline) = request.deadline else { return Ok(()) };
+        self.with_pool(&request.model, |pool| {
+            let wait = pool.expected_wait(&request.workspace, request.priority, now);
             if now + wait <= deadline {
                 return Ok(());
             }
-            pool.counts.entered += 1;
+            pool.counts.arrived += 1;
             pool.counts.refused += 1;
             let retry_after = (now + wait).since(deadline).max(MIN_RETRY_AFTER);
-            Err(AdmissionRefusal::TooLate { model: ticket.model.clone(), retry_after })
+            Err(AdmissionRefusal::TooLate { model: request.model.clone(), retry_after })
         })
     }
 
--- a/crates/admission/src/ticket.rs
+++ b/crates/admission/src/request.rs
@@ -20,7 +20,7 @@
 
 /// One request at the door.
 #[derive(Clone, Debug)]
-pub struct AdmissionTicket {
+pub struct AdmissionRequest {
     /// The workspace it counts for.
     pub workspace: WorkspaceName,
     /// The workspace's share against the others'; 1 where the document says nothing.
@@ -38,7 +38,7 @@
 /// The least share, so that what a request is charged stays finite.
 const MIN_SHARE: f64 = 1e-3;
 
-impl AdmissionTicket {
+impl AdmissionRequest {
     /// The share, within its bounds.
     pub(crate) fn checked_share(&self) -> f64 {
         if self.share.is_finite() { self.share.max(MIN_SHARE) } else { 1.0 }
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -4,12 +4,12 @@
 
 use {
     gullglade_admission::{
-        AdmissionPermit, AdmissionPriority, AdmissionQueue, AdmissionRefusal, AdmissionSettings,
-        AdmissionTicket, PoolLimits,
+        AdmissionPermit, AdmissionPriority, AdmissionQueue, AdmissionRefusal, AdmissionRequest,
+        AdmissionSettings, PoolLimits,
     },
     quickcheck::quickcheck,
     std::{cell::RefCell, rc::Rc, time::Duration},
-    support::{Bench, model, ticket},
+    support::{Bench, model, request},
 };
 
 type Outcome = Rc<RefCell<Option<Result<AdmissionPermit, AdmissionRefusal>>>>;
@@ -32,7 +32,7 @@
 struct OrderCase {
     name: &'static str,
     /// Workspace, priority, seconds to the deadline.
-    tickets: Vec<(&'static str, AdmissionPriority, u64)>,
+    requests: Vec<(&'static str, AdmissionPriority, u64)>,
     /// Indexes in the order of their start.
     expected: Vec<usize>,
 }
@@ -43,12 +43,12 @@
     let cases = [
         OrderCase {
             name: "the earliest deadline of one workspace",
-            tickets: vec![("a", Normal, 90), ("a", Normal, 60), ("a", Normal, 80)],
+            requests: vec![("a", Normal, 90), ("a", Normal, 60), ("a", Normal, 80)],
             expected: vec![1, 2, 0],
         },
         OrderCase {
             name: "a late workspace has its turn before a long queue",
-            tickets: vec![
+            requests: vec![
                 ("a", Normal, 60),
                 ("a", Normal, 61),
                 ("a", Normal, 62),
@@ -58,7 +58,7 @@
         },
         OrderCase {
             name: "priority goes before shares",
-            tickets: vec![("a", Low, 60), ("b", Normal, 90), ("c", High, 95), ("c", High, 94)],
+            requests: vec![("a", Low, 60), ("b", Normal, 90), ("c", High, 95), ("c", High, 94)],
             expected: vec![3, 2, 1, 0],
         },
     ];
@@ -66,11 +66,11 @@
         let mut bench = Bench::new();
         let queue = queue(&bench, 0, 100);
         let outcomes: Vec<Outcome> = case
-            .tickets
+            .requests
             .iter()
             .map(|(workspace, priority, deadline)| {
-                let ticket = ticket(workspace, seconds(*deadline));
-                bench.start(queue.enter(AdmissionTicket { priority: *priority, ..ticket }))
+                let request = request(workspace, seconds(*deadline));
+                bench.start(queue.acquire(AdmissionRequest { priority: *priority, ..request }))
             })
             .collect();
         queue.set_capacity(&model(), 1);
@@ -93,8 +93,8 @@
     let mut bench = Bench::new();
     let queue = queue(&bench, 2, 100);
     let running: Vec<Outcome> =
-        (0..22).map(|_| bench.start(queue.enter(ticket("a", None)))).collect();
-    let late = bench.start(queue.enter(ticket("a", seconds(1))));
+        (0..22).map(|_| bench.start(queue.acquire(request("a", None)))).collect();
+    let late = bench.start(queue.acquire(request("a", seconds(1))));
     let refusal = late.borrow_mut().take().expect("answered at once").expect_err("no slot");
     assert!(matches!(refusal, AdmissionRefusal::TooLate { .. }), "{refusal}");
     assert!(refusal.retry_after() > Duration::from_secs(10), "{refusal}");
@@ -107,8 +107,8 @@
 fn refuses_at_the_deadline_what_waited_in_vain() {
     let mut bench = Bench::new();
     let queue = queue(&bench, 1, 100);
-    let first = bench.start(queue.enter(ticket("a", None)));
-    let second = bench.start(queue.enter(ticket("b", seconds(5))));
+    let first = bench.start(queue.acquire(request("a", None)));
+    let second = bench.start(queue.acquire(request("b", seconds(5))));
     bench.advance(Duration::from_secs(6));
     assert!(matches!(&*second.borrow(), Some(Err(AdmissionRefusal::TooLate { .. }))));
     drop(first.borrow_mut().take());
@@ -121,12 +121,12 @@
 fn a_dropped_request_gives_back_its_place_and_its_slot() {
     let mut bench = Bench::new();
     let queue = queue(&bench, 1, 100);
-    let first = bench.start(queue.enter(ticket("a", None)));
-    let mut waiting = queue.enter(ticket("b", None));
+    let first = bench.start(queue.acquire(request("a", None)));
+    let mut waiting = queue.acquire(request("b", None));
     let waker = futures::task::noop_waker();
     let polled = waiting.as_mut().poll(&mut std::task::Context::from_waker(&waker));
     assert!(polled.is_pending());
-    let third = bench.start(queue.enter(ticket("c", None)));
+    let third = bench.start(queue.acquire(request("c", None)));
     drop(first.borrow_mut().take());
     assert_eq!(queue.counts(&model()).running, 1, "the permit waits in the channel");
     drop(waiting);
@@ -143,8 +143,8 @@
     let mut bench = Bench::new();
     let queue = queue(&bench, 0, 10);
     let many: Vec<Outcome> =
-        (0..10).map(|i| bench.start(queue.enter(ticket("hog", seconds(60 + i))))).collect();
-    let other = bench.start(queue.enter(ticket("quiet", seconds(60))));
+        (0..10).map(|i| bench.start(queue.acquire(request("hog", seconds(60 + i))))).collect();
+    let other = bench.start(queue.acquire(request("quiet", seconds(60))));
     assert!(other.borrow().is_none(), "the quiet one waits");
     let refused: Vec<usize> =
         (0..10).filter(|i| matches!(&*many[*i].borrow(), Some(Err(_)))).collect();
@@ -160,16 +160,16 @@
     let queue = queue(&bench, 10, 1_000);
     let earlier = (0..30).map(|index| format!("known-{index}")).chain(vec!["hog".to_owned(); 30]);
     for workspace in earlier {
-        let before = bench.start(queue.enter(ticket(&workspace, None)));
+        let before = bench.start(queue.acquire(request(&workspace, None)));
         drop(before.borrow_mut().take());
     }
     queue.set_limits(&model(), PoolLimits { permits: 10, over_share: 4 });
     let hog: Vec<Outcome> =
-        (0..200).map(|_| bench.start(queue.enter(ticket("hog", None)))).collect();
+        (0..200).map(|_| bench.start(queue.acquire(request("hog", None)))).collect();
     let running = hog.iter().filter(|o| granted(o)).count();
     assert_eq!(running, 4, "the hog has what is beyond the reserve");
-    assert!(queue.is_over_share(&model(), &ticket("hog", None).workspace, Default::default()));
-    let quiet = bench.start(queue.enter(ticket("known-3", seconds(1))));
+    assert!(queue.is_over_share(&model(), &request("hog", None).workspace, Default::default()));
+    let quiet = bench.start(queue.acquire(request("known-3", seconds(1))));
     assert!(granted(&quiet), "the reserve is there for the others");
 }
 
@@ -186,7 +186,7 @@
                 0 | 1 => {
                     let now = bench.context().clock.now().0;
                     let deadline = (value > 100).then(|| now + Duration::from_secs(u64::from(value)));
-                    places.push(bench.start(queue.enter(ticket(workspace, deadline))));
+                    places.push(bench.start(queue.acquire(request(workspace, deadline))));
                 }
                 2 if !places.is_empty() => {
                     drop(places[usize::from(value) % places.len()].borrow_mut().take());
@@ -198,7 +198,7 @@
             let counts = queue.counts(&model());
             let held = places.iter().filter(|place| granted(place)).count() as u64;
             let sum = counts.granted + counts.refused + counts.cancelled + counts.waiting;
-            assert_eq!(counts.entered, sum, "{counts:?}");
+            assert_eq!(counts.arrived, sum, "{counts:?}");
             assert_eq!(counts.running, held, "{counts:?}");
             assert!(counts.waiting <= 8, "{counts:?}");
         }
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! A clock that stands still until told, and tickets.
+//! A clock that stands still until told, and requests.
 
 use {
     futures::{channel::oneshot, executor::LocalPool, task::LocalSpawnExt},
-    gullglade_admission::{AdmissionPriority, AdmissionTicket},
+    gullglade_admission::{AdmissionPriority, AdmissionRequest},
     gullglade_units::{
         Clock, LocalFuture, ModelName, MonotonicTime, ProcessContext, SeededRandom, TaskSpawner,
         WallMillis, WorkspaceName,
@@ -102,8 +102,8 @@
     ModelName::try_from("ballast").expect("a name")
 }
 
-pub(crate) fn ticket(workspace: &str, deadline: Option<Duration>) -> AdmissionTicket {
-    AdmissionTicket {
+pub(crate) fn request(workspace: &str, deadline: Option<Duration>) -> AdmissionRequest {
+    AdmissionRequest {
         workspace: WorkspaceName::try_from(workspace).expect("a name"),
         share: 1.0,
         model: model(),
--- a/crates/experiment/src/arrivals.rs
+++ b/crates/experiment/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{DeploymentPlan, ScenarioPlan, scenario::WARM_UP},
-    gullglade_route::PrefixMark,
+    gullglade_route::PromptPrefix,
     gullglade_units::{RandomSource, SeededRandom},
 };
 
@@ -20,7 +20,7 @@
     /// The region it is bound to.
     pub home: Option<usize>,
     /// Prefixes that a cache may hold, shortest first.
-    pub marks: Vec<PrefixMark>,
+    pub marks: Vec<PromptPrefix>,
     /// Tokens of the prompt; the last mark covers all of them.
     pub prompt_tokens: u32,
     /// Tokens of the answer.
@@ -179,14 +179,14 @@
     let SessionStart { region, mut time, workspace } = start;
     let session = sampler.random.next_u64();
     let template = mix(0, workspace as u64 + 1);
-    let mut marks = vec![PrefixMark { hash: template, tokens: row.template_tokens }];
+    let mut marks = vec![PromptPrefix { hash: template, tokens: row.template_tokens }];
     let mut turn = 0_u64;
     while time < end {
         let last = marks[marks.len() - 1];
         let prompt_tokens = last.tokens + sampler.length(plan.turn_tokens);
         let answer_tokens = sampler.length(plan.answer_tokens);
         let hash = mix(session, turn);
-        marks.push(PrefixMark { hash, tokens: prompt_tokens });
+        marks.push(PromptPrefix { hash, tokens: prompt_tokens });
         rows.push(ArrivalRow {
             time,
             region,
--- a/crates/experiment/src/cache.rs
+++ b/crates/experiment/src/cache.rs
@@ -1,7 +1,7 @@
 //! The prefix cache of a stand-in engine: least recently used blocks go first.
 
 use {
-    gullglade_route::PrefixMark,
+    gullglade_route::PromptPrefix,
     std::collections::{BTreeMap, HashMap},
 };
 
@@ -26,13 +26,13 @@
     }
 
     /// Tokens of the longest prefix held.
-    pub(crate) fn held(&self, marks: &[PrefixMark]) -> u32 {
+    pub(crate) fn held(&self, marks: &[PromptPrefix]) -> u32 {
         let held = marks.iter().take_while(|mark| self.entries.contains_key(&mark.hash));
         held.last().map_or(0, |mark| mark.tokens)
     }
 
     /// Puts the prefixes in and returns the hashes that had to go.
-    pub(crate) fn store(&mut self, marks: &[PrefixMark]) -> Vec<u64> {
+    pub(crate) fn store(&mut self, marks: &[PromptPrefix]) -> Vec<u64> {
         let mut before = 0;
         for mark in marks {
             self.touch(mark.hash, mark.tokens - before);
--- a/crates/experiment/src/engine.rs
+++ b/crates/experiment/src/engine.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::{ArrivalRow, EngineSpec, OutageSpan, cache::PrefixCache},
-    gullglade_route::PrefixMark,
+    gullglade_route::PromptPrefix,
     gullglade_units::BackendName,
     std::{cell::RefCell, collections::VecDeque},
 };
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CacheEvent {
     pub(crate) time: f64,
-    pub(crate) stored: Vec<PrefixMark>,
+    pub(crate) stored: Vec<PromptPrefix>,
     pub(crate) evicted: Vec<u64>,
 }
 
--- a/crates/experiment/src/gateway.rs
+++ b/crates/experiment/src/gateway.rs
@@ -7,13 +7,13 @@
         world::{DETECTION, at, span},
     },
     gullglade_admission::{
-        AdmissionPermit, AdmissionPriority, AdmissionQueue, AdmissionSettings, AdmissionTicket,
+        AdmissionPermit, AdmissionPriority, AdmissionQueue, AdmissionRequest, AdmissionSettings,
         PoolLimits,
     },
     gullglade_route::{
-        BackendRole, Candidate, EngineCapacity, EngineIndex, GladeSettings, HealthState,
-        LoadReport, OwnLedger, PrefixTable, RegionOffer, Residency, RouteDecision, RoutePolicy,
-        RouteRequest, permit_capacity,
+        BackendRole, Candidate, EngineCapacity, EngineIndex, HealthState, LatencySettings,
+        LoadReport, OwnLoadTracker, PrefixTable, RegionOffer, Residency, RouteDecision,
+        RoutePolicy, RouteRequest, permit_capacity,
     },
     gullglade_units::{Clock, RandomSource, SeededRandom},
     std::{
@@ -80,11 +80,11 @@
     region: usize,
     lag: f64,
     offer_share: f64,
-    settings: GladeSettings,
+    settings: LatencySettings,
     policy: Option<Box<dyn RoutePolicy>>,
     queue: AdmissionQueue,
     random: SeededRandom,
-    ledgers: RefCell<Vec<OwnLedger>>,
+    ledgers: RefCell<Vec<OwnLoadTracker>>,
     failed: RefCell<Vec<f64>>,
     prefixes: RefCell<PrefixTable>,
     hold: Cell<f64>,
@@ -102,13 +102,13 @@
         world: Rc<World>,
         region: usize,
         index: usize,
-        settings: GladeSettings,
+        settings: LatencySettings,
     ) -> Rc<Self> {
         let engines = world.regions[region].engines.len();
         let random = SeededRandom::new((region * 100 + index) as u64 + 1);
         let hold = world.plan.hold();
         let admission =
-            AdmissionSettings { first_hold: span(hold), ..AdmissionSettings::default() };
+            AdmissionSettings { initial_holding_time: span(hold), ..AdmissionSettings::default() };
         let gateway = Self {
             region,
             lag: world.scenario.report_lag + random.unit() * LAG_SPREAD,
@@ -117,7 +117,7 @@
             policy: world.policy.build(settings),
             queue: AdmissionQueue::new(admission, world.context.clone()),
             random,
-            ledgers: RefCell::new(vec![OwnLedger::default(); engines]),
+            ledgers: RefCell::new(vec![OwnLoadTracker::default(); engines]),
             failed: RefCell::new(vec![f64::NEG_INFINITY; engines]),
             prefixes: RefCell::new(PrefixTable::new(PREFIX_LIMIT, span(PREFIX_BELIEF))),
             hold: Cell::new(hold),
@@ -137,7 +137,7 @@
             return;
         }
         let gateways = self.world.plan.regions[self.region].gateways;
-        let GladeSettings { overcommit, reserve, .. } = self.settings;
+        let LatencySettings { overcommit, reserve, .. } = self.settings;
         let capacity = permit_capacity(&self.candidates(None), overcommit, reserve, gateways);
         let limits = PoolLimits { permits: capacity.permits, over_share: capacity.over_share };
         self.queue.set_limits(&self.world.models[0], limits);
@@ -150,9 +150,9 @@
         }
         let index = EngineIndex(engine as u32);
         let mut prefixes = self.prefixes.borrow_mut();
-        prefixes.stored(index, &event.stored, at(event.time));
+        prefixes.record_stored(index, &event.stored, at(event.time));
         for hash in &event.evicted {
-            prefixes.evicted(index, *hash);
+            prefixes.record_evicted(index, *hash);
         }
     }
 
@@ -163,7 +163,7 @@
         let mut cached = vec![0_u32; region.engines.len()];
         if let Some(row) = row {
             let prefixes = self.prefixes.borrow();
-            prefixes.expected(&row.marks, at(now), |engine, tokens| {
+            prefixes.for_each_holder(&row.marks, at(now), |engine, tokens| {
                 let place = &mut cached[engine.0 as usize];
                 *place = tokens.max(*place);
             });
@@ -230,7 +230,7 @@
         let waited = world.now() - row.time;
         let request = RouteRequest {
             now: world.clock.now(),
-            here: &world.regions[self.region].name,
+            local_region: &world.regions[self.region].name,
             origin: attempt.origin.map(|region| &world.regions[region].name),
             residency: Residency::Anywhere,
             home: row.home.map(|region| &world.regions[region].name),
@@ -238,7 +238,7 @@
             model: Some(&world.models[0]),
             role: BackendRole::Generate,
             prompt_tokens: row.prompt_tokens,
-            hold: span(self.hold.get()),
+            holding_time: span(self.hold.get()),
             target: world.plan.target,
             deadline: Some(span(DEADLINE - waited)),
             waited: span(waited),
@@ -293,7 +293,7 @@
             let (decision, regions) = self.decide(attempt, wait);
             match decision {
                 RouteDecision::Refuse { .. } => return Err(ServeFault::NotRun),
-                RouteDecision::Away { offer } => {
+                RouteDecision::Forward { offer } => {
                     permit.take();
                     let region = regions[offer];
                     let outcome = self.forward(attempt.row, region).await;
@@ -315,7 +315,7 @@
     /// Waits for a slot; none where going away has become the better way.
     async fn enter(&self, attempt: &Attempt<'_>) -> Result<Option<AdmissionPermit>, ServeFault> {
         let row = attempt.row;
-        let ticket = AdmissionTicket {
+        let ticket = AdmissionRequest {
             workspace: self.world.workspaces[row.workspace].clone(),
             share: zipf_share(row.workspace, self.world.plan.workspaces),
             model: self.world.models[0].clone(),
@@ -323,7 +323,7 @@
             deadline: Some(at(row.time + DEADLINE)),
             cost: row.prompt_tokens + row.answer_tokens,
         };
-        let mut entering = self.queue.enter(ticket);
+        let mut entering = self.queue.acquire(ticket);
         loop {
             let pause = self.world.clock.sleep(span(RECHECK));
             match futures::future::select(entering, pause).await {
@@ -333,7 +333,7 @@
                 futures::future::Either::Right(((), rest)) => entering = rest,
             }
             let wait = self.queue_wait(row);
-            if matches!(self.decide(attempt, wait).0, RouteDecision::Away { .. }) {
+            if matches!(self.decide(attempt, wait).0, RouteDecision::Forward { .. }) {
                 return Ok(None);
             }
         }
@@ -385,7 +385,7 @@
     fn expected_uncached(&self, row: &ArrivalRow, index: usize) -> u32 {
         let mut cached = 0;
         let now = at(self.world.now());
-        self.prefixes.borrow().expected(&row.marks, now, |engine, tokens| {
+        self.prefixes.borrow().for_each_holder(&row.marks, now, |engine, tokens| {
             if engine.0 as usize == index {
                 cached = tokens.max(cached);
             }
@@ -396,7 +396,7 @@
     fn started(&self, index: usize, row: &ArrivalRow, uncached: u32) {
         let now = at(self.world.now());
         self.ledgers.borrow_mut()[index].started(now, uncached);
-        self.prefixes.borrow_mut().stored(EngineIndex(index as u32), &row.marks, now);
+        self.prefixes.borrow_mut().record_stored(EngineIndex(index as u32), &row.marks, now);
     }
 
     fn first_token(&self, index: usize, uncached: u32) {
--- a/crates/experiment/src/policy.rs
+++ b/crates/experiment/src/policy.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::deployment::{ChoiceError, choose},
-    gullglade_route::{CheckedPolicy, GladePolicy, GladeSettings, RoutePolicy, baseline},
+    gullglade_route::{CheckedPolicy, LatencyPolicy, LatencySettings, RoutePolicy, baseline},
     std::str::FromStr,
 };
 
@@ -66,13 +66,13 @@
     }
 
     /// The policy of one gateway; none for the omniscient ones, which are no gateway's.
-    pub(crate) fn build(self, settings: GladeSettings) -> Option<Box<dyn RoutePolicy>> {
+    pub(crate) fn build(self, settings: LatencySettings) -> Option<Box<dyn RoutePolicy>> {
         match self {
             Self::RoundRobin => checked(baseline::RoundRobin::default()),
             Self::LeastReported => checked(baseline::LeastReported),
             Self::TwoChoices => checked(baseline::TwoChoices),
             Self::LocalOnly => checked(baseline::LocalOnly),
-            Self::Gullglade => checked(GladePolicy::new(settings)),
+            Self::Gullglade => checked(LatencyPolicy::new(settings)),
             Self::Omniscient | Self::OmniscientNear => None,
         }
     }
--- a/crates/experiment/src/replay.rs
+++ b/crates/experiment/src/replay.rs
@@ -9,7 +9,7 @@
         world::{DETECTION, at},
     },
     futures::future::{Either, select},
-    gullglade_route::GladeSettings,
+    gullglade_route::LatencySettings,
     std::{pin::pin, rc::Rc},
 };
 
@@ -29,7 +29,7 @@
     /// Threads; each runs one policy over one scenario at a time.
     pub threads: usize,
     /// The product's settings.
-    pub glade: GladeSettings,
+    pub glade: LatencySettings,
 }
 
 /// A time at which the longest queue of any policy is empty, seconds.
--- a/crates/experiment/src/world.rs
+++ b/crates/experiment/src/world.rs
@@ -9,7 +9,7 @@
         scenario::WARM_UP,
         summary::{SummaryLog, SummarySample},
     },
-    gullglade_route::GladeSettings,
+    gullglade_route::LatencySettings,
     gullglade_units::{ModelName, MonotonicTime, ProcessContext, RegionName, WorkspaceName},
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
@@ -88,7 +88,7 @@
     }
 
     /// Puts the gateways before the engines.
-    pub(crate) fn add_gateways(self: &Rc<Self>, settings: GladeSettings) {
+    pub(crate) fn add_gateways(self: &Rc<Self>, settings: LatencySettings) {
         let all = self.plan.regions.iter().enumerate().map(|(region, plan)| {
             let row = (0..plan.gateways)
                 .map(|index| GatewayModel::new(self.clone(), region, index, settings));
--- a/crates/fleet/examples/sync_bytes.rs
+++ b/crates/fleet/examples/sync_bytes.rs
@@ -4,10 +4,10 @@
 
 use {
     gullglade_fleet::{
-        BackendRecord, BackendStanding, GatewayPhase, GatewayProfile, GatewayPulse, RegionOffer,
-        ServiceOffer, ServingState, SyncReply, SyncRequest,
+        BackendObservation, BackendRecord, GatewayAnnouncement, GatewayPhase, GatewayProfile,
+        RegionOffer, ServiceOffer, ServingState, SyncReply, SyncRequest,
     },
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_units::{
         BackendName, FailureDomain, Incarnation, NameError, RegionName, ServiceName, VmName, encode,
     },
@@ -33,11 +33,11 @@
         peer_address: address,
     };
     let request = |services| SyncRequest {
-        pulse: GatewayPulse { profile: profile.clone(), phase: GatewayPhase::Ready },
+        pulse: GatewayAnnouncement { profile: profile.clone(), phase: GatewayPhase::Ready },
         offers: vec![offer.clone(); services],
         run: u64::MAX,
         cursor: 100_000,
-        crashes: CrashNews::default(),
+        crashes: CrashUpdate::default(),
         crash_cursor: 0,
         traffic_index: 100_000,
         version: Some(100_000),
@@ -54,7 +54,7 @@
         incarnation: Incarnation(1_764_720_000_000),
         sequence: 100_000,
     };
-    let standing = BackendStanding { record, is_silent: false, is_recalled: false };
+    let standing = BackendObservation { record, is_silent: false, is_recalled: false };
     let reply = |backends, regions| SyncReply {
         run: u64::MAX,
         cursor: 100_000,
@@ -62,7 +62,7 @@
         departed: Vec::new(),
         gateways: Vec::new(),
         gateway_total: 370,
-        crashes: CrashNews::default(),
+        crashes: CrashUpdate::default(),
         regions: vec![RegionOffer { region: region.clone(), offer: offer.clone() }; regions],
         traffic: None,
         confirmed_ago: Some(Duration::from_millis(80)),
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -9,14 +9,14 @@
 };
 
 /// Answers callers that ask where to connect, from what one control process hears.
-pub struct EntryGuide {
+pub struct EntryResolver {
     fleet: Rc<FleetServer>,
     format: Rc<dyn TrafficFormat>,
     events: Rc<dyn EventSink>,
     held: RefCell<Option<Rc<TrafficConfig>>>,
 }
 
-impl EntryGuide {
+impl EntryResolver {
     /// A guide over what `fleet` hears.
     pub fn new(
         fleet: Rc<FleetServer>,
--- a/crates/fleet/src/follower.rs
+++ b/crates/fleet/src/follower.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        BackendRow, FleetView, GatewayPhase, GatewayProfile, GatewayPulse, ServiceOffer, SyncReply,
-        SyncRequest, TrafficInForce, message::SYNC, view::ViewChange,
+        ActiveTraffic, BackendRow, FleetView, GatewayAnnouncement, GatewayPhase, GatewayProfile,
+        ServiceOffer, SyncReply, SyncRequest, message::SYNC, view::ViewChange,
     },
     bytes::Bytes,
     futures::{
@@ -12,7 +12,7 @@
     },
     gullglade_event::{EventDraft, EventSink, Level},
     gullglade_peer::{PeerError, PeerFault, PeerTransport},
-    gullglade_poison::{CrashLedger, NewsScope},
+    gullglade_poison::{SharedCrashTracker, UpdateScope},
     gullglade_traffic::TrafficFormat,
     gullglade_units::{BootTime, MonotonicTime, ProcessContext, decode, encode},
     std::{
@@ -49,7 +49,7 @@
     /// Reads the configuration.
     pub format: Rc<dyn TrafficFormat>,
     /// What is known of requests that end backend servers.
-    pub crashes: Rc<CrashLedger>,
+    pub crashes: Rc<SharedCrashTracker>,
 }
 
 /// How one control process is doing.
@@ -163,7 +163,7 @@
     }
 
     /// The configuration in force.
-    pub fn traffic(&self) -> Option<TrafficInForce> {
+    pub fn traffic(&self) -> Option<ActiveTraffic> {
         self.view.borrow().traffic().cloned()
     }
 
@@ -197,7 +197,7 @@
             let is_unheard = link.answered.is_some_and(|at| now.since(at) > VOICE_EXPIRY);
             if is_unheard && !link.is_lost {
                 link.is_lost = true;
-                self.view.borrow_mut().forget_voice(*address, now);
+                self.view.borrow_mut().remove_control(*address, now);
                 let event = EventDraft::new("control.lost").level(Level::Warn);
                 self.parts.events.emit(event.field("control", *address));
             }
@@ -230,9 +230,9 @@
         // processes start again, what they knew stands with the gateways alone.
         let told = if run == 0 { 0 } else { link.crashes_told };
         Some(SyncRequest {
-            pulse: GatewayPulse { profile: self.profile.clone(), phase: self.phase.get() },
+            pulse: GatewayAnnouncement { profile: self.profile.clone(), phase: self.phase.get() },
             offers: self.offers.borrow().clone(),
-            crashes: self.parts.crashes.news_after(told, NewsScope::Own),
+            crashes: self.parts.crashes.updates_after(told, UpdateScope::Own),
             crash_cursor: link.crash_cursor,
             run,
             cursor: link.cursor,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,7 @@
 //! Backend servers and gateways, as the control processes hear of them.
 //!
 //! Where backend servers announce themselves to control processes, each of those keeps a
-//! [`FleetBook`] in memory of what it heard itself. It does not share it with the other control
+//! [`FleetRegistry`] in memory of what it heard itself. It does not share it with the other control
 //! processes. Instead every gateway follows all of them ([`FleetFollower`]) and merges what they
 //! say ([`FleetView`]): the higher sequence number wins, a departure is final, and a backend
 //! server counts as heard while any control process hears it.
@@ -11,29 +11,31 @@
 //! price is one session from each gateway to each control process, which carries a call that is
 //! held until there is news.
 
-mod audience;
-mod book;
 mod entry;
 mod follower;
 mod member;
-mod memory;
 mod message;
+mod registry;
 mod server;
+mod snapshot;
 mod source;
+mod update_filter;
 mod view;
 
 pub use {
-    audience::{Audience, FleetNews},
-    book::{FleetBook, FleetSettings},
-    entry::EntryGuide,
+    entry::EntryResolver,
     follower::{FleetFollower, FollowerParts, ViewWatcher},
     member::{
-        BackendRecord, BackendStanding, DepartedRun, GatewayPhase, GatewayProfile, GatewayStanding,
-        ServingState,
+        BackendObservation, BackendRecord, DepartedRun, GatewayObservation, GatewayPhase,
+        GatewayProfile, ServingState,
     },
-    memory::FleetMemory,
-    message::{GatewayPulse, RegionOffer, ServiceOffer, SyncReply, SyncRequest, TrafficSnapshot},
+    message::{
+        GatewayAnnouncement, RegionOffer, ServiceOffer, SyncReply, SyncRequest, TrafficSnapshot,
+    },
+    registry::{FleetRegistry, FleetSettings},
     server::FleetServer,
+    snapshot::FleetSnapshot,
     source::TrafficSource,
-    view::{BackendRow, FleetView, GatewayRow, TrafficInForce},
+    update_filter::{FleetUpdate, UpdateFilter},
+    view::{ActiveTraffic, BackendRow, FleetView, GatewayRow},
 };
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -70,7 +70,7 @@
 
 /// A backend server as one control process knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BackendStanding {
+pub struct BackendObservation {
     /// What it said last.
     pub record: BackendRecord,
     /// Whether announcements are overdue.
@@ -121,7 +121,7 @@
 
 /// A gateway as one control process knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GatewayStanding {
+pub struct GatewayObservation {
     /// What it is.
     pub profile: GatewayProfile,
     /// What it said last.
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,9 +1,9 @@
 //! Messages between gateways and control processes, peer methods "fleet.*".
 
 use {
-    crate::{BackendStanding, DepartedRun, GatewayPhase, GatewayProfile, GatewayStanding},
+    crate::{BackendObservation, DepartedRun, GatewayObservation, GatewayPhase, GatewayProfile},
     bytes::Bytes,
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_units::{FailureDomain, RegionName, ServiceName},
     serde::{Deserialize, Serialize},
     std::{collections::BTreeSet, net::SocketAddr, time::Duration},
@@ -17,7 +17,7 @@
 
 /// A sign of life of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GatewayPulse {
+pub struct GatewayAnnouncement {
     /// What it is.
     pub profile: GatewayProfile,
     /// What it is about to do.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
     /// Who asks.
-    pub pulse: GatewayPulse,
+    pub pulse: GatewayAnnouncement,
     /// What its region offers, as it sees it.
     pub offers: Vec<ServiceOffer>,
     /// The run of the control process that `cursor` is of; 0 for none.
@@ -56,7 +56,7 @@
     /// The last change of its book that the gateway has.
     pub cursor: u64,
     /// What it saw of requests that end backend servers and has not told this process.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdate,
     /// The last change that it has of what this process knows of them.
     pub crash_cursor: u64,
     /// The index of the last change of the traffic configuration that the gateway has.
@@ -87,15 +87,15 @@
     /// The last change that the reply holds.
     pub cursor: u64,
     /// Backend servers of the gateway's region that changed.
-    pub backends: Vec<BackendStanding>,
+    pub backends: Vec<BackendObservation>,
     /// Runs of backend servers that said goodbye. Final for them and all earlier ones.
     pub departed: Vec<DepartedRun>,
     /// Gateways that changed: those of its region, and some of each other one.
-    pub gateways: Vec<GatewayStanding>,
+    pub gateways: Vec<GatewayObservation>,
     /// How many gateways of all regions are heard.
     pub gateway_total: u32,
     /// What is known of requests that end backend servers and the gateway may lack.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdate,
     /// What all regions offer, as their gateways said last.
     pub regions: Vec<RegionOffer>,
     /// The traffic configuration, where the gateway's is older.
--- a/crates/fleet/src/book.rs
+++ b/crates/fleet/src/registry.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        BackendRecord, BackendStanding, DepartedRun, FleetMemory, GatewayPhase, GatewayPulse,
-        GatewayStanding, RegionOffer, ServiceOffer,
+        BackendObservation, BackendRecord, DepartedRun, FleetSnapshot, GatewayAnnouncement,
+        GatewayObservation, GatewayPhase, RegionOffer, ServiceOffer,
     },
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_units::{
         BackendName, Incarnation, MonotonicTime, RegionName, ServiceName, VmName, WallMillis,
     },
@@ -20,7 +20,7 @@
 /// that comes later would bring the run back. Ten times the longest partition that is planned for.
 const MEMORY: Duration = Duration::from_secs(120);
 
-/// Settings of a [`FleetBook`].
+/// Settings of a [`FleetRegistry`].
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
     /// The time between two announcements of a backend server.
@@ -60,7 +60,7 @@
 
 /// A gateway, as one control process hears it.
 pub(crate) struct GatewayEntry {
-    pub(crate) pulse: GatewayPulse,
+    pub(crate) pulse: GatewayAnnouncement,
     offers: Vec<ServiceOffer>,
     heard: MonotonicTime,
     is_silent: bool,
@@ -79,7 +79,7 @@
 
 /// The backend servers and gateways that one control process hears. Numbers its changes, so that
 /// a gateway is told only what it lacks.
-pub struct FleetBook {
+pub struct FleetRegistry {
     settings: FleetSettings,
     started: MonotonicTime,
     backends: BTreeMap<BackendName, BackendEntry>,
@@ -91,7 +91,7 @@
     last_common: u64,
 }
 
-impl FleetBook {
+impl FleetRegistry {
     /// An empty book of a process that starts `now`.
     pub fn new(settings: FleetSettings, now: MonotonicTime) -> Self {
         Self {
@@ -145,7 +145,7 @@
         &mut self,
         record: BackendRecord,
         now: MonotonicTime,
-    ) -> Option<BackendStanding> {
+    ) -> Option<BackendObservation> {
         if self.departed.get(&record.name).is_some_and(|d| record.incarnation <= d.last) {
             return None;
         }
@@ -185,17 +185,17 @@
     }
 
     /// What is worth keeping for the next run.
-    pub fn memory(&self, now: MonotonicTime) -> FleetMemory {
+    pub fn snapshot(&self, now: MonotonicTime) -> FleetSnapshot {
         let heard = self.backends.values().filter(|entry| !entry.is_silent);
-        FleetMemory {
+        FleetSnapshot {
             backends: heard.map(|entry| entry.standing(now).record).collect(),
             departed: self.departed_after(0),
-            crashes: CrashNews::default(),
+            crashes: CrashUpdate::default(),
         }
     }
 
     /// Takes in what the run before kept, where nothing newer was heard.
-    pub fn recall(&mut self, memory: FleetMemory, now: MonotonicTime) {
+    pub fn restore(&mut self, memory: FleetSnapshot, now: MonotonicTime) {
         for DepartedRun { name, last } in memory.departed {
             let changed = self.number_change(None);
             let departure = Departure { last, region: None, heard: now, changed };
@@ -236,7 +236,11 @@
     }
 
     /// Takes note of a gateway's sign of life. Returns its standing where it changed.
-    pub fn pulse(&mut self, pulse: &GatewayPulse, now: MonotonicTime) -> Option<GatewayStanding> {
+    pub fn announce_gateway(
+        &mut self,
+        pulse: &GatewayAnnouncement,
+        now: MonotonicTime,
+    ) -> Option<GatewayObservation> {
         if let Some(entry) = self.gateways.get_mut(&pulse.profile.vm) {
             entry.heard = now;
             if entry.pulse == *pulse && !entry.is_silent {
@@ -282,7 +286,10 @@
     }
 
     /// Notices who has fallen silent, and forgets who has long been. Returns what changed.
-    pub fn tick(&mut self, now: MonotonicTime) -> (Vec<BackendStanding>, Vec<GatewayStanding>) {
+    pub fn tick(
+        &mut self,
+        now: MonotonicTime,
+    ) -> (Vec<BackendObservation>, Vec<GatewayObservation>) {
         let settings = self.settings;
         let silence = settings.backend_silence;
         let is_kept = |e: &BackendEntry| !e.is_recalled || now.since(e.heard) < silence;
@@ -292,7 +299,7 @@
         (self.silence_backends(now), self.silence_gateways(now))
     }
 
-    fn silence_backends(&mut self, now: MonotonicTime) -> Vec<BackendStanding> {
+    fn silence_backends(&mut self, now: MonotonicTime) -> Vec<BackendObservation> {
         let silence = self.settings.backend_silence;
         let is_due = |e: &BackendEntry| now.since(e.heard) > silence && !e.is_silent;
         let due = self.backends.values().filter(|e| is_due(e)).map(|e| e.record.name.clone());
@@ -311,7 +318,7 @@
         silent
     }
 
-    fn silence_gateways(&mut self, now: MonotonicTime) -> Vec<GatewayStanding> {
+    fn silence_gateways(&mut self, now: MonotonicTime) -> Vec<GatewayObservation> {
         let silence = self.settings.gateway_silence;
         let is_due = |e: &GatewayEntry| now.since(e.heard) > silence && !e.is_silent;
         let due = self.gateways.iter().filter(|(_, e)| is_due(e)).map(|(vm, _)| vm.clone());
@@ -328,7 +335,7 @@
     }
 
     /// The backend servers that changed after `cursor`.
-    pub fn backends_after(&self, cursor: u64, now: MonotonicTime) -> Vec<BackendStanding> {
+    pub fn backends_after(&self, cursor: u64, now: MonotonicTime) -> Vec<BackendObservation> {
         let changed = self.backends.values().filter(|e| e.changed > cursor);
         changed.map(|e| e.standing(now)).collect()
     }
@@ -339,7 +346,7 @@
         region: &RegionName,
         cursor: u64,
         now: MonotonicTime,
-    ) -> Vec<BackendStanding> {
+    ) -> Vec<BackendObservation> {
         let changed = self.backends.values().filter(|e| e.changed > cursor);
         changed.filter(|e| e.record.region == *region).map(|e| e.standing(now)).collect()
     }
@@ -423,10 +430,10 @@
             || known.slots != record.slots
     }
 
-    fn standing(&self, now: MonotonicTime) -> BackendStanding {
+    fn standing(&self, now: MonotonicTime) -> BackendObservation {
         let mut record = self.record.clone();
         record.cold_for = self.cold_until.since(now);
-        BackendStanding { record, is_silent: self.is_silent, is_recalled: self.is_recalled }
+        BackendObservation { record, is_silent: self.is_silent, is_recalled: self.is_recalled }
     }
 }
 
@@ -435,8 +442,8 @@
         self.pulse.phase == GatewayPhase::Ready && !self.is_silent
     }
 
-    pub(crate) fn standing(&self) -> GatewayStanding {
-        GatewayStanding {
+    pub(crate) fn standing(&self) -> GatewayObservation {
+        GatewayObservation {
             profile: self.pulse.profile.clone(),
             phase: self.pulse.phase,
             is_silent: self.is_silent,
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -2,8 +2,9 @@
 
 use {
     crate::{
-        Audience, BackendRecord, BackendStanding, FleetBook, FleetMemory, FleetNews, FleetSettings,
-        GatewayStanding, RegionOffer, SyncReply, SyncRequest, TrafficSource,
+        BackendObservation, BackendRecord, FleetRegistry, FleetSettings, FleetSnapshot,
+        FleetUpdate, GatewayObservation, RegionOffer, SyncReply, SyncRequest, TrafficSource,
+        UpdateFilter,
         message::{FLEET_PREFIX, SYNC},
     },
     bytes::Bytes,
@@ -14,7 +15,7 @@
     gullglade_control::DataFolder,
     gullglade_event::{EventDraft, EventSink, Level},
     gullglade_peer::{HandlerTable, PeerFault, PeerHandler, PeerIdentity},
-    gullglade_poison::{CrashLedger, NewsScope},
+    gullglade_poison::{SharedCrashTracker, UpdateScope},
     gullglade_units::{
         BackendName, BootTime, LocalFuture, MonotonicTime, ProcessContext, RegionName, decode,
         encode, timeout,
@@ -56,13 +57,13 @@
 
 /// The fleet as one control process hears it.
 pub struct FleetServer {
-    book: RefCell<FleetBook>,
+    book: RefCell<FleetRegistry>,
     /// Calls that wait for the next change.
     waiting: RefCell<Vec<WaitingCall>>,
     /// What regions offer, and when it was worked out.
     offers: RefCell<Option<(Vec<RegionOffer>, MonotonicTime)>>,
     /// Requests that end backend servers, as all gateways tell.
-    crashes: Rc<CrashLedger>,
+    crashes: Rc<SharedCrashTracker>,
     source: Rc<dyn TrafficSource>,
     context: ProcessContext,
     events: Rc<dyn EventSink>,
@@ -76,13 +77,13 @@
     pub fn new(
         settings: FleetSettings,
         source: Rc<dyn TrafficSource>,
-        crashes: Rc<CrashLedger>,
+        crashes: Rc<SharedCrashTracker>,
         context: ProcessContext,
         events: Rc<dyn EventSink>,
     ) -> Rc<Self> {
         let run = context.random.next_u64() | 1;
         Rc::new(Self {
-            book: RefCell::new(FleetBook::new(settings, context.clock.now())),
+            book: RefCell::new(FleetRegistry::new(settings, context.clock.now())),
             waiting: RefCell::default(),
             offers: RefCell::default(),
             crashes,
@@ -108,13 +109,13 @@
 
     /// Takes in what the run before kept in `folder`, and keeps there what this one hears.
     pub async fn remember(self: &Rc<Self>, folder: Rc<dyn DataFolder>) {
-        match FleetMemory::load(&*folder).await {
+        match FleetSnapshot::load(&*folder).await {
             Ok(memory) => {
                 let event = EventDraft::new("fleet.recalled");
                 let event = event.field("backends", memory.backends.len());
                 self.events.emit(event.field("departed", memory.departed.len()));
                 self.crashes.merge(memory.crashes.clone());
-                self.book.borrow_mut().recall(memory, self.context.clock.now());
+                self.book.borrow_mut().restore(memory, self.context.clock.now());
             }
             Err(error) => {
                 let event = EventDraft::new("fleet.not_recalled").level(Level::Warn);
@@ -134,8 +135,8 @@
         if !self.is_unsaved.replace(false) {
             return;
         }
-        let mut memory = self.book.borrow().memory(self.context.clock.now());
-        memory.crashes = self.crashes.news_after(0, NewsScope::Suspects);
+        let mut memory = self.book.borrow().snapshot(self.context.clock.now());
+        memory.crashes = self.crashes.updates_after(0, UpdateScope::Suspects);
         if let Err(error) = memory.save(folder).await {
             // It is a hint: the next change writes it again.
             let event = EventDraft::new("fleet.unsaved").level(Level::Warn);
@@ -216,7 +217,8 @@
 
     async fn sync(&self, request: SyncRequest) -> SyncReply {
         let arrived = self.context.clock.boot();
-        let change = self.book.borrow_mut().pulse(&request.pulse, self.context.clock.now());
+        let change =
+            self.book.borrow_mut().announce_gateway(&request.pulse, self.context.clock.now());
         if let Some(standing) = change {
             self.events.emit(gateway_event("gateway.heard", &standing));
             self.wake();
@@ -282,9 +284,9 @@
         let crash_cursor = if is_known { request.crash_cursor } else { 0 };
         let book = self.book.borrow();
         let profile = &request.pulse.profile;
-        let audience = Audience { vm: &profile.vm, region: &profile.region };
-        let FleetNews { backends, departed, gateways } =
-            audience.news(&book, cursor, self.context.clock.now());
+        let audience = UpdateFilter { vm: &profile.vm, region: &profile.region };
+        let FleetUpdate { backends, departed, gateways } =
+            audience.updates(&book, cursor, self.context.clock.now());
         SyncReply {
             run: self.run,
             cursor: book.last_change(),
@@ -292,7 +294,7 @@
             departed,
             gateways,
             gateway_total: u32::try_from(book.gateway_total()).unwrap_or(u32::MAX),
-            crashes: self.crashes.news_after(crash_cursor, NewsScope::Suspects),
+            crashes: self.crashes.updates_after(crash_cursor, UpdateScope::Suspects),
             regions: self.region_offers(),
             traffic: self.source.newer(request.traffic_index, request.version),
             confirmed_ago: self.source.confirmed_ago(),
@@ -302,7 +304,7 @@
     }
 }
 
-fn backend_event(kind: &'static str, standing: &BackendStanding) -> EventDraft {
+fn backend_event(kind: &'static str, standing: &BackendObservation) -> EventDraft {
     let record = &standing.record;
     EventDraft::new(kind)
         .field("backend", &record.name)
@@ -315,7 +317,7 @@
         .millis("cold_ms", record.cold_for)
 }
 
-fn gateway_event(kind: &'static str, standing: &GatewayStanding) -> EventDraft {
+fn gateway_event(kind: &'static str, standing: &GatewayObservation) -> EventDraft {
     EventDraft::new(kind)
         .field("gateway", &standing.profile.vm)
         .field("run", standing.profile.run)
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -13,7 +13,7 @@
 use {
     crate::{BackendRecord, DepartedRun},
     gullglade_control::{DataFolder, DiskError, read_checked, write_atomic},
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_units::{CodecError, decode, encode},
     serde::{Deserialize, Serialize},
     snafu::Snafu,
@@ -47,17 +47,17 @@
 
 /// What is kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetMemory {
+pub struct FleetSnapshot {
     /// The backend servers, with how much longer they were cold.
     pub backends: Vec<BackendRecord>,
     /// The goodbyes.
     pub departed: Vec<DepartedRun>,
     /// Requests under which two or more backend servers ended. After a loss of power everywhere
     /// nobody else knows of them, and each would end three more before it is held back again.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdate,
 }
 
-impl FleetMemory {
+impl FleetSnapshot {
     /// Replaces the file.
     pub(crate) async fn save(&self, folder: &dyn DataFolder) -> Result<(), MemoryError> {
         let bytes = encode(&(FORMAT, self));
--- a/crates/fleet/src/audience.rs
+++ b/crates/fleet/src/update_filter.rs
@@ -7,7 +7,7 @@
 //! each other region, so that is what it is told of.
 
 use {
-    crate::{BackendStanding, DepartedRun, FleetBook, GatewayStanding},
+    crate::{BackendObservation, DepartedRun, FleetRegistry, GatewayObservation},
     gullglade_units::{MonotonicTime, RegionName, VmName, rendezvous::score},
     std::{cmp::Reverse, collections::BTreeMap},
 };
@@ -18,7 +18,7 @@
 
 /// A gateway that follows a control process.
 #[derive(Clone, Copy, Debug)]
-pub struct Audience<'a> {
+pub struct UpdateFilter<'a> {
     /// Its VM.
     pub vm: &'a VmName,
     /// Its region.
@@ -27,26 +27,26 @@
 
 /// What changed in a book, as far as it concerns one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FleetNews {
+pub struct FleetUpdate {
     /// Backend servers of its region.
-    pub backends: Vec<BackendStanding>,
+    pub backends: Vec<BackendObservation>,
     /// Runs that said goodbye, of its region or of an unknown one.
     pub departed: Vec<DepartedRun>,
     /// Gateways of its region, and some of the others.
-    pub gateways: Vec<GatewayStanding>,
+    pub gateways: Vec<GatewayObservation>,
 }
 
-impl Audience<'_> {
+impl UpdateFilter<'_> {
     /// What changed in `book` after `cursor`.
-    pub fn news(&self, book: &FleetBook, cursor: u64, now: MonotonicTime) -> FleetNews {
-        FleetNews {
+    pub fn updates(&self, book: &FleetRegistry, cursor: u64, now: MonotonicTime) -> FleetUpdate {
+        FleetUpdate {
             backends: book.region_backends_after(self.region, cursor, now),
             departed: book.region_departed_after(self.region, cursor),
             gateways: self.gateways(book, cursor),
         }
     }
 
-    fn gateways(&self, book: &FleetBook, cursor: u64) -> Vec<GatewayStanding> {
+    fn gateways(&self, book: &FleetRegistry, cursor: u64) -> Vec<GatewayObservation> {
         let mut told = Vec::new();
         let mut away: BTreeMap<&RegionName, (bool, Vec<_>)> = BTreeMap::new();
         for entry in book.gateways() {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        BackendRecord, BackendStanding, DepartedRun, GatewayPhase, GatewayProfile, GatewayStanding,
-        RegionOffer, ServingState, SyncReply,
+        BackendObservation, BackendRecord, DepartedRun, GatewayObservation, GatewayPhase,
+        GatewayProfile, RegionOffer, ServingState, SyncReply,
     },
     bytes::Bytes,
     gullglade_traffic::{TrafficConfig, TrafficError, TrafficFormat},
@@ -39,7 +39,7 @@
 
 /// The traffic configuration in force at this gateway.
 #[derive(Clone)]
-pub struct TrafficInForce {
+pub struct ActiveTraffic {
     /// The configuration.
     pub config: Rc<TrafficConfig>,
     /// Its text.
@@ -136,7 +136,7 @@
 /// The view of one gateway.
 pub struct FleetView {
     format: Rc<dyn TrafficFormat>,
-    traffic: Option<TrafficInForce>,
+    traffic: Option<ActiveTraffic>,
     /// A time at which the configuration in force is known to have been the newest.
     confirmed: Option<BootTime>,
     backends: BTreeMap<BackendName, Believed<BackendRow>>,
@@ -166,7 +166,7 @@
     }
 
     /// The configuration in force; `None` before the first.
-    pub fn traffic(&self) -> Option<&TrafficInForce> {
+    pub fn traffic(&self) -> Option<&ActiveTraffic> {
         self.traffic.as_ref()
     }
 
@@ -256,7 +256,7 @@
         now: MonotonicTime,
     ) -> Result<ViewChange, TrafficError> {
         if whole {
-            self.forget_voice(control, now);
+            self.remove_control(control, now);
         }
         let has_rows =
             !(reply.departed.is_empty() && reply.backends.is_empty() && reply.gateways.is_empty());
@@ -296,7 +296,7 @@
     }
 
     /// Notes that `control` is no longer heard: what it said last is no longer vouched for.
-    pub fn forget_voice(&mut self, control: SocketAddr, now: MonotonicTime) {
+    pub fn remove_control(&mut self, control: SocketAddr, now: MonotonicTime) {
         self.gateway_totals.remove(&control);
         self.backends.values_mut().for_each(|b| b.drop_voice(control, now));
         self.gateways.values_mut().for_each(|g| g.drop_voice(control, now));
@@ -325,7 +325,7 @@
         };
         let evacuated = Rc::new(snapshot.evacuated);
         self.traffic =
-            Some(TrafficInForce { config, text, evacuated, index: snapshot.index, since: now });
+            Some(ActiveTraffic { config, text, evacuated, index: snapshot.index, since: now });
         Ok(true)
     }
 
@@ -344,11 +344,11 @@
     fn merge_backend(
         &mut self,
         control: SocketAddr,
-        standing: BackendStanding,
+        standing: BackendObservation,
         now: MonotonicTime,
         change: &mut ViewChange,
     ) {
-        let BackendStanding { record, is_silent, is_recalled } = standing;
+        let BackendObservation { record, is_silent, is_recalled } = standing;
         if self.departed.get(&record.name).is_some_and(|(last, _)| record.incarnation <= *last) {
             return;
         }
@@ -403,11 +403,11 @@
     fn merge_gateway(
         &mut self,
         control: SocketAddr,
-        standing: GatewayStanding,
+        standing: GatewayObservation,
         now: MonotonicTime,
         change: &mut ViewChange,
     ) {
-        let GatewayStanding { profile, phase, is_silent } = standing;
+        let GatewayObservation { profile, phase, is_silent } = standing;
         let vm = profile.vm.clone();
         let row = GatewayRow { profile, phase, is_silent: false };
         let known = self.gateways.entry(vm.clone()).or_insert_with(|| {
--- a/crates/fleet/tests/audience.rs
+++ b/crates/fleet/tests/audience.rs
@@ -2,10 +2,10 @@
 
 use {
     gullglade_fleet::{
-        Audience, BackendRecord, FleetBook, FleetNews, FleetSettings, FleetView, GatewayPhase,
-        GatewayProfile, GatewayPulse, GatewayStanding, ServingState, SyncReply,
+        BackendRecord, FleetRegistry, FleetSettings, FleetUpdate, FleetView, GatewayAnnouncement,
+        GatewayObservation, GatewayPhase, GatewayProfile, ServingState, SyncReply, UpdateFilter,
     },
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_traffic::{RawTraffic, TrafficError, TrafficFormat},
     gullglade_units::{
         BackendName, BootTime, FailureDomain, Incarnation, MonotonicTime, RegionName, ServiceName,
@@ -60,8 +60,8 @@
     }
 }
 
-fn pulse(place: &str, index: usize, phase: GatewayPhase) -> GatewayPulse {
-    GatewayPulse {
+fn gateway_announcement(place: &str, index: usize, phase: GatewayPhase) -> GatewayAnnouncement {
+    GatewayAnnouncement {
         profile: GatewayProfile {
             vm: vm(place, index),
             run: 1,
@@ -75,11 +75,11 @@
 }
 
 /// A book of three regions with 40 gateways and 10 backend servers each.
-fn book() -> FleetBook {
-    let mut book = FleetBook::new(FleetSettings::new(Duration::from_millis(1_200)), at(0));
+fn book() -> FleetRegistry {
+    let mut book = FleetRegistry::new(FleetSettings::new(Duration::from_millis(1_200)), at(0));
     for place in REGIONS {
         for index in 0..GATEWAYS {
-            book.pulse(&pulse(place, index, GatewayPhase::Ready), at(0));
+            book.announce_gateway(&gateway_announcement(place, index, GatewayPhase::Ready), at(0));
         }
         for index in 0..10 {
             book.announce(record(place, index), at(0));
@@ -89,12 +89,12 @@
 }
 
 /// What the first gateway of puget is told.
-fn news(book: &FleetBook, cursor: u64) -> FleetNews {
+fn news(book: &FleetRegistry, cursor: u64) -> FleetUpdate {
     let (vm, region) = (vm("puget", 0), region("puget"));
-    Audience { vm: &vm, region: &region }.news(book, cursor, at(10))
+    UpdateFilter { vm: &vm, region: &region }.updates(book, cursor, at(10))
 }
 
-fn of_region<'a>(news: &'a FleetNews, name: &str) -> Vec<&'a GatewayStanding> {
+fn of_region<'a>(news: &'a FleetUpdate, name: &str) -> Vec<&'a GatewayObservation> {
     let name = region(name);
     news.gateways.iter().filter(|g| g.profile.region == name).collect()
 }
@@ -122,7 +122,7 @@
     let before = news(&book, 0);
     let used = of_region(&before, "columbia")[0].profile.vm.clone();
     let index = used.as_str().rsplit('-').next().expect("a number").parse().expect("a number");
-    book.pulse(&pulse("columbia", index, GatewayPhase::Stopping), at(5));
+    book.announce_gateway(&gateway_announcement("columbia", index, GatewayPhase::Stopping), at(5));
     let after = news(&book, cursor);
     let told = of_region(&after, "columbia");
     let stopped = told.iter().find(|g| g.profile.vm == used).expect("it is told of the stop");
@@ -180,8 +180,8 @@
     let mut view = FleetView::new(Rc::new(NoFormat));
     let book = book();
     let (vm, own_region) = (vm("puget", 0), region("puget"));
-    let audience = Audience { vm: &vm, region: &own_region };
-    let FleetNews { backends, departed, gateways } = audience.news(&book, 0, at(0));
+    let audience = UpdateFilter { vm: &vm, region: &own_region };
+    let FleetUpdate { backends, departed, gateways } = audience.updates(&book, 0, at(0));
     let reply = SyncReply {
         run: 1,
         cursor: 1,
@@ -189,7 +189,7 @@
         departed,
         gateways,
         gateway_total: 120,
-        crashes: CrashNews::default(),
+        crashes: CrashUpdate::default(),
         regions: Vec::new(),
         traffic: None,
         confirmed_ago: None,
@@ -197,7 +197,7 @@
         controls: Vec::new(),
     };
     view.merge(([10, 0, 0, 1], 80).into(), true, reply, boot(0), at(0)).expect("merged");
-    let own = pulse("puget", 0, GatewayPhase::Ready).profile;
+    let own = gateway_announcement("puget", 0, GatewayPhase::Ready).profile;
     let told = view.neighbours(&own, 10, at(1));
     assert_eq!(told.len(), 10);
     assert!(!told.contains(&own.peer_address));
@@ -225,9 +225,9 @@
         Case { phase: GatewayPhase::Ready, at_ms: 5_000, total: 0 },
     ];
     for Case { phase, at_ms, total } in cases {
-        let mut book = FleetBook::new(FleetSettings::new(Duration::from_millis(1_200)), at(0));
+        let mut book = FleetRegistry::new(FleetSettings::new(Duration::from_millis(1_200)), at(0));
         for index in 0..5 {
-            book.pulse(&pulse("puget", index, phase), at(0));
+            book.announce_gateway(&gateway_announcement("puget", index, phase), at(0));
         }
         book.tick(at(at_ms));
         assert_eq!(book.gateway_total(), total, "{phase} after {at_ms} ms");
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -3,11 +3,11 @@
 use {
     bytes::Bytes,
     gullglade_fleet::{
-        BackendRecord, BackendStanding, DepartedRun, FleetBook, FleetSettings, FleetView,
-        GatewayPhase, GatewayProfile, GatewayPulse, GatewayStanding, ServiceOffer, ServingState,
-        SyncReply, TrafficSnapshot,
+        BackendObservation, BackendRecord, DepartedRun, FleetRegistry, FleetSettings, FleetView,
+        GatewayAnnouncement, GatewayObservation, GatewayPhase, GatewayProfile, ServiceOffer,
+        ServingState, SyncReply, TrafficSnapshot,
     },
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_traffic::{
         CallerLimits, ColdRules, RawRoute, RawService, RawTraffic, RequestKind, TrafficError,
         TrafficFormat,
@@ -56,9 +56,9 @@
     }
 }
 
-fn pulse(vm: &str, place: &str, phase: GatewayPhase) -> GatewayPulse {
+fn gateway_announcement(vm: &str, place: &str, phase: GatewayPhase) -> GatewayAnnouncement {
     let host = vm.bytes().last().unwrap_or(0);
-    GatewayPulse {
+    GatewayAnnouncement {
         profile: GatewayProfile {
             vm: VmName::try_from(vm).expect("a name"),
             run: 1,
@@ -127,7 +127,7 @@
         departed: Vec::new(),
         gateways: Vec::new(),
         gateway_total: 0,
-        crashes: CrashNews::default(),
+        crashes: CrashUpdate::default(),
         regions: Vec::new(),
         traffic: None,
         confirmed_ago: None,
@@ -143,7 +143,7 @@
 
 fn told(record: BackendRecord, is_silent: bool) -> SyncReply {
     SyncReply {
-        backends: vec![BackendStanding { record, is_silent, is_recalled: false }],
+        backends: vec![BackendObservation { record, is_silent, is_recalled: false }],
         ..reply()
     }
 }
@@ -183,7 +183,7 @@
         Case { before: Vec::new(), has_left: true, late: (1, serving), expected: None },
     ];
     for (index, case) in cases.iter().enumerate() {
-        let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+        let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
         for (sequence, state) in &case.before {
             book.announce(record("i-1", *sequence, *state), at(10));
         }
@@ -200,7 +200,7 @@
 
 #[test]
 fn gateways_are_told_only_what_they_lack() {
-    let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     book.announce(record("i-1", 1, ServingState::Serving), at(10));
     let cursor = book.last_change();
     book.announce(record("i-1", 2, ServingState::Serving), at(1_200));
@@ -213,9 +213,9 @@
 
 #[test]
 fn silence_is_noticed_once_and_ends_with_a_word() {
-    let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     book.announce(record("i-1", 1, ServingState::Serving), at(0));
-    book.pulse(&pulse("edge-1", "puget", GatewayPhase::Ready), at(0));
+    book.announce_gateway(&gateway_announcement("edge-1", "puget", GatewayPhase::Ready), at(0));
     assert_eq!(book.tick(at(1_500)), (Vec::new(), Vec::new()));
     assert_eq!(book.tick(at(2_000)).1.len(), 1, "a gateway calls every 0.6 s");
     assert_eq!(book.tick(at(5_000)).0.len(), 1, "four intervals");
@@ -232,7 +232,7 @@
         homes: &'static [&'static str],
         expected: &'static [u8],
     }
-    let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     let (ready, starting) = (GatewayPhase::Ready, GatewayPhase::Starting);
     for (vm, place, phase) in [
         ("a", "puget", ready),
@@ -242,7 +242,7 @@
         ("e", "south", starting),
         ("f", "north", GatewayPhase::Stopping),
     ] {
-        book.pulse(&pulse(vm, place, phase), at(0));
+        book.announce_gateway(&gateway_announcement(vm, place, phase), at(0));
     }
     let cases = [
         Case { place: "puget", homes: &["columbia"], expected: b"a" },
@@ -262,7 +262,7 @@
 
 #[test]
 fn what_a_region_offers_is_the_mean_of_its_ready_gateways() {
-    let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     let offer = |first_byte_ms: [u32; 2]| ServiceOffer {
         service: ServiceName::try_from("pool").expect("a name"),
         backends: 4,
@@ -273,8 +273,8 @@
         ("b", GatewayPhase::Ready, [300, 800]),
         ("c", GatewayPhase::Stopping, [9_000, 9_000]),
     ] {
-        let pulse = pulse(vm, "puget", phase);
-        book.pulse(&pulse, at(0));
+        let pulse = gateway_announcement(vm, "puget", phase);
+        book.announce_gateway(&pulse, at(0));
         book.note_offers(&pulse.profile.vm, vec![offer(wait)]);
     }
     let offers = book.region_offers();
@@ -431,9 +431,9 @@
 fn another_run_of_a_gateway_ends_the_word_on_the_one_before() {
     let mut view = view();
     let standing = |run, phase, is_silent| {
-        let mut profile = pulse("a", "puget", phase).profile;
+        let mut profile = gateway_announcement("a", "puget", phase).profile;
         profile.run = run;
-        SyncReply { gateways: vec![GatewayStanding { profile, phase, is_silent }], ..reply() }
+        SyncReply { gateways: vec![GatewayObservation { profile, phase, is_silent }], ..reply() }
     };
     let ready = GatewayPhase::Ready;
     view.merge(address(1), true, standing(1, ready, false), boot(0), at(0)).expect("merged");
@@ -582,7 +582,7 @@
         ..record("i-1", sequence, ServingState::Serving)
     };
     for case in cases {
-        let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+        let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
         if let Some(incarnation) = case.before {
             book.announce(said(incarnation, 40), at(10));
         }
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -4,10 +4,12 @@
     gullglade_control::{DataFolder, DiskError, FileStat},
     gullglade_event::{MemorySink, MetricSet},
     gullglade_fleet::{
-        BackendRecord, BackendStanding, FleetBook, FleetMemory, FleetServer, FleetSettings,
-        FleetView, ServingState, SyncReply, TrafficSnapshot, TrafficSource,
+        BackendObservation, BackendRecord, FleetRegistry, FleetServer, FleetSettings,
+        FleetSnapshot, FleetView, ServingState, SyncReply, TrafficSnapshot, TrafficSource,
+    },
+    gullglade_poison::{
+        CrashTrackerSettings, CrashUpdate, FingerprintKey, RequestContent, SharedCrashTracker,
     },
-    gullglade_poison::{AccountSettings, CrashLedger, CrashNews, PrintKey, RequestView},
     gullglade_traffic::{RawTraffic, TrafficError, TrafficFormat},
     gullglade_units::{
         BackendName, BackendRun, BootTime, FailureDomain, Incarnation, LocalFuture, MonotonicTime,
@@ -136,9 +138,9 @@
     }
 }
 
-fn ledger(context: &ProcessContext) -> Rc<CrashLedger> {
-    CrashLedger::new(
-        AccountSettings::default(),
+fn ledger(context: &ProcessContext) -> Rc<SharedCrashTracker> {
+    SharedCrashTracker::new(
+        CrashTrackerSettings::default(),
         Rc::clone(&context.clock),
         Rc::<MemorySink>::default(),
         Rc::new(MetricSet::new().expect("metrics")),
@@ -151,9 +153,14 @@
 fn requests_that_end_backend_servers_are_recalled() {
     let (world, _) = FakeWorld::new(1);
     let folder: Rc<MemoryFolder> = Rc::default();
-    let view =
-        RequestView { method: "POST", host: "h", target: "/", credentials: b"", body: b"question" };
-    let print = PrintKey::from([1; 32]).print(&view);
+    let view = RequestContent {
+        method: "POST",
+        host: "h",
+        target: "/",
+        credentials: b"",
+        body: b"question",
+    };
+    let print = FingerprintKey::from([1; 32]).fingerprint(&view);
     let start = || {
         let process = world.process();
         let (context, events) = (process.context().clone(), Rc::<MemorySink>::default());
@@ -267,11 +274,11 @@
         case("it has left", Some(false), true, 100, None),
     ];
     for case in cases {
-        let mut before = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+        let mut before = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
         before.announce(record("i-1", 5), at(10));
-        let memory: FleetMemory = before.memory(at(20));
-        let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
-        book.recall(memory, at(10_000));
+        let memory: FleetSnapshot = before.snapshot(at(20));
+        let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        book.restore(memory, at(10_000));
 
         let mut view = FleetView::new(Rc::new(NoFormat));
         let reply = |backends, departed| SyncReply {
@@ -281,7 +288,7 @@
             departed,
             gateways: Vec::new(),
             gateway_total: 0,
-            crashes: CrashNews::default(),
+            crashes: CrashUpdate::default(),
             regions: Vec::new(),
             traffic: None,
             confirmed_ago: None,
@@ -290,12 +297,12 @@
         };
         if let Some(is_silent) = case.told {
             let record = record("i-1", 7);
-            let told = BackendStanding { record, is_silent, is_recalled: false };
+            let told = BackendObservation { record, is_silent, is_recalled: false };
             view.merge(control(2), true, reply(vec![told], Vec::new()), boot(9_000), at(9_000))
                 .expect("merged");
         }
         if case.has_left {
-            let mut other = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+            let mut other = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
             other.leave(&name("i-1"), WallMillis(50_000), at(9_500));
             let departed = reply(Vec::new(), other.departed_after(0));
             view.merge(control(2), false, departed, boot(9_500), at(9_500)).expect("merged");
@@ -307,12 +314,12 @@
     }
 
     // An announcement makes a hint a fact, whatever its count.
-    let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
-    book.recall(
-        FleetMemory {
+    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+    book.restore(
+        FleetSnapshot {
             backends: vec![record("i-1", 5)],
             departed: Vec::new(),
-            crashes: CrashNews::default(),
+            crashes: CrashUpdate::default(),
         },
         at(0),
     );
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -12,7 +12,7 @@
     gullglade_backend::{BackendKind, BackendTarget, BackendView, PrefixHash},
     gullglade_document::ServiceTarget,
     gullglade_route::{
-        BackendRole, Candidate, EngineCapacity, GladeSettings, HealthState, LoadReport, OwnLoad,
+        BackendRole, Candidate, EngineCapacity, HealthState, LatencySettings, LoadReport, OwnLoad,
         RefuseReason, RegionOffer, Residency, RouteDecision, RoutePolicy, RouteRequest,
         RouteWeights, permit_capacity,
     },
@@ -69,7 +69,7 @@
                     let prefill = plan.prompt.tokens.saturating_sub(cached);
                     Placement::Local(BackendPlace::new(usable[backend], prefill))
                 }
-                RouteDecision::Away { offer } => Placement::Away(offers[offer].region.clone()),
+                RouteDecision::Forward { offer } => Placement::Away(offers[offer].region.clone()),
                 RouteDecision::Wait { at_most } => Placement::Wait(at_most),
                 RouteDecision::Refuse { reason, retry_after } => {
                     let first_end = admitted().filter_map(|view| view.backoff_until).min();
@@ -93,7 +93,7 @@
         let weight = plan.document.latency_weight;
         RouteRequest {
             now,
-            here: &self.config.region,
+            local_region: &self.config.region,
             origin: plan.origin.as_ref(),
             residency: Residency::Only(regions),
             home: plan.home.as_ref(),
@@ -101,7 +101,7 @@
             model,
             role: if model.is_some() { BackendRole::Generate } else { BackendRole::Service },
             prompt_tokens: clamp_u32(plan.prompt.tokens),
-            hold: self.average_hold(&plan.target),
+            holding_time: self.average_hold(&plan.target),
             target: plan.document.target.first_token,
             deadline: Some(self.remaining(plan)),
             waited: now.since(plan.received),
@@ -120,7 +120,7 @@
     pub(crate) fn refresh_capacity(&self, target: &ServiceTarget) {
         let model = target_model(target);
         let gateways = self.directory.members();
-        let GladeSettings { overcommit, reserve, .. } = GladeSettings::default();
+        let LatencySettings { overcommit, reserve, .. } = LatencySettings::default();
         let capacity = self.backends.with_candidates(backend_target(target), |views| {
             // What one server cannot take for now must not be let through to the others. Where
             // none takes anything, requests wait for the first that does.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_http::{ApiError, HttpClient, ReplyBody, RequestBody, RequestHandler},
     gullglade_peer::PeerTransport,
-    gullglade_route::{AwaySettings, CheckedPolicy, GladePolicy, GladeSettings},
+    gullglade_route::{CheckedPolicy, ForwardingSettings, LatencyPolicy, LatencySettings},
     gullglade_units::{LocalFuture, ModelName, ProcessContext, ServiceName},
     http::{Method, Request, Response},
     std::{
@@ -90,7 +90,7 @@
 /// A policy and the document's cap that it was made for.
 struct PolicyEntry {
     cap: f64,
-    policy: Rc<CheckedPolicy<GladePolicy>>,
+    policy: Rc<CheckedPolicy<LatencyPolicy>>,
 }
 
 /// A retry budget and the document's share that it was made for.
@@ -233,7 +233,7 @@
 
     /// The policy that decides `plan`: one for each service and target, since each has its own
     /// account of what it sent away. Replaced where the document's cap changed.
-    pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<GladePolicy>> {
+    pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<LatencyPolicy>> {
         let key = (plan.service().clone(), plan.target.clone());
         let cap = plan.document.limits.away_share;
         let mut policies = self.policies.borrow_mut();
@@ -261,9 +261,9 @@
 
 impl PolicyEntry {
     fn new(cap: f64) -> Self {
-        let away = AwaySettings { cap, ..AwaySettings::default() };
-        let settings = GladeSettings { away, ..GladeSettings::default() };
-        Self { cap, policy: Rc::new(CheckedPolicy::new(GladePolicy::new(settings))) }
+        let away = ForwardingSettings { max_share: cap, ..ForwardingSettings::default() };
+        let settings = LatencySettings { forwarding: away, ..LatencySettings::default() };
+        Self { cap, policy: Rc::new(CheckedPolicy::new(LatencyPolicy::new(settings))) }
     }
 }
 
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -12,7 +12,7 @@
         work::{CostMeter, WorkGuard},
     },
     futures::future::{Either, select},
-    gullglade_admission::{AdmissionPermit, AdmissionPriority, AdmissionTicket},
+    gullglade_admission::{AdmissionPermit, AdmissionPriority, AdmissionRequest},
     gullglade_document::Priority,
     gullglade_http::ApiError,
     gullglade_route::RefuseReason,
@@ -189,7 +189,7 @@
 
     fn enter_queue(&self, plan: &CallPlan) -> SlotWait {
         self.refresh_capacity(&plan.target);
-        self.admission.enter(AdmissionTicket {
+        self.admission.acquire(AdmissionRequest {
             workspace: plan.workspace.clone(),
             share: f64::from(plan.share),
             model: self.queue_name(&plan.target),
@@ -237,7 +237,7 @@
         }
         let budget = self.retry_budget(&plan.document);
         loop {
-            let pause = budget.pause(self.context.clock.now());
+            let pause = budget.retry_after(self.context.clock.now());
             if pause.is_zero() || pause >= self.remaining(plan) {
                 return;
             }
--- a/crates/gateway/src/span.rs
+++ b/crates/gateway/src/span.rs
@@ -38,7 +38,7 @@
         let service = &document.name;
         let started = gateway.context.clock.now();
         gateway.metrics.open_requests().inc();
-        gateway.retry_budget(document).first_attempt(started);
+        gateway.retry_budget(document).record_first_attempt(started);
         gateway.events.emit(
             EventDraft::new("request.received")
                 .field("request", id)
--- a/crates/node/src/held_requests.rs
+++ b/crates/node/src/held_requests.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use {
-    gullglade_poison::{CrashLedger, PrintError, RequestPrint},
+    gullglade_poison::{ContentFingerprint, FingerprintError, SharedCrashTracker},
     serde::{Deserialize, Serialize},
     snafu::Snafu,
     std::rc::Rc,
@@ -26,28 +26,28 @@
     #[snafu(display("{source}"), context(false))]
     Print {
         /// What is wrong with it.
-        source: PrintError,
+        source: FingerprintError,
     },
     /// Nothing is known of it.
     #[snafu(display("no backend server ended under {print} lately; see the list of those held"))]
     Unknown {
         /// The fingerprint.
-        print: RequestPrint,
+        print: ContentFingerprint,
     },
 }
 
 /// The requests that are held back, as one process counts.
-pub struct HeldRequests(Rc<CrashLedger>);
+pub struct HeldRequests(Rc<SharedCrashTracker>);
 
 impl HeldRequests {
     /// Those of `ledger`.
-    pub fn new(ledger: Rc<CrashLedger>) -> Self {
+    pub fn new(ledger: Rc<SharedCrashTracker>) -> Self {
         Self(ledger)
     }
 
     /// All of them.
     pub fn list(&self) -> Vec<HeldRow> {
-        let row = |(print, hold): (RequestPrint, gullglade_poison::RequestHold)| HeldRow {
+        let row = |(print, hold): (ContentFingerprint, gullglade_poison::RequestHold)| HeldRow {
             fingerprint: print.to_string(),
             ends: hold.ends,
             left_ms: u64::try_from(hold.left.as_millis()).unwrap_or(u64::MAX),
@@ -58,8 +58,8 @@
     /// Lets one go, here and at all gateways that this process reaches: what ended under it before
     /// counts no more.
     pub fn let_go(&self, fingerprint: &str) -> Result<(), HeldError> {
-        let print = RequestPrint::try_from(fingerprint)?;
-        match self.0.let_go(print) {
+        let print = ContentFingerprint::try_from(fingerprint)?;
+        match self.0.release(print) {
             true => Ok(()),
             false => UnknownSnafu { print }.fail(),
         }
--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -14,7 +14,7 @@
     },
     gullglade_http::{ClientConfig, PooledClient, RequestHandler, ServerConfig, StopHandle},
     gullglade_peer::{NoticePort, PeerPool, PeerStopHandle},
-    gullglade_poison::{AccountSettings, CrashLedger},
+    gullglade_poison::{CrashTrackerSettings, SharedCrashTracker},
     gullglade_proxy::{BackendDialect, Dispatcher, ForwardServer, Proxy, ProxyParts},
     gullglade_quota::QuotaTolerance,
     gullglade_traffic::TrafficFormat,
@@ -55,7 +55,7 @@
     /// Limits that all gateways share.
     pub scheduler: SchedulerSettings,
     /// When requests are held back that end backend servers.
-    pub crashes: AccountSettings,
+    pub crashes: CrashTrackerSettings,
     /// The time after which a key that was taken away must be refused, also without contact to
     /// control processes; `None` where a gateway without contact may go on.
     pub revocation: Option<Duration>,
@@ -97,7 +97,7 @@
         let notices =
             NoticePort::bind(settings.core.peer_address, &settings.core.peer, context.clone())
                 .context(NoticeStart)?;
-        let crashes = CrashLedger::new(
+        let crashes = SharedCrashTracker::new(
             settings.crashes,
             Rc::clone(&context.clock),
             Rc::clone(&events),
--- a/crates/node/src/seeded_control.rs
+++ b/crates/node/src/seeded_control.rs
@@ -9,7 +9,7 @@
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_fleet::{FleetServer, FleetSettings},
     gullglade_http::{RequestHandler, ServerConfig},
-    gullglade_poison::{AccountSettings, CrashLedger},
+    gullglade_poison::{CrashTrackerSettings, SharedCrashTracker},
     gullglade_units::ProcessContext,
     snafu::ResultExt,
     std::{net::SocketAddr, rc::Rc},
@@ -24,7 +24,7 @@
     /// The fleet.
     pub fleet: FleetSettings,
     /// When requests are held back that end backend servers.
-    pub crashes: AccountSettings,
+    pub crashes: CrashTrackerSettings,
 }
 
 /// A running control process.
@@ -32,7 +32,7 @@
     context: ProcessContext,
     control: ControlNode,
     fleet: Rc<FleetServer>,
-    crashes: Rc<CrashLedger>,
+    crashes: Rc<SharedCrashTracker>,
     events: Rc<dyn EventSink>,
     metrics: Rc<MetricSet>,
 }
@@ -59,7 +59,7 @@
         .context(crate::error::ControlStart)?;
         control.serve(&core.handlers);
         let source = Rc::new(control.clone());
-        let crashes = CrashLedger::new(
+        let crashes = SharedCrashTracker::new(
             settings.crashes,
             Rc::clone(&context.clock),
             Rc::clone(&events),
--- a/crates/poison/benches/print.rs
+++ b/crates/poison/benches/print.rs
@@ -3,14 +3,14 @@
 
 use {
     criterion::{Criterion, criterion_group, criterion_main},
-    gullglade_poison::{PrintKey, RequestView},
+    gullglade_poison::{FingerprintKey, RequestContent},
 };
 
-fn print(c: &mut Criterion) {
-    let key = PrintKey::from([7; 32]);
+fn fingerprint(c: &mut Criterion) {
+    let key = FingerprintKey::from([7; 32]);
     for kilobytes in [1_usize, 8, 64] {
         let body = vec![42; kilobytes << 10];
-        let view = RequestView {
+        let view = RequestContent {
             method: "POST",
             host: "host.example",
             target: "/a/b?c=d",
@@ -18,10 +18,10 @@
             body: &body,
         };
         c.bench_function(&format!("fingerprint of a body of {kilobytes} KB"), |bencher| {
-            bencher.iter(|| key.print(&view));
+            bencher.iter(|| key.fingerprint(&view));
         });
     }
 }
 
-criterion_group!(benches, print);
+criterion_group!(benches, fingerprint);
 criterion_main!(benches);
--- a/crates/poison/src/print.rs
+++ b/crates/poison/src/fingerprint.rs
@@ -17,7 +17,7 @@
 /// path, and is another request. Left out is what a repeat may change though it asks for the same:
 /// its id, its deadline, the caller's address and hints.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestView<'a> {
+pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
     /// The host that the caller named.
@@ -30,14 +30,14 @@
     pub body: &'a [u8],
 }
 
-/// The fingerprint of a request: a keyed 128-bit hash (HighwayHash) of its [`RequestView`].
+/// The fingerprint of a request: a keyed 128-bit hash (HighwayHash) of its [`RequestContent`].
 ///
 /// Neither body nor credentials can be read back from it, so it may be logged and told to other
 /// processes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RequestPrint([u64; 2]);
+pub struct ContentFingerprint([u64; 2]);
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for ContentFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}{:016x}", self.0[0], self.0[1])
     }
@@ -49,15 +49,15 @@
     "{text:?} is no fingerprint; give the 32 hexadecimal digits that a log line has after \
      fingerprint="
 ))]
-pub struct PrintError {
+pub struct FingerprintError {
     text: String,
 }
 
-impl TryFrom<&str> for RequestPrint {
-    type Error = PrintError;
+impl TryFrom<&str> for ContentFingerprint {
+    type Error = FingerprintError;
 
-    fn try_from(text: &str) -> Result<Self, PrintError> {
-        let invalid = || PrintError { text: text.chars().take(64).collect() };
+    fn try_from(text: &str) -> Result<Self, FingerprintError> {
+        let invalid = || FingerprintError { text: text.chars().take(64).collect() };
         let is_hexadecimal = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let whole = u128::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
         let whole = whole.ok_or_else(invalid)?.to_be_bytes();
@@ -66,27 +66,27 @@
     }
 }
 
-impl fmt::Debug for RequestPrint {
+impl fmt::Debug for ContentFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "RequestPrint({self})")
+        write!(f, "ContentFingerprint({self})")
     }
 }
 
-impl FieldValue for RequestPrint {}
+impl FieldValue for ContentFingerprint {}
 
 /// The key of the fleet's fingerprints. All gateways make it from the secret that they share, so
 /// their fingerprints are alike; a caller that does not know it cannot make a request whose
 /// fingerprint is that of somebody else's.
 #[derive(Clone, Copy)]
-pub struct PrintKey([u64; 4]);
+pub struct FingerprintKey([u64; 4]);
 
-impl fmt::Debug for PrintKey {
+impl fmt::Debug for FingerprintKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("PrintKey(..)")
+        f.write_str("FingerprintKey(..)")
     }
 }
 
-impl From<[u8; 32]> for PrintKey {
+impl From<[u8; 32]> for FingerprintKey {
     fn from(bytes: [u8; 32]) -> Self {
         let mut words = [0; 4];
         for (word, chunk) in words.iter_mut().zip(bytes.chunks_exact(8)) {
@@ -96,16 +96,16 @@
     }
 }
 
-impl PrintKey {
+impl FingerprintKey {
     /// The fingerprint of a request.
-    pub fn print(&self, request: &RequestView<'_>) -> RequestPrint {
+    pub fn fingerprint(&self, request: &RequestContent<'_>) -> ContentFingerprint {
         let mut hasher = HighwayHasher::new(Key(self.0));
-        let RequestView { method, host, target, credentials, body } = *request;
+        let RequestContent { method, host, target, credentials, body } = *request;
         for field in [method.as_bytes(), host.as_bytes(), target.as_bytes(), credentials, body] {
             // With its length in front, no field can take over a part of its neighbour.
             hasher.append(&(field.len() as u64).to_le_bytes());
             hasher.append(field);
         }
-        RequestPrint(hasher.finalize128())
+        ContentFingerprint(hasher.finalize128())
     }
 }
--- a/crates/poison/src/lib.rs
+++ b/crates/poison/src/lib.rs
@@ -5,10 +5,10 @@
 //! these sends ends another engine with all the requests that it runs, until most engines are
 //! restarting. Limits on the attempts of one id do not see it.
 //!
-//! So requests are told by what they are ([`RequestPrint`]) and counted over the fleet
-//! ([`CrashAccount`]): each gateway notes under which request a backend server's connection broke
+//! So requests are told by what they are ([`ContentFingerprint`]) and counted over the fleet
+//! ([`CrashTracker`]): each gateway notes under which request a backend server's connection broke
 //! and tells the control processes, which tell all gateways of every request under which two or
-//! more have ended ([`CrashNews`]). After the third the request is held back everywhere.
+//! more have ended ([`CrashUpdate`]). After the third the request is held back everywhere.
 //!
 //! # By what evidence the cause is told from a bystander
 //!
@@ -30,18 +30,18 @@
 //! A cause that is missed ends one more backend server each time. A bystander that is held back
 //! gets a failure that says so, for ten minutes at most; then it is tried again.
 
-mod account;
-mod ledger;
-mod news;
-mod print;
+mod fingerprint;
 mod record;
 mod settings;
-mod time;
+mod shared;
+mod signed_time;
+mod tracker;
+mod update;
 
 pub use {
-    account::{CrashAccount, NewsScope, RequestHold},
-    ledger::CrashLedger,
-    news::{CrashNews, CrashReport, RunLife, SendEnd, SendReport},
-    print::{PrintError, PrintKey, RequestPrint, RequestView},
-    settings::{AccountError, AccountSettings, RawAccount},
+    fingerprint::{ContentFingerprint, FingerprintError, FingerprintKey, RequestContent},
+    settings::{CrashTrackerSettings, CrashTrackerSettingsError, RawCrashTrackerSettings},
+    shared::SharedCrashTracker,
+    tracker::{CrashTracker, RequestHold, UpdateScope},
+    update::{CrashReport, CrashUpdate, RunAliveReport, SendEnd, SendReport},
 };
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/shared.rs
@@ -1,7 +1,10 @@
 //! The account of a running process: with a clock, log lines and metrics.
 
 use {
-    crate::{AccountSettings, CrashAccount, CrashNews, NewsScope, RequestHold, RequestPrint},
+    crate::{
+        ContentFingerprint, CrashTracker, CrashTrackerSettings, CrashUpdate, RequestHold,
+        UpdateScope,
+    },
     gullglade_event::{EventDraft, EventSink, Level, MetricSet},
     gullglade_units::{BackendRun, Clock, MonotonicTime},
     std::{
@@ -17,27 +20,27 @@
 
 /// The account of one process, shared by the requests that it counts and the session that tells
 /// others of it.
-pub struct CrashLedger {
-    account: RefCell<CrashAccount>,
+pub struct SharedCrashTracker {
+    account: RefCell<CrashTracker>,
     clock: Rc<dyn Clock>,
     events: Rc<dyn EventSink>,
     metrics: Rc<MetricSet>,
     /// What is held back, as it was told last.
-    told: RefCell<BTreeSet<RequestPrint>>,
+    told: RefCell<BTreeSet<ContentFingerprint>>,
     expired: Cell<MonotonicTime>,
 }
 
-impl CrashLedger {
+impl SharedCrashTracker {
     /// The account of a process that has seen nothing yet.
     pub fn new(
-        settings: AccountSettings,
+        settings: CrashTrackerSettings,
         clock: Rc<dyn Clock>,
         events: Rc<dyn EventSink>,
         metrics: Rc<MetricSet>,
     ) -> Rc<Self> {
         let expired = Cell::new(clock.now());
         Rc::new(Self {
-            account: RefCell::new(CrashAccount::new(settings)),
+            account: RefCell::new(CrashTracker::new(settings)),
             clock,
             events,
             metrics,
@@ -52,29 +55,34 @@
     }
 
     /// Whether a request is held back.
-    pub fn hold(&self, print: &RequestPrint) -> Option<RequestHold> {
-        self.account.borrow().hold(print, self.clock.now())
+    pub fn hold(&self, fingerprint: &ContentFingerprint) -> Option<RequestHold> {
+        self.account.borrow().hold(fingerprint, self.clock.now())
     }
 
     /// All requests that are held back.
-    pub fn holds(&self) -> Vec<(RequestPrint, RequestHold)> {
+    pub fn holds(&self) -> Vec<(ContentFingerprint, RequestHold)> {
         self.account.borrow().holds(self.clock.now())
     }
 
     /// Forgets what is known of a request until now: an operator says that it is sound. False
     /// where nothing is known of it.
-    pub fn let_go(&self, print: RequestPrint) -> bool {
-        let is_known = self.account.borrow_mut().let_go(print, self.clock.now());
+    pub fn release(&self, fingerprint: ContentFingerprint) -> bool {
+        let is_known = self.account.borrow_mut().release(fingerprint, self.clock.now());
         self.tell();
         is_known
     }
 
     /// Notes that the connection to `run` broke while it had the request, sent there at `sent`; how
     /// many backend servers have ended under it.
-    pub fn note_cut_off(&self, print: RequestPrint, run: BackendRun, sent: MonotonicTime) -> usize {
+    pub fn note_cut_off(
+        &self,
+        fingerprint: ContentFingerprint,
+        run: BackendRun,
+        sent: MonotonicTime,
+    ) -> usize {
         let mut account = self.account.borrow_mut();
-        account.note_cut_off(print, run, sent, self.clock.now());
-        let ends = account.ends(&print);
+        account.note_cut_off(fingerprint, run, sent, self.clock.now());
+        let ends = account.crashes(&fingerprint);
         drop(account);
         self.metrics.cut_off();
         self.tell();
@@ -82,25 +90,25 @@
     }
 
     /// Notes a whole answer to a request of which an end is known.
-    pub fn note_answer(&self, print: RequestPrint, answer: u64) {
-        self.account.borrow_mut().note_answer(print, answer, self.clock.now());
+    pub fn note_answer(&self, fingerprint: ContentFingerprint, answer: u64) {
+        self.account.borrow_mut().note_answer(fingerprint, answer, self.clock.now());
         self.tell();
     }
 
     /// Notes that `run` answered a request sent at `sent`.
-    pub fn note_life(&self, run: &BackendRun, sent: MonotonicTime) {
-        if !self.is_empty() && self.account.borrow_mut().note_life(run, sent) {
+    pub fn note_alive(&self, run: &BackendRun, sent: MonotonicTime) {
+        if !self.is_empty() && self.account.borrow_mut().note_alive(run, sent) {
             self.tell();
         }
     }
 
     /// What changed after `cursor`.
-    pub fn news_after(&self, cursor: u64, scope: NewsScope) -> CrashNews {
-        self.account.borrow().news_after(cursor, scope, self.clock.now())
+    pub fn updates_after(&self, cursor: u64, scope: UpdateScope) -> CrashUpdate {
+        self.account.borrow().updates_after(cursor, scope, self.clock.now())
     }
 
     /// Takes in what another process told. Whether it was news.
-    pub fn merge(&self, news: CrashNews) -> bool {
+    pub fn merge(&self, news: CrashUpdate) -> bool {
         let now = self.clock.now();
         let is_news = self.account.borrow_mut().merge(news, now);
         let is_due = now.since(self.expired.get()) >= EXPIRY_INTERVAL;
@@ -117,15 +125,19 @@
     /// Tells of what is held back now and was not before, and of what was let go.
     fn tell(&self) {
         let holds = self.holds();
-        let now: BTreeSet<RequestPrint> = holds.iter().map(|(print, _)| *print).collect();
+        let now: BTreeSet<ContentFingerprint> =
+            holds.iter().map(|(fingerprint, _)| *fingerprint).collect();
         let before = self.told.replace(now.clone());
-        for (print, hold) in holds.iter().filter(|(print, _)| !before.contains(print)) {
+        for (fingerprint, hold) in
+            holds.iter().filter(|(fingerprint, _)| !before.contains(fingerprint))
+        {
             let event = EventDraft::new("poison.held").level(Level::Warn);
-            let event = event.field("fingerprint", *print).field("ends", hold.ends);
+            let event = event.field("fingerprint", *fingerprint).field("ends", hold.ends);
             self.events.emit(event.millis("left_ms", hold.left));
         }
-        for print in before.difference(&now) {
-            self.events.emit(EventDraft::new("poison.let_go").field("fingerprint", *print));
+        for fingerprint in before.difference(&now) {
+            self.events
+                .emit(EventDraft::new("poison.let_go").field("fingerprint", *fingerprint));
         }
         self.metrics.fingerprints_held(now.len());
     }
--- a/crates/poison/src/time.rs
+++ b/crates/poison/src/signed_time.rs
@@ -7,9 +7,9 @@
 /// A gateway that has just started is told of ends that are older than itself. On a clock that
 /// cannot go below its start they would all fall together at 0, and three ends would count as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct AccountTime(i64);
+pub(crate) struct SignedTime(i64);
 
-impl AccountTime {
+impl SignedTime {
     /// The time that was `ago_ms` milliseconds before `now`.
     pub(crate) fn ago(now: MonotonicTime, ago_ms: u32) -> Self {
         Self(Self::from(now).0 - i64::from(ago_ms))
@@ -31,13 +31,13 @@
     }
 }
 
-impl From<MonotonicTime> for AccountTime {
+impl From<MonotonicTime> for SignedTime {
     fn from(time: MonotonicTime) -> Self {
         Self(i64::try_from(time.0.as_millis()).unwrap_or(i64::MAX))
     }
 }
 
-impl std::ops::Add<Duration> for AccountTime {
+impl std::ops::Add<Duration> for SignedTime {
     type Output = Self;
 
     fn add(self, duration: Duration) -> Self {
--- a/crates/poison/src/news.rs
+++ b/crates/poison/src/update.rs
@@ -1,20 +1,20 @@
 //! What gateways and control processes tell each other of requests that end backend servers.
 
 use {
-    crate::RequestPrint,
+    crate::ContentFingerprint,
     gullglade_units::BackendRun,
     serde::{Deserialize, Serialize},
 };
 
 /// What one process knows and another may lack.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// The teller's last change; what it tells next is what came after.
     pub cursor: u64,
     /// What is known of some requests.
     pub reports: Vec<CrashReport>,
     /// Runs that were thought to have ended and have answered since.
-    pub alive: Vec<RunLife>,
+    pub alive: Vec<RunAliveReport>,
 }
 
 /// What is known of one request. It adds to what the listener knows and takes nothing away, so it
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
-    pub print: RequestPrint,
+    pub print: ContentFingerprint,
     /// What happened to sends of it.
     pub sends: Vec<SendReport>,
     /// How long ago it was let go by an operator, milliseconds: what was before counts no more.
@@ -51,7 +51,7 @@
 
 /// A run that was thought to have ended and has answered since.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunLife {
+pub struct RunAliveReport {
     /// The run.
     pub run: BackendRun,
     /// How long ago the request was sent that it answered, milliseconds.
--- a/crates/poison/tests/account.rs
+++ b/crates/poison/tests/account.rs
@@ -2,8 +2,8 @@
 
 use {
     gullglade_poison::{
-        AccountSettings, CrashAccount, CrashNews, NewsScope, PrintKey, RawAccount, RequestPrint,
-        RequestView,
+        ContentFingerprint, CrashTracker, CrashTrackerSettings, CrashUpdate, FingerprintKey,
+        RawCrashTrackerSettings, RequestContent, UpdateScope,
     },
     gullglade_units::{BackendName, BackendRun, Incarnation, MonotonicTime},
     std::time::Duration,
@@ -15,11 +15,11 @@
     MonotonicTime(Duration::from_millis(millis))
 }
 
-fn print(number: u64) -> RequestPrint {
+fn fingerprint(number: u64) -> ContentFingerprint {
     let body = number.to_le_bytes();
     let view =
-        RequestView { method: "POST", host: "h", target: "/", credentials: b"", body: &body };
-    PrintKey::from([1; 32]).print(&view)
+        RequestContent { method: "POST", host: "h", target: "/", credentials: b"", body: &body };
+    FingerprintKey::from([1; 32]).fingerprint(&view)
 }
 
 fn run(number: u64) -> BackendRun {
@@ -27,8 +27,8 @@
     BackendRun { backend, incarnation: Incarnation(1) }
 }
 
-fn account() -> CrashAccount {
-    CrashAccount::new(AccountSettings::default())
+fn account() -> CrashTracker {
+    CrashTracker::new(CrashTrackerSettings::default())
 }
 
 /// One thing that is noted.
@@ -44,18 +44,18 @@
     LetGo(u64, u64),
 }
 
-fn note(account: &mut CrashAccount, what: Note) {
+fn note(account: &mut CrashTracker, what: Note) {
     match what {
         Note::CutOff(request, of, time) => {
             let sent = at(time.saturating_sub(100));
-            account.note_cut_off(print(request), run(of), sent, at(time));
+            account.note_cut_off(fingerprint(request), run(of), sent, at(time));
         }
-        Note::Answer(request, time) => account.note_answer(print(request), time, at(time)),
+        Note::Answer(request, time) => account.note_answer(fingerprint(request), time, at(time)),
         Note::Life(of, sent) => {
-            account.note_life(&run(of), at(sent));
+            account.note_alive(&run(of), at(sent));
         }
         Note::LetGo(request, time) => {
-            account.let_go(print(request), at(time));
+            account.release(fingerprint(request), at(time));
         }
     }
 }
@@ -160,7 +160,7 @@
         let mut account = account();
         notes.iter().for_each(|what| note(&mut account, *what));
         let found: Vec<u64> =
-            (1..3).filter(|n| account.hold(&print(*n), at(10_000)).is_some()).collect();
+            (1..3).filter(|n| account.hold(&fingerprint(*n), at(10_000)).is_some()).collect();
         assert_eq!(found, held, "{what}");
     }
 }
@@ -176,12 +176,12 @@
         let hold = HOLD * 2_u32.pow(doubling);
         let over = end + u64::try_from(hold.as_millis()).expect("a short time");
         account.expire(at(over - 1));
-        assert!(account.hold(&print(1), at(over - 1)).is_some(), "{doubling}");
+        assert!(account.hold(&fingerprint(1), at(over - 1)).is_some(), "{doubling}");
         account.expire(at(over + 1));
-        assert!(account.hold(&print(1), at(over + 1)).is_none(), "{doubling}: tried again");
+        assert!(account.hold(&fingerprint(1), at(over + 1)).is_none(), "{doubling}: tried again");
         end = over + 1_000;
         note(&mut account, Note::CutOff(1, 10 + u64::from(doubling), end));
-        assert!(account.hold(&print(1), at(end)).is_some(), "{doubling}: held back at once");
+        assert!(account.hold(&fingerprint(1), at(end)).is_some(), "{doubling}: held back at once");
     }
 }
 
@@ -197,20 +197,20 @@
 /// account grow.
 #[test]
 fn five_hundred_new_causes_a_second_for_a_minute_leave_what_is_held_back() {
-    let raw = RawAccount { requests: Some(512), ..RawAccount::default() };
-    let settings = AccountSettings::try_from(raw).expect("good settings");
-    let mut account = CrashAccount::new(settings);
+    let raw = RawCrashTrackerSettings { requests: Some(512), ..RawCrashTrackerSettings::default() };
+    let settings = CrashTrackerSettings::try_from(raw).expect("good settings");
+    let mut account = CrashTracker::new(settings);
     (1..=3).for_each(|n| note(&mut account, Note::CutOff(1, n, n * 1_000)));
     for number in 0..30_000 {
         note(&mut account, Note::CutOff(1_000 + number, 1_000 + number, 4_000 + number * 2));
     }
-    assert!(account.hold(&print(1), at(64_000)).is_some());
-    let told = account.news_after(0, NewsScope::Own, at(64_000));
+    assert!(account.hold(&fingerprint(1), at(64_000)).is_some());
+    let told = account.updates_after(0, UpdateScope::Own, at(64_000));
     assert!(told.reports.len() <= 512, "{} remembered", told.reports.len());
-    assert!(account.knows(&print(30_999)), "the newest is remembered");
+    assert!(account.knows(&fingerprint(30_999)), "the newest is remembered");
     // Forgotten is one end of three: it takes two more to be held back, and a third at most.
     (1..=3).for_each(|n| note(&mut account, Note::CutOff(1_000, 50_000 + n, 64_000 + n * 1_000)));
-    assert!(account.hold(&print(1_000), at(68_000)).is_some());
+    assert!(account.hold(&fingerprint(1_000), at(68_000)).is_some());
 }
 
 /// All processes of a region were restarted, and were told of three ends from before their start.
@@ -219,10 +219,10 @@
 fn ends_from_before_the_start_of_a_process_count_each() {
     let mut old = account();
     (1..=3).for_each(|n| note(&mut old, Note::CutOff(1, n, n * 1_000)));
-    let news = old.news_after(0, NewsScope::Suspects, at(60_000));
+    let news = old.updates_after(0, UpdateScope::Suspects, at(60_000));
     let mut fresh = account();
     assert!(fresh.merge(news.clone(), at(10)));
-    assert!(fresh.hold(&print(1), at(10)).is_some());
+    assert!(fresh.hold(&fingerprint(1), at(10)).is_some());
     assert!(!fresh.merge(news, at(500)), "told again, it is no news");
 }
 
@@ -252,12 +252,12 @@
     for Case { what, notes, told } in cases {
         let mut account = account();
         notes.iter().for_each(|what| note(&mut account, *what));
-        let is_told = |scope| !account.news_after(0, scope, at(3_000)).reports.is_empty();
-        assert_eq!((is_told(NewsScope::Own), is_told(NewsScope::Suspects)), told, "{what}");
+        let is_told = |scope| !account.updates_after(0, scope, at(3_000)).reports.is_empty();
+        assert_eq!((is_told(UpdateScope::Own), is_told(UpdateScope::Suspects)), told, "{what}");
         let cursor = account.last_change();
-        let rest = account.news_after(cursor, NewsScope::Own, at(3_000));
+        let rest = account.updates_after(cursor, UpdateScope::Own, at(3_000));
         if cursor > 0 {
-            assert_eq!(rest, CrashNews { cursor, ..CrashNews::default() }, "{what}: told once");
+            assert_eq!(rest, CrashUpdate { cursor, ..CrashUpdate::default() }, "{what}: told once");
         }
     }
 }
@@ -266,12 +266,12 @@
 /// has heard the same holds back the same.
 #[test]
 fn the_order_of_news_does_not_matter() {
-    let parts: Vec<CrashNews> = (1..=4)
+    let parts: Vec<CrashUpdate> = (1..=4)
         .map(|n| {
             let mut account = account();
             note(&mut account, Note::CutOff(1, n, n * 1_000));
             note(&mut account, Note::CutOff(2, n, n * 1_000 + 50));
-            account.news_after(0, NewsScope::Own, at(10_000))
+            account.updates_after(0, UpdateScope::Own, at(10_000))
         })
         .collect();
     let orders = [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2], [2, 0, 3, 1]];
@@ -290,28 +290,31 @@
 #[test]
 fn settings_are_checked() {
     struct Case {
-        raw: RawAccount,
+        raw: RawCrashTrackerSettings,
         error: Option<&'static str>,
     }
-    let raw = RawAccount::default();
+    let raw = RawCrashTrackerSettings::default();
     let cases = [
         Case { raw, error: None },
-        Case { raw: RawAccount { ends: Some(2), hold_seconds: Some(10), ..raw }, error: None },
         Case {
-            raw: RawAccount { ends: Some(1), ..raw },
+            raw: RawCrashTrackerSettings { ends: Some(2), hold_seconds: Some(10), ..raw },
+            error: None,
+        },
+        Case {
+            raw: RawCrashTrackerSettings { ends: Some(1), ..raw },
             error: Some("ends=1 is not from 2 to 16"),
         },
         Case {
-            raw: RawAccount { hold_seconds: Some(0), ..raw },
+            raw: RawCrashTrackerSettings { hold_seconds: Some(0), ..raw },
             error: Some("hold seconds=0 is not from 10 to 86400; leave it out for 600"),
         },
         Case {
-            raw: RawAccount { requests: Some(10), ..raw },
+            raw: RawCrashTrackerSettings { requests: Some(10), ..raw },
             error: Some("requests=10 is not from 256 to 131072; leave it out for 4096"),
         },
     ];
     for Case { raw, error } in cases {
-        let checked = AccountSettings::try_from(raw);
+        let checked = CrashTrackerSettings::try_from(raw);
         match error {
             None => assert!(checked.is_ok(), "{raw:?}"),
             Some(text) => assert!(checked.unwrap_err().to_string().starts_with(text), "{raw:?}"),
--- a/crates/poison/tests/schedules/world.rs
+++ b/crates/poison/tests/schedules/world.rs
@@ -2,7 +2,8 @@
 
 use {
     gullglade_poison::{
-        AccountSettings, CrashAccount, NewsScope, PrintKey, RequestPrint, RequestView,
+        ContentFingerprint, CrashTracker, CrashTrackerSettings, FingerprintKey, RequestContent,
+        UpdateScope,
     },
     gullglade_units::{BackendName, BackendRun, Incarnation, MonotonicTime},
     rand::{Rng, SeedableRng},
@@ -99,7 +100,7 @@
 }
 
 struct Request {
-    print: RequestPrint,
+    fingerprint: ContentFingerprint,
     is_cause: bool,
     tries: u32,
     was_turned_away: bool,
@@ -110,15 +111,15 @@
     schedule: Schedule,
     random: ChaCha8Rng,
     now: u64,
-    gateways: Vec<CrashAccount>,
-    controls: Vec<CrashAccount>,
+    gateways: Vec<CrashTracker>,
+    controls: Vec<CrashTracker>,
     cursors: BTreeMap<(usize, usize), (u64, u64)>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
     due: BTreeMap<u64, Vec<usize>>,
     causes: Vec<usize>,
-    ends_of: BTreeMap<RequestPrint, Vec<u64>>,
-    sends_of: BTreeMap<RequestPrint, Vec<u64>>,
+    ends_of: BTreeMap<ContentFingerprint, Vec<u64>>,
+    sends_of: BTreeMap<ContentFingerprint, Vec<u64>>,
     started: u64,
     outcome: Outcome,
 }
@@ -134,7 +135,7 @@
 
 impl World {
     pub(crate) fn new(schedule: Schedule, seed: u64) -> Self {
-        let account = |_| CrashAccount::new(AccountSettings::default());
+        let account = |_| CrashTracker::new(CrashTrackerSettings::default());
         let engine =
             |index| Engine { run: run_of(index, 0), running: Vec::new(), back: None, crash: None };
         Self {
@@ -172,12 +173,17 @@
         self.sum_up()
     }
 
-    fn print(&mut self) -> RequestPrint {
+    fn fingerprint(&mut self) -> ContentFingerprint {
         self.started += 1;
         let body = self.started.to_le_bytes();
-        let view =
-            RequestView { method: "POST", host: "h", target: "/", credentials: b"", body: &body };
-        PrintKey::from([1; 32]).print(&view)
+        let view = RequestContent {
+            method: "POST",
+            host: "h",
+            target: "/",
+            credentials: b"",
+            body: &body,
+        };
+        FingerprintKey::from([1; 32]).fingerprint(&view)
     }
 
     fn arrive(&mut self) {
@@ -211,9 +217,9 @@
     }
 
     fn new_request(&mut self, is_cause: bool) -> usize {
-        let print = self.print();
+        let fingerprint = self.fingerprint();
         self.requests.push(Request {
-            print,
+            fingerprint,
             is_cause,
             tries: 0,
             was_turned_away: false,
@@ -224,8 +230,9 @@
 
     fn send(&mut self, request: usize) {
         let gateway = self.random.random_range(0..self.schedule.gateways);
-        let (print, is_cause) = (self.requests[request].print, self.requests[request].is_cause);
-        let is_held = self.gateways[gateway].hold(&print, at(self.now)).is_some();
+        let (fingerprint, is_cause) =
+            (self.requests[request].fingerprint, self.requests[request].is_cause);
+        let is_held = self.gateways[gateway].hold(&fingerprint, at(self.now)).is_some();
         if self.schedule.holds && is_held {
             if !is_cause && !self.requests[request].was_turned_away {
                 self.requests[request].was_turned_away = true;
@@ -244,7 +251,7 @@
         let lasts = self.random.random_range(20..100) * STEP_MS;
         let (sent, ends) = (self.now, self.now + lasts);
         if is_cause {
-            self.sends_of.entry(print).or_default().push(self.now);
+            self.sends_of.entry(fingerprint).or_default().push(self.now);
             let crash = self.now + self.random.random_range(CRASH_MS.0..CRASH_MS.1);
             let known = self.engines[engine].crash;
             self.engines[engine].crash = Some(known.map_or(crash, |known| known.min(crash)));
@@ -274,10 +281,10 @@
             let answered: Vec<Running> = running.extract_if(.., |r| r.ends <= now).collect();
             for done in answered {
                 self.requests[done.request].is_over = true;
-                let print = self.requests[done.request].print;
+                let fingerprint = self.requests[done.request].fingerprint;
                 let account = &mut self.gateways[done.gateway];
-                account.note_life(&run, at(done.sent));
-                account.note_answer(print, done.request as u64, at(now));
+                account.note_alive(&run, at(done.sent));
+                account.note_answer(fingerprint, done.request as u64, at(now));
             }
         }
     }
@@ -293,12 +300,17 @@
     }
 
     fn lose(&mut self, lost: Running, run: &BackendRun, is_end: bool) {
-        let print = self.requests[lost.request].print;
+        let fingerprint = self.requests[lost.request].fingerprint;
         self.outcome.cut_off += u64::from(!lost.is_cause);
         if lost.is_cause && is_end {
-            self.ends_of.entry(print).or_default().push(self.now);
+            self.ends_of.entry(fingerprint).or_default().push(self.now);
         }
-        self.gateways[lost.gateway].note_cut_off(print, run.clone(), at(lost.sent), at(self.now));
+        self.gateways[lost.gateway].note_cut_off(
+            fingerprint,
+            run.clone(),
+            at(lost.sent),
+            at(self.now),
+        );
         self.send_again(lost.request);
     }
 
@@ -341,11 +353,15 @@
                     self.cursors.get(&(gateway, control)).copied().unwrap_or((0, 0));
                 // Each way takes up to a tenth of a second, which makes what is told a little older.
                 let delay = self.random.random_range(0..100);
-                let news = self.gateways[gateway].news_after(told, NewsScope::Own, at(self.now));
+                let news =
+                    self.gateways[gateway].updates_after(told, UpdateScope::Own, at(self.now));
                 let cursor = news.cursor;
                 self.controls[control].merge(news, at(self.now + delay));
-                let reply =
-                    self.controls[control].news_after(heard, NewsScope::Suspects, at(self.now));
+                let reply = self.controls[control].updates_after(
+                    heard,
+                    UpdateScope::Suspects,
+                    at(self.now),
+                );
                 let heard = reply.cursor;
                 self.gateways[gateway].merge(reply, at(self.now + delay));
                 self.cursors.insert((gateway, control), (cursor, heard));
@@ -358,11 +374,11 @@
         self.outcome.unserved = open.count() as u64;
         let causes: BTreeSet<usize> = self.causes.iter().copied().collect();
         for cause in causes {
-            let print = self.requests[cause].print;
-            let Some(third) = self.ends_of.get(&print).and_then(|ends| ends.get(2)) else {
+            let fingerprint = self.requests[cause].fingerprint;
+            let Some(third) = self.ends_of.get(&fingerprint).and_then(|ends| ends.get(2)) else {
                 continue;
             };
-            let sends = self.sends_of.get(&print).into_iter().flatten();
+            let sends = self.sends_of.get(&fingerprint).into_iter().flatten();
             let late = sends.filter(|sent| **sent > third + WINDOW_MS).count();
             self.outcome.late_sends.push(late);
         }
--- a/crates/proxy/src/call_print.rs
+++ b/crates/proxy/src/call_print.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::CallerRequest,
-    gullglade_poison::{PrintKey, RequestPrint, RequestView},
+    gullglade_poison::{ContentFingerprint, FingerprintKey, RequestContent},
     gullglade_units::WorkspaceName,
     http::header::AUTHORIZATION,
     std::{cell::OnceCell, rc::Rc},
@@ -13,8 +13,8 @@
 pub(crate) struct CallPrint {
     call: Rc<CallerRequest>,
     workspace: Option<WorkspaceName>,
-    key: PrintKey,
-    made: OnceCell<RequestPrint>,
+    key: FingerprintKey,
+    made: OnceCell<ContentFingerprint>,
 }
 
 impl CallPrint {
@@ -22,8 +22,8 @@
     pub(crate) fn new(
         call: &Rc<CallerRequest>,
         workspace: Option<WorkspaceName>,
-        key: PrintKey,
-        told: Option<RequestPrint>,
+        key: FingerprintKey,
+        told: Option<ContentFingerprint>,
     ) -> Rc<Self> {
         let made = told.map_or_else(OnceCell::new, OnceCell::from);
         Rc::new(Self { call: Rc::clone(call), workspace, key, made })
@@ -35,10 +35,10 @@
     }
 
     /// The fingerprint.
-    pub(crate) fn get(&self) -> RequestPrint {
+    pub(crate) fn get(&self) -> ContentFingerprint {
         *self.made.get_or_init(|| {
             let call = &self.call;
-            self.key.print(&RequestView {
+            self.key.fingerprint(&RequestContent {
                 method: call.method.as_str(),
                 host: &call.host,
                 target: &call.target,
@@ -57,7 +57,7 @@
     }
 
     /// The fingerprint, where it was made.
-    pub(crate) fn made(&self) -> Option<RequestPrint> {
+    pub(crate) fn made(&self) -> Option<ContentFingerprint> {
         self.made.get().copied()
     }
 }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -16,7 +16,7 @@
     gullglade_fleet::{FleetFollower, GatewayRow},
     gullglade_http::BodyError,
     gullglade_peer::{PeerError, PeerFault, PeerStream, PeerTransport},
-    gullglade_poison::RequestPrint,
+    gullglade_poison::ContentFingerprint,
     gullglade_units::{
         BackendName, MonotonicTime, ProcessContext, RegionName, ServiceName, WorkspaceName, decode,
         encode, rendezvous::score, timeout,
@@ -92,7 +92,7 @@
     pub(crate) prompt: Option<PromptShape>,
     pub(crate) resume_after: Option<u64>,
     /// Its fingerprint, where it was made.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) print: Option<ContentFingerprint>,
     /// Backend servers that it was sent to and that are not to be tried again.
     pub(crate) tried: Vec<BackendName>,
     /// The only backend server that may get it, where it goes back to one.
--- a/crates/proxy/src/journey.rs
+++ b/crates/proxy/src/journey.rs
@@ -24,7 +24,7 @@
         replacement::WaitEnd,
     },
     gullglade_dispatch::{AttemptTracker, UsedBackend, WorkItem, deadline_for_first_byte},
-    gullglade_poison::RequestPrint,
+    gullglade_poison::ContentFingerprint,
     gullglade_traffic::{TrafficRoute, TrafficWorkspace},
     gullglade_units::{BackendName, MonotonicTime, RegionName, ServiceName, WorkspaceName},
     std::{rc::Rc, time::Duration},
@@ -85,7 +85,7 @@
 /// What a gateway of another region decided of a request.
 pub(crate) struct ForwardedWork {
     /// Its fingerprint, where it was made.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) print: Option<ContentFingerprint>,
     pub(crate) service: ServiceName,
     pub(crate) workspace: Option<WorkspaceName>,
     /// How long it has been on its way.
@@ -154,7 +154,7 @@
     fn new(
         proxy: &Proxy,
         call: CallerRequest,
-        print: Option<RequestPrint>,
+        print: Option<ContentFingerprint>,
         work: RoutedWork,
     ) -> Self {
         let RoutedWork { route, workspace, service, waited, left, bound, is_own } = work;
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -5,7 +5,7 @@
     gullglade_dispatch::RefusalReason,
     gullglade_event::FieldValue,
     gullglade_http::{ApiError, ReplyBody, RunState},
-    gullglade_poison::RequestPrint,
+    gullglade_poison::ContentFingerprint,
     gullglade_units::{BackendName, RegionName},
     http::{Response, StatusCode, header::RETRY_AFTER},
     std::{fmt, time::Duration},
@@ -216,7 +216,7 @@
     /// Backend servers ended under the same request, and it is not sent for a while.
     HeldBack {
         /// Its fingerprint.
-        print: RequestPrint,
+        print: ContentFingerprint,
         /// How many ended.
         ends: u32,
         /// For how long.
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -16,10 +16,10 @@
     },
     gullglade_dispatch::{STALL_CHECK_INTERVAL, Scheduler},
     gullglade_event::{EventDraft, EventSink, Level, MetricSet},
-    gullglade_fleet::{FleetFollower, TrafficInForce},
+    gullglade_fleet::{ActiveTraffic, FleetFollower},
     gullglade_http::{HttpClient, ReplyBody},
     gullglade_peer::{NoticeSender, PeerTransport},
-    gullglade_poison::{CrashLedger, PrintKey},
+    gullglade_poison::{FingerprintKey, SharedCrashTracker},
     gullglade_quota::QuotaTolerance,
     gullglade_units::{MonotonicTime, ProcessContext, RegionName, decode},
     http::Response,
@@ -43,9 +43,9 @@
     /// How backend servers are spoken to.
     pub dialect: Rc<dyn BackendDialect>,
     /// What is known of requests that end backend servers.
-    pub crashes: Rc<CrashLedger>,
+    pub crashes: Rc<SharedCrashTracker>,
     /// Makes the fingerprints of requests, the same in all gateways.
-    pub fingerprint_key: PrintKey,
+    pub fingerprint_key: FingerprintKey,
     /// The time after which a key that was taken away must be refused, also without contact to
     /// control processes; `None` where a gateway without contact may go on.
     pub revocation: Option<Duration>,
@@ -259,7 +259,7 @@
     }
 
     /// The configuration in force.
-    pub(crate) fn traffic(&self) -> Option<TrafficInForce> {
+    pub(crate) fn traffic(&self) -> Option<ActiveTraffic> {
         self.shared.parts.fleet.traffic()
     }
 
@@ -283,11 +283,11 @@
         &self.shared.parts.dispatcher
     }
 
-    pub(crate) fn crashes(&self) -> &Rc<CrashLedger> {
+    pub(crate) fn crashes(&self) -> &Rc<SharedCrashTracker> {
         &self.shared.parts.crashes
     }
 
-    pub(crate) fn fingerprint_key(&self) -> PrintKey {
+    pub(crate) fn fingerprint_key(&self) -> FingerprintKey {
         self.shared.parts.fingerprint_key
     }
 
--- a/crates/proxy/src/send_watch.rs
+++ b/crates/proxy/src/send_watch.rs
@@ -4,7 +4,7 @@
     crate::call_print::CallPrint,
     gullglade_dispatch::{StatementChange, WorkOutcome},
     gullglade_event::{EventDraft, EventSink},
-    gullglade_poison::CrashLedger,
+    gullglade_poison::SharedCrashTracker,
     gullglade_units::{BackendRun, MonotonicTime, rendezvous::score},
     std::rc::Rc,
 };
@@ -14,14 +14,14 @@
     pub(crate) print: Rc<CallPrint>,
     pub(crate) run: BackendRun,
     pub(crate) sent: MonotonicTime,
-    pub(crate) crashes: Rc<CrashLedger>,
+    pub(crate) crashes: Rc<SharedCrashTracker>,
     pub(crate) events: Rc<dyn EventSink>,
 }
 
 impl SendWatch {
     /// Something of the answer has come.
     pub(crate) fn begin(&self) {
-        self.crashes.note_life(&self.run, self.sent);
+        self.crashes.note_alive(&self.run, self.sent);
     }
 
     /// The backend server stated something else than before.
--- a/crates/proxy/tests/poison.rs
+++ b/crates/proxy/tests/poison.rs
@@ -175,6 +175,6 @@
     end_three(&bed);
     bed.restart_control();
     bed.world.run_for(Duration::from_secs(4));
-    let news = bed.control_crashes().news_after(0, gullglade_poison::NewsScope::Suspects);
+    let news = bed.control_crashes().updates_after(0, gullglade_poison::UpdateScope::Suspects);
     assert_eq!(news.reports.len(), 1, "{news:?}");
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -27,7 +27,7 @@
         HandlerTable, NoticeSender, PeerIdentity,
         fake::{FakeLink, FakeNetwork, FakeNode, FakeTransport},
     },
-    gullglade_poison::{AccountSettings, CrashLedger, PrintKey},
+    gullglade_poison::{CrashTrackerSettings, FingerprintKey, SharedCrashTracker},
     gullglade_proxy::{
         CallerRequest, CallerRequestId, Dispatcher, ForwardServer, Proxy, ProxyParts,
     },
@@ -156,7 +156,7 @@
     gateways: Vec<BedGateway>,
     control: FakeProcess,
     source: Rc<FixedSource>,
-    control_crashes: Rc<CrashLedger>,
+    control_crashes: Rc<SharedCrashTracker>,
 }
 
 fn start_control(
@@ -165,7 +165,7 @@
     source: &Rc<FixedSource>,
     events: &Rc<MemorySink>,
     after: Duration,
-) -> Rc<CrashLedger> {
+) -> Rc<SharedCrashTracker> {
     let (_, handlers) = join(network, process, 1, "west");
     let context = process.context();
     let events = Rc::clone(events) as Rc<dyn EventSink>;
@@ -315,7 +315,7 @@
             revocation: settings.revocation,
             tolerance: QuotaTolerance { window: Duration::from_secs(8), over: 0.1, slack: 30.0 },
             regions: BTreeSet::from([region("west"), region("east")]),
-            fingerprint_key: PrintKey::from([1; 32]),
+            fingerprint_key: FingerprintKey::from([1; 32]),
             events,
             metrics: Rc::new(MetricSet::new().expect("metrics")),
         });
@@ -359,7 +359,7 @@
     }
 
     /// What the control process knows of requests that end backend servers.
-    pub(crate) fn control_crashes(&self) -> &CrashLedger {
+    pub(crate) fn control_crashes(&self) -> &SharedCrashTracker {
         &self.control_crashes
     }
 
@@ -480,10 +480,10 @@
     pub(crate) is_broken: bool,
 }
 
-fn new_ledger(context: &ProcessContext, events: &Rc<dyn EventSink>) -> Rc<CrashLedger> {
+fn new_ledger(context: &ProcessContext, events: &Rc<dyn EventSink>) -> Rc<SharedCrashTracker> {
     let metrics = Rc::new(MetricSet::new().expect("metrics"));
     let clock = Rc::clone(&context.clock);
-    CrashLedger::new(AccountSettings::default(), clock, Rc::clone(events), metrics)
+    SharedCrashTracker::new(CrashTrackerSettings::default(), clock, Rc::clone(events), metrics)
 }
 
 fn new_dispatcher(
--- a/crates/route/src/baseline.rs
+++ b/crates/route/src/baseline.rs
@@ -35,10 +35,10 @@
 ) -> RouteDecision {
     match (local, away) {
         (Some((_, here)), Some((offer, there))) if leaves(here, there) => {
-            RouteDecision::Away { offer }
+            RouteDecision::Forward { offer }
         }
         (Some((backend, _)), _) => RouteDecision::Local { backend },
-        (None, Some((offer, _))) => RouteDecision::Away { offer },
+        (None, Some((offer, _))) => RouteDecision::Forward { offer },
         (None, None) => nowhere(),
     }
 }
@@ -76,7 +76,7 @@
         }
         for (offer, row) in offers.iter().enumerate() {
             match turn.checked_sub(turns(row.slots)) {
-                None => return RouteDecision::Away { offer },
+                None => return RouteDecision::Forward { offer },
                 Some(rest) => turn = rest,
             }
         }
--- a/crates/route/src/candidate.rs
+++ b/crates/route/src/candidate.rs
@@ -49,7 +49,7 @@
     pub age: Duration,
 }
 
-/// This gateway's own work at one engine; see [`OwnLedger`](crate::OwnLedger).
+/// This gateway's own work at one engine; see [`OwnLoadTracker`](crate::OwnLedger).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnLoad {
     /// Own requests there now.
--- a/crates/route/src/decision.rs
+++ b/crates/route/src/decision.rs
@@ -40,7 +40,7 @@
         backend: usize,
     },
     /// To a gateway of the region of this row.
-    Away {
+    Forward {
         /// Index into the offers.
         offer: usize,
     },
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -23,7 +23,7 @@
 
 /// An estimate of the time to first token, seconds, in its parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FirstToken {
+pub struct FirstTokenEstimate {
     /// Waiting for a slot.
     pub slot_wait: f64,
     /// Reading the prompts before this one.
@@ -97,7 +97,7 @@
 /// Beyond this many scales the positive part is the variable itself.
 const FAR: f64 = 30.0;
 
-impl FirstToken {
+impl FirstTokenEstimate {
     /// The sum.
     pub fn seconds(&self) -> f64 {
         self.slot_wait + self.prefill_wait + self.prefill + self.link
@@ -112,7 +112,7 @@
     ) -> Self {
         let rate = candidate.capacity.prefill_rate.max(1.0);
         let slots = trusted_slots(settings, candidate.capacity.slots, candidate.since_join);
-        let hold = request.hold.as_secs_f64();
+        let hold = request.holding_time.as_secs_f64();
         let missing = ActiveBelief::of(candidate, hold, pool).missing(slots);
         let uncached = request.prompt_tokens.saturating_sub(candidate.cached_tokens);
         Self {
@@ -137,13 +137,13 @@
 ///
 /// What the region says is free was free some time ago. In a region of few slots this says little: the
 /// same spread that a large region hardly notices is a full queue there.
-pub fn offer_first_token(
+pub fn forwarded_first_token(
     request: &RouteRequest<'_>,
     offer: &RegionOffer<'_>,
     sent: f64,
     prefill_rate: f64,
 ) -> f64 {
-    let hold = request.hold.as_secs_f64();
+    let hold = request.holding_time.as_secs_f64();
     let slots = f64::from(offer.slots.max(1));
     let busy = f64::from(offer.slots.saturating_sub(offer.free_slots));
     let kept = (-offer.age.as_secs_f64() / hold.max(1e-3)).exp();
--- a/crates/route/src/filter.rs
+++ b/crates/route/src/filter.rs
@@ -14,7 +14,7 @@
 
 /// Why a forwarded request is not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HopFault {
+pub enum ForwardError {
     /// It comes from this region itself.
     Loop,
     /// It has travelled between regions already and is to travel again.
@@ -30,15 +30,15 @@
     origin: Option<&RegionName>,
     from: &RegionName,
     to: &RegionName,
-) -> Result<(), HopFault> {
+) -> Result<(), ForwardError> {
     if from == to {
-        return Err(HopFault::Loop);
+        return Err(ForwardError::Loop);
     }
     match origin {
         None => Ok(()),
         Some(origin) if origin == from => Ok(()),
-        Some(origin) if origin == to => Err(HopFault::Loop),
-        Some(_) => Err(HopFault::SecondHop),
+        Some(origin) if origin == to => Err(ForwardError::Loop),
+        Some(_) => Err(ForwardError::SecondHop),
     }
 }
 
@@ -48,7 +48,7 @@
 }
 
 fn fits(request: &RouteRequest<'_>, candidate: &Candidate<'_>) -> bool {
-    candidate.region == request.here
+    candidate.region == request.local_region
         && !candidate.leaving
         && candidate.health != HealthState::Down
         && candidate.role == request.role
@@ -60,7 +60,7 @@
     request.origin.is_none()
         && !request.stale_config
         && offer.reachable
-        && offer.region != request.here
+        && offer.region != request.local_region
         && permits(request, offer.region)
 }
 
@@ -81,7 +81,7 @@
         offers: &[RegionOffer<'_>],
     ) -> Self {
         let offers = indexes(offers, |o| may_go(request, o));
-        if !permits(request, request.here) {
+        if !permits(request, request.local_region) {
             return Self { candidates: Vec::new(), offers };
         }
         let healthy = |c: &Candidate<'_>| c.health == HealthState::Healthy && fits(request, c);
@@ -97,9 +97,9 @@
         if !self.candidates.is_empty() || !self.offers.is_empty() {
             return None;
         }
-        let reason = if request.origin == Some(request.here) {
+        let reason = if request.origin == Some(request.local_region) {
             RefuseReason::Loop
-        } else if permits(request, request.here) {
+        } else if permits(request, request.local_region) {
             RefuseReason::NoBackend
         } else {
             RefuseReason::Residency
@@ -139,7 +139,7 @@
         offers: &[RegionOffer<'_>],
         random: &dyn RandomSource,
     ) -> RouteDecision {
-        if request.origin == Some(request.here) {
+        if request.origin == Some(request.local_region) {
             let reason = RefuseReason::Loop;
             return RouteDecision::Refuse { reason, retry_after: REFUSE_PAUSE };
         }
@@ -160,8 +160,8 @@
         RouteDecision::Local { backend } => {
             eligible.candidates.get(backend).map(|&backend| RouteDecision::Local { backend })
         }
-        RouteDecision::Away { offer } => {
-            eligible.offers.get(offer).map(|&offer| RouteDecision::Away { offer })
+        RouteDecision::Forward { offer } => {
+            eligible.offers.get(offer).map(|&offer| RouteDecision::Forward { offer })
         }
         other => Some(other),
     };
--- a/crates/route/src/account.rs
+++ b/crates/route/src/forwarding.rs
@@ -12,7 +12,7 @@
 
 /// When a request goes away, for a document that weighs both measures the same.
 #[derive(Clone, Copy, Debug)]
-pub struct AwayBounds {
+pub struct ForwardingThresholds {
     /// The local time to first token below which nothing goes away, as a multiple of the target.
     pub floor: f64,
     /// What going away must save, as a multiple of the target.
@@ -21,51 +21,51 @@
 
 /// Bounds on sending away.
 #[derive(Clone, Copy, Debug)]
-pub struct AwaySettings {
+pub struct ForwardingSettings {
     /// Part of this gateway's requests that may go away, at most. Default 0.5.
-    pub cap: f64,
+    pub max_share: f64,
     /// Time over which the share is averaged. Default 30 s.
     pub window: Duration,
     /// The bounds while nothing goes away. Default: floor 0.8, margin 0.15.
-    pub calm: AwayBounds,
-    /// The bounds while `pressed_share` or more goes away. Default: floor 0.2, margin 0.
-    pub pressed: AwayBounds,
-    /// The share at which the bounds of `pressed` are reached; between they change in proportion.
+    pub base: ForwardingThresholds,
+    /// The bounds while `relaxed_share` or more goes away. Default: floor 0.2, margin 0.
+    pub relaxed: ForwardingThresholds,
+    /// The share at which the bounds of `relaxed` are reached; between they change in proportion.
     /// Default 0.2.
     ///
     /// This is the hysteresis: a region that must send away for a while anyway does so early, before its
     /// queue is long, and one that only fluctuates keeps its work.
-    pub pressed_share: f64,
+    pub relaxed_share: f64,
     /// The power of the ratio of the document's weights by which the bounds are multiplied. Default 0.4:
     /// a weight of 0.8 on latency lowers them to 0.57, a weight of 0.2 raises them to 1.74.
-    pub weight_power: f64,
+    pub weight_exponent: f64,
     /// Time over which a region that came back is trusted with its full offer. Default 20 s.
     pub return_ramp: Duration,
 }
 
-impl Default for AwaySettings {
+impl Default for ForwardingSettings {
     fn default() -> Self {
         Self {
-            cap: 0.5,
+            max_share: 0.5,
             window: Duration::from_secs(30),
-            calm: AwayBounds { floor: 0.8, margin: 0.15 },
-            pressed: AwayBounds { floor: 0.2, margin: 0.0 },
-            pressed_share: 0.2,
-            weight_power: 0.4,
+            base: ForwardingThresholds { floor: 0.8, margin: 0.15 },
+            relaxed: ForwardingThresholds { floor: 0.2, margin: 0.0 },
+            relaxed_share: 0.2,
+            weight_exponent: 0.4,
             return_ramp: Duration::from_secs(20),
         }
     }
 }
 
-impl AwaySettings {
+impl ForwardingSettings {
     /// The bounds in force, seconds, where `share` of the requests goes away.
-    fn bounds(&self, weights: &RouteWeights, target: Duration, share: f64) -> AwayBounds {
-        let scale = weights.away_ratio().powf(self.weight_power) * target.as_secs_f64();
-        let need = (share / self.pressed_share.max(1e-6)).min(1.0);
-        let between = |calm: f64, pressed: f64| scale * (calm + (pressed - calm) * need);
-        AwayBounds {
-            floor: between(self.calm.floor, self.pressed.floor),
-            margin: between(self.calm.margin, self.pressed.margin),
+    fn bounds(&self, weights: &RouteWeights, target: Duration, share: f64) -> ForwardingThresholds {
+        let scale = weights.away_ratio().powf(self.weight_exponent) * target.as_secs_f64();
+        let need = (share / self.relaxed_share.max(1e-6)).min(1.0);
+        let between = |base: f64, relaxed: f64| scale * (base + (relaxed - base) * need);
+        ForwardingThresholds {
+            floor: between(self.base.floor, self.relaxed.floor),
+            margin: between(self.base.margin, self.relaxed.margin),
         }
     }
 }
@@ -98,7 +98,7 @@
         self.running * kept(now.since(self.updated), hold)
     }
 
-    fn sent(&mut self, now: MonotonicTime, hold: f64) {
+    fn record_sent(&mut self, now: MonotonicTime, hold: f64) {
         self.running = self.running(now, hold) + 1.0;
         self.updated = now;
         while self.groups.front().is_some_and(|group| now.since(group.time) > MEMORY) {
@@ -111,7 +111,7 @@
     }
 
     /// How many more run there now than `age` ago: those sent since, less those that ended.
-    fn grown(&self, now: MonotonicTime, age: Duration, hold: f64) -> f64 {
+    fn in_flight_change(&self, now: MonotonicTime, age: Duration, hold: f64) -> f64 {
         let recent = self.groups.iter().rev().take_while(|group| now.since(group.time) < age);
         let new: f64 = recent.map(|g| f64::from(g.count) * kept(now.since(g.time), hold)).sum();
         let old = (self.running(now, hold) - new).max(0.0);
@@ -133,11 +133,11 @@
 
 /// Counts what goes away, as a share and against each region's stated spare capacity.
 #[derive(Debug, Default)]
-pub struct AwayAccount {
+pub struct ForwardingTracker {
     state: RefCell<AccountState>,
 }
 
-impl AwayAccount {
+impl ForwardingTracker {
     /// The share of recent requests that went away, 0 to 1.
     pub fn share(&self) -> f64 {
         let state = self.state.borrow();
@@ -145,7 +145,7 @@
     }
 
     /// Records one decided request.
-    pub fn record(&self, settings: &AwaySettings, now: MonotonicTime, away: bool) {
+    pub fn record_decision(&self, settings: &ForwardingSettings, now: MonotonicTime, away: bool) {
         let mut state = self.state.borrow_mut();
         let elapsed = now.since(state.last).as_secs_f64();
         let keep = (-elapsed / settings.window.as_secs_f64().max(1e-9)).exp();
@@ -156,21 +156,21 @@
 
     /// Whether a request whose first token is expected after `local` seconds here and after `away` seconds
     /// elsewhere should go away.
-    pub fn worth(
+    pub fn should_forward(
         &self,
-        settings: &AwaySettings,
+        settings: &ForwardingSettings,
         request: &RouteRequest<'_>,
         local: f64,
         away: f64,
     ) -> bool {
         let share = self.share();
         let bounds = settings.bounds(&request.weights, request.target, share);
-        share < settings.cap && local > bounds.floor && away + bounds.margin < local
+        share < settings.max_share && local > bounds.floor && away + bounds.margin < local
     }
 
     /// How many more requests of this gateway run in `region` than `age` ago, which an offer of that age
     /// cannot know of; below zero where fewer do. `hold` is how long one runs there on average.
-    pub fn grown(
+    pub fn in_flight_change(
         &self,
         region: &RegionName,
         now: MonotonicTime,
@@ -178,17 +178,17 @@
         hold: Duration,
     ) -> f64 {
         let state = self.state.borrow();
-        state.rows.get(region).map_or(0.0, |row| row.grown(now, age, hold.as_secs_f64()))
+        state.rows.get(region).map_or(0.0, |row| row.in_flight_change(now, age, hold.as_secs_f64()))
     }
 
     /// Notes one request sent to `region`.
-    pub fn sent(&self, region: &RegionName, now: MonotonicTime, hold: Duration) {
+    pub fn record_sent(&self, region: &RegionName, now: MonotonicTime, hold: Duration) {
         let mut state = self.state.borrow_mut();
         if !state.rows.contains_key(region) {
             state.rows.insert(region.clone(), SentRow::default());
         }
         if let Some(row) = state.rows.get_mut(region) {
-            row.sent(now, hold.as_secs_f64());
+            row.record_sent(now, hold.as_secs_f64());
         }
     }
 }
--- a/crates/route/src/glade.rs
+++ b/crates/route/src/latency.rs
@@ -2,8 +2,9 @@
 
 use {
     crate::{
-        AwayAccount, AwaySettings, Candidate, EstimateSettings, FirstToken, PoolLoad, RefuseReason,
-        RegionOffer, RouteDecision, RoutePolicy, RouteRequest, offer_first_token,
+        Candidate, EstimateSettings, FirstTokenEstimate, ForwardingSettings, ForwardingTracker,
+        PoolLoad, RefuseReason, RegionOffer, RouteDecision, RoutePolicy, RouteRequest,
+        forwarded_first_token,
     },
     gullglade_units::RandomSource,
     std::time::Duration,
@@ -11,17 +12,17 @@
 
 /// What an operator can set.
 #[derive(Clone, Copy, Debug)]
-pub struct GladeSettings {
+pub struct LatencySettings {
     /// The estimates.
     pub estimate: EstimateSettings,
     /// Sending away.
-    pub away: AwaySettings,
+    pub forwarding: ForwardingSettings,
     /// Estimates within this part of the target of the best count as equal, and one of them is drawn:
     /// gateways that hold the same reports need not all choose the same engine. Default 0: equal ones only.
-    pub tie: f64,
+    pub tie_margin: f64,
     /// How much a second of reading counts on top of itself when engines are compared: while an engine
     /// reads what another has in its cache, everybody behind waits. Default 0.5.
-    pub cache_weight: f64,
+    pub prefill_weight: f64,
     /// Requests beyond its slots that an engine may hold before the rest waits in the gateway, where
     /// it can still be ordered and moved. Default 2.
     pub overcommit: u32,
@@ -29,13 +30,13 @@
     pub reserve: f64,
 }
 
-impl Default for GladeSettings {
+impl Default for LatencySettings {
     fn default() -> Self {
         Self {
             estimate: EstimateSettings::default(),
-            away: AwaySettings::default(),
-            tie: 0.0,
-            cache_weight: 0.5,
+            forwarding: ForwardingSettings::default(),
+            tie_margin: 0.0,
+            prefill_weight: 0.5,
             overcommit: 2,
             reserve: 0.6,
         }
@@ -44,9 +45,9 @@
 
 /// Chooses by the estimated time to first token.
 #[derive(Debug, Default)]
-pub struct GladePolicy {
-    settings: GladeSettings,
-    account: AwayAccount,
+pub struct LatencyPolicy {
+    settings: LatencySettings,
+    account: ForwardingTracker,
 }
 
 struct Choice {
@@ -54,14 +55,14 @@
     seconds: f64,
 }
 
-impl GladePolicy {
+impl LatencyPolicy {
     /// A policy with these settings.
-    pub fn new(settings: GladeSettings) -> Self {
-        Self { settings, account: AwayAccount::default() }
+    pub fn new(settings: LatencySettings) -> Self {
+        Self { settings, account: ForwardingTracker::default() }
     }
 
     /// What was sent away.
-    pub fn account(&self) -> &AwayAccount {
+    pub fn account(&self) -> &ForwardingTracker {
         &self.account
     }
 
@@ -72,11 +73,11 @@
         random: &dyn RandomSource,
     ) -> Option<Choice> {
         let pool = PoolLoad::new(candidates);
-        let estimate = |c| FirstToken::of(&self.settings.estimate, request, c, &pool);
-        let estimates: Vec<FirstToken> = candidates.iter().map(estimate).collect();
+        let estimate = |c| FirstTokenEstimate::of(&self.settings.estimate, request, c, &pool);
+        let estimates: Vec<FirstTokenEstimate> = candidates.iter().map(estimate).collect();
         let scores: Vec<f64> = estimates.iter().map(|e| self.score(e)).collect();
         let least = scores.iter().copied().fold(f64::INFINITY, f64::min);
-        let bound = least + self.settings.tie * request.target.as_secs_f64();
+        let bound = least + self.settings.tie_margin * request.target.as_secs_f64();
         let ties = scores.iter().filter(|score| **score <= bound).count();
         let drawn = usize::try_from(random.below(ties as u64)).unwrap_or(0);
         let index = scores.iter().enumerate().filter(|(_, s)| **s <= bound).nth(drawn)?.0;
@@ -84,8 +85,8 @@
     }
 
     /// The estimate, and what reading the prompt costs those who come after.
-    fn score(&self, estimate: &FirstToken) -> f64 {
-        estimate.seconds() + self.settings.cache_weight * estimate.prefill
+    fn score(&self, estimate: &FirstTokenEstimate) -> f64 {
+        estimate.seconds() + self.settings.prefill_weight * estimate.prefill
     }
 
     fn best_away(
@@ -97,38 +98,39 @@
         let rate = prefill_rate(candidates);
         let part = needy_part(candidates, offers);
         let choices = offers.iter().enumerate().map(|(index, offer)| {
-            let grown = self.grown(request, offer);
-            let seconds = offer_first_token(request, offer, grown, rate);
-            let excess = (grown + 1.0 - part * self.granted(offer)).max(0.0);
+            let in_flight_change = self.in_flight_change(request, offer);
+            let seconds = forwarded_first_token(request, offer, in_flight_change, rate);
+            let excess = (in_flight_change + 1.0 - part * self.granted(offer)).max(0.0);
             let own_slots = f64::from(offer.slots.max(1)) * offer.share.clamp(0.01, 1.0) * part;
-            let queue = excess * request.hold.as_secs_f64() / own_slots.max(1e-3);
+            let queue = excess * request.holding_time.as_secs_f64() / own_slots.max(1e-3);
             Choice { index, seconds: seconds + queue }
         });
         choices.min_by(|a, b| a.seconds.total_cmp(&b.seconds))
     }
 
     /// What this gateway has added in the region since it made the offer.
-    fn grown(&self, request: &RouteRequest<'_>, offer: &RegionOffer<'_>) -> f64 {
-        self.account.grown(offer.region, request.now, offer.age, request.hold)
+    fn in_flight_change(&self, request: &RouteRequest<'_>, offer: &RegionOffer<'_>) -> f64 {
+        self.account.in_flight_change(offer.region, request.now, offer.age, request.holding_time)
     }
 
     /// Requests that this gateway may send on this offer if no other region needs it.
     fn granted(&self, offer: &RegionOffer<'_>) -> f64 {
-        let ramp = self.settings.away.return_ramp.as_secs_f64().max(1e-9);
+        let ramp = self.settings.forwarding.return_ramp.as_secs_f64().max(1e-9);
         let trust = (offer.since_return.as_secs_f64() / ramp).min(1.0);
         f64::from(offer.free_slots) * offer.share.clamp(0.0, 1.0) * trust
     }
 
     fn goes_away(&self, request: &RouteRequest<'_>, local: f64, away: f64) -> bool {
-        request.within_share && self.account.worth(&self.settings.away, request, local, away)
+        request.within_share
+            && self.account.should_forward(&self.settings.forwarding, request, local, away)
     }
 
     /// Sends what cannot stay to the best region that it may go to, whether that region has room to
     /// spare or not: only there can it wait its turn.
     fn leave(&self, request: &RouteRequest<'_>, offers: &[RegionOffer<'_>]) -> RouteDecision {
         let seconds = offers.iter().map(|offer| {
-            let sent = self.grown(request, offer);
-            offer_first_token(request, offer, sent, DEFAULT_PREFILL_RATE)
+            let sent = self.in_flight_change(request, offer);
+            forwarded_first_token(request, offer, sent, DEFAULT_PREFILL_RATE)
         });
         let seconds = seconds.enumerate();
         match seconds.min_by(|a, b| a.1.total_cmp(&b.1)) {
@@ -146,9 +148,9 @@
         offer: &RegionOffer<'_>,
         index: usize,
     ) -> RouteDecision {
-        self.account.sent(offer.region, request.now, request.hold);
-        self.account.record(&self.settings.away, request.now, true);
-        RouteDecision::Away { offer: index }
+        self.account.record_sent(offer.region, request.now, request.holding_time);
+        self.account.record_decision(&self.settings.forwarding, request.now, true);
+        RouteDecision::Forward { offer: index }
     }
 
     fn stay(&self, request: &RouteRequest<'_>, local: &Choice) -> RouteDecision {
@@ -157,7 +159,7 @@
             let retry_after = Duration::from_secs_f64(local.seconds.clamp(0.1, 60.0));
             return RouteDecision::Refuse { reason: RefuseReason::TooLate, retry_after };
         }
-        self.account.record(&self.settings.away, request.now, false);
+        self.account.record_decision(&self.settings.forwarding, request.now, false);
         RouteDecision::Local { backend: local.index }
     }
 }
@@ -184,7 +186,7 @@
     here / (here + others).max(1.0)
 }
 
-impl RoutePolicy for GladePolicy {
+impl RoutePolicy for LatencyPolicy {
     fn decide(
         &self,
         request: &RouteRequest<'_>,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -7,32 +7,32 @@
 //!
 //! [`CheckedPolicy`] keeps what must always hold (residency, at most one hop, no work for a leaving
 //! backend server) outside the policies: it hands them only what is allowed, and checks what they
-//! answer. [`GladePolicy`] is the policy of the product, [`baseline`] holds those it is compared with.
+//! answer. [`LatencyPolicy`] is the policy of the product, [`baseline`] holds those it is compared with.
 //!
-//! The helpers beside the policies keep what a gateway knows of itself: [`OwnLedger`] its own work at
+//! The helpers beside the policies keep what a gateway knows of itself: [`OwnLoadTracker`] its own work at
 //! one backend server, [`PrefixTable`] where prompt prefixes are expected in caches.
 
-mod account;
 pub mod baseline;
 mod candidate;
 mod capacity;
 mod decision;
 mod estimate;
 mod filter;
-mod glade;
-mod ledger;
+mod forwarding;
+mod latency;
 mod offer;
+mod own_load;
 mod prefix;
 mod request;
 
-pub use account::{AwayAccount, AwayBounds, AwaySettings};
 pub use candidate::{BackendRole, Candidate, EngineCapacity, HealthState, LoadReport, OwnLoad};
 pub use capacity::{PermitCapacity, permit_capacity};
 pub use decision::{RefuseReason, RouteDecision, RoutePolicy};
-pub use estimate::{EstimateSettings, FirstToken, PoolLoad, offer_first_token};
-pub use filter::{CheckedPolicy, EligibleSet, HopFault, check_forward};
-pub use glade::{GladePolicy, GladeSettings};
-pub use ledger::OwnLedger;
+pub use estimate::{EstimateSettings, FirstTokenEstimate, PoolLoad, forwarded_first_token};
+pub use filter::{CheckedPolicy, EligibleSet, ForwardError, check_forward};
+pub use forwarding::{ForwardingSettings, ForwardingThresholds, ForwardingTracker};
+pub use latency::{LatencyPolicy, LatencySettings};
 pub use offer::RegionOffer;
-pub use prefix::{EngineIndex, PrefixMark, PrefixTable};
+pub use own_load::OwnLoadTracker;
+pub use prefix::{EngineIndex, PrefixTable, PromptPrefix};
 pub use request::{Residency, RouteRequest, RouteWeights};
--- a/crates/route/src/ledger.rs
+++ b/crates/route/src/own_load.rs
@@ -19,13 +19,13 @@
 /// Counts of own work with a short history, so that a report that was taken some time ago can be
 /// corrected by what was started and finished since.
 #[derive(Clone, Debug, Default)]
-pub struct OwnLedger {
+pub struct OwnLoadTracker {
     active: u32,
     prefill_tokens: u32,
     history: VecDeque<LedgerChange>,
 }
 
-impl OwnLedger {
+impl OwnLoadTracker {
     /// A request with this many uncached prompt tokens is sent.
     pub fn started(&mut self, now: MonotonicTime, tokens: u32) {
         self.change(now, 1, i64::from(tokens));
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -14,7 +14,7 @@
 
 /// A prefix of a prompt: the hash of its first `tokens` tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PrefixMark {
+pub struct PromptPrefix {
     /// Hash of the prefix, chained over its blocks.
     pub hash: u64,
     /// Its length.
@@ -58,21 +58,26 @@
     }
 
     /// Notes that `engine` holds these prefixes now.
-    pub fn stored(&mut self, engine: EngineIndex, marks: &[PrefixMark], now: MonotonicTime) {
+    pub fn record_stored(
+        &mut self,
+        engine: EngineIndex,
+        marks: &[PromptPrefix],
+        now: MonotonicTime,
+    ) {
         for mark in marks {
             self.store_one(engine, mark.hash, now);
         }
     }
 
     /// Notes that `engine` has dropped a prefix.
-    pub fn evicted(&mut self, engine: EngineIndex, hash: u64) {
+    pub fn record_evicted(&mut self, engine: EngineIndex, hash: u64) {
         if let Some(rows) = self.holders.get_mut(&hash) {
             rows.retain(|row| row.engine != engine);
         }
     }
 
     /// Forgets an engine that restarted or left.
-    pub fn forget(&mut self, engine: EngineIndex) {
+    pub fn remove_engine(&mut self, engine: EngineIndex) {
         for rows in self.holders.values_mut() {
             rows.retain(|row| row.engine != engine);
         }
@@ -80,9 +85,9 @@
 
     /// Calls `found` with each engine and the tokens expected there, longest prefix first; an engine
     /// may be told several times.
-    pub fn expected(
+    pub fn for_each_holder(
         &self,
-        marks: &[PrefixMark],
+        marks: &[PromptPrefix],
         now: MonotonicTime,
         mut found: impl FnMut(EngineIndex, u32),
     ) {
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -61,7 +61,7 @@
     /// The time of the decision.
     pub now: MonotonicTime,
     /// The region of the gateway that decides.
-    pub here: &'a RegionName,
+    pub local_region: &'a RegionName,
     /// The region that forwarded the request here; such a request never goes away again.
     pub origin: Option<&'a RegionName>,
     /// What the document allows.
@@ -78,7 +78,7 @@
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u32,
     /// How long a request of this model keeps an engine's slot, on average.
-    pub hold: Duration,
+    pub holding_time: Duration,
     /// The time to first token that the document promises.
     pub target: Duration,
     /// The time left until an answer is of no use; none where the caller waits for ever.
--- a/crates/route/tests/filters.rs
+++ b/crates/route/tests/filters.rs
@@ -3,9 +3,9 @@
 
 use {
     gullglade_route::{
-        BackendRole, Candidate, CheckedPolicy, EngineCapacity, GladePolicy, HealthState, HopFault,
-        LoadReport, OwnLoad, RegionOffer, Residency, RouteDecision, RoutePolicy, RouteRequest,
-        RouteWeights, baseline, check_forward,
+        BackendRole, Candidate, CheckedPolicy, EngineCapacity, ForwardError, HealthState,
+        LatencyPolicy, LoadReport, OwnLoad, RegionOffer, Residency, RouteDecision, RoutePolicy,
+        RouteRequest, RouteWeights, baseline, check_forward,
     },
     gullglade_units::{
         BackendName, ModelName, MonotonicTime, RandomSource, RegionName, SeededRandom,
@@ -164,7 +164,7 @@
         if random.below(2) == 0 {
             return RouteDecision::Local { backend: index };
         }
-        RouteDecision::Away { offer: index }
+        RouteDecision::Forward { offer: index }
     }
 }
 
@@ -175,7 +175,7 @@
         ("least-reported", Box::new(CheckedPolicy::new(baseline::LeastReported))),
         ("two-choices", Box::new(CheckedPolicy::new(baseline::TwoChoices))),
         ("local-only", Box::new(CheckedPolicy::new(baseline::LocalOnly))),
-        ("gullglade", Box::new(CheckedPolicy::new(GladePolicy::default()))),
+        ("gullglade", Box::new(CheckedPolicy::new(LatencyPolicy::default()))),
     ]
 }
 
@@ -191,7 +191,7 @@
     let time = |index: usize| Duration::from_millis(world.times[index]);
     let request = RouteRequest {
         now: MonotonicTime(time(0)),
-        here: &names.regions[world.here],
+        local_region: &names.regions[world.here],
         origin: world.origin.map(|r| &names.regions[r]),
         residency: allowed.as_deref().map_or(Residency::Anywhere, Residency::Only),
         home: world.home.map(|r| &names.regions[r]),
@@ -199,7 +199,7 @@
         model: world.model.map(|m| &names.models[m]),
         role: role(world.role),
         prompt_tokens: world.prompt_tokens,
-        hold: time(1),
+        holding_time: time(1),
         target: time(2),
         deadline: Some(time(3)),
         waited: Duration::ZERO,
@@ -277,13 +277,13 @@
             expect(row.role == request.role, "a wrong role")?;
             expect(row.role != BackendRole::Standby, "a backend server on standby")?;
             expect(request.model.is_none_or(|m| row.models.contains(m)), "a wrong model")?;
-            expect(row.region == request.here, "a row of another region")?;
+            expect(row.region == request.local_region, "a row of another region")?;
             (row.region, false)
         }
-        RouteDecision::Away { offer } => {
+        RouteDecision::Forward { offer } => {
             let row = offers.get(offer).ok_or("no such offer")?;
             expect(row.reachable, "an unreachable region")?;
-            expect(row.region != request.here, "away to the own region")?;
+            expect(row.region != request.local_region, "away to the own region")?;
             (row.region, true)
         }
         RouteDecision::Wait { .. } | RouteDecision::Refuse { .. } => return Ok(()),
@@ -294,7 +294,7 @@
     expect(request.home.is_none_or(|home| home == region), "outside its home")?;
     expect(!(away && request.origin.is_some()), "a second hop")?;
     expect(!(away && request.stale_config), "away under a stale configuration")?;
-    expect(request.origin != Some(request.here), "a loop taken in")
+    expect(request.origin != Some(request.local_region), "a loop taken in")
 }
 
 fn expect(held: bool, fault: &str) -> Result<(), String> {
@@ -317,7 +317,7 @@
     origin: Option<usize>,
     from: usize,
     to: usize,
-    expected: Result<(), HopFault>,
+    expected: Result<(), ForwardError>,
 }
 
 #[test]
@@ -330,16 +330,22 @@
             origin: Some(0),
             from: 1,
             to: 2,
-            expected: Err(HopFault::SecondHop),
+            expected: Err(ForwardError::SecondHop),
         },
         HopCase {
             name: "sent back",
             origin: Some(0),
             from: 1,
             to: 0,
-            expected: Err(HopFault::Loop),
+            expected: Err(ForwardError::Loop),
+        },
+        HopCase {
+            name: "to itself",
+            origin: None,
+            from: 1,
+            to: 1,
+            expected: Err(ForwardError::Loop),
         },
-        HopCase { name: "to itself", origin: None, from: 1, to: 1, expected: Err(HopFault::Loop) },
     ];
     let regions = names().regions;
     for case in cases {
--- a/examples/capacity/decide.rs
+++ b/examples/capacity/decide.rs
@@ -3,8 +3,8 @@
 use {
     crate::{fit::print_fit, usage::micros_each},
     gullglade_route::{
-        BackendRole, Candidate, CheckedPolicy, EngineCapacity, GladePolicy, GladeSettings,
-        HealthState, LoadReport, OwnLoad, RegionOffer, Residency, RoutePolicy, RouteRequest,
+        BackendRole, Candidate, CheckedPolicy, EngineCapacity, HealthState, LatencyPolicy,
+        LatencySettings, LoadReport, OwnLoad, RegionOffer, Residency, RoutePolicy, RouteRequest,
         RouteWeights,
     },
     gullglade_units::{BackendName, ModelName, MonotonicTime, RegionName, SeededRandom},
@@ -62,12 +62,12 @@
         share: 0.05,
     };
     let offers: Vec<RegionOffer<'_>> = regions.iter().map(offer).collect();
-    let policy = CheckedPolicy::new(GladePolicy::new(GladeSettings::default()));
+    let policy = CheckedPolicy::new(LatencyPolicy::new(LatencySettings::default()));
     let random = SeededRandom::new(6);
     micros_each(DECISIONS, |number| {
         let request = RouteRequest {
             now: MonotonicTime(Duration::from_micros(u64::from(number) * 50)),
-            here: &here,
+            local_region: &here,
             origin: None,
             residency: Residency::Anywhere,
             home: None,
@@ -75,7 +75,7 @@
             model: Some(&models[0]),
             role: BackendRole::Generate,
             prompt_tokens: 1_500,
-            hold: Duration::from_secs(8),
+            holding_time: Duration::from_secs(8),
             target: Duration::from_millis(1_200),
             deadline: None,
             waited: Duration::ZERO,
--- a/src/commands/experiment.rs
+++ b/src/commands/experiment.rs
@@ -6,7 +6,7 @@
         DeploymentKind, PolicyKind, ReplaySettings, ReplayTable, ScenarioKind, plot_table,
         replay_fairness, replay_table,
     },
-    gullglade_route::GladeSettings,
+    gullglade_route::LatencySettings,
     serde::Serialize,
     snafu::{ResultExt, Snafu},
     std::{fmt::Display, fs, io, path::PathBuf, process::ExitCode},
@@ -123,7 +123,7 @@
             load: self.load,
             seed: self.seed,
             threads: self.threads,
-            glade: GladeSettings::default(),
+            glade: LatencySettings::default(),
         };
         if self.fairness {
             let row = replay_fairness(&settings);
