--- a/crates/route/src/candidate.rs
+++ b/crates/route/src/candidate.rs
@@ -1,11 +1,11 @@
-//! One backend server of the gateway's own region, as this gateway knows it.
+//! Backend servers of the gateway's own region, as rows of a routing decision.
 
 use {
     gullglade_units::{BackendName, ModelName, RegionName},
     std::time::Duration,
 };
 
-/// What a backend server is for.
+/// Role of a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum BackendRole {
     /// A model engine that answers prompts.
@@ -13,43 +13,43 @@
     Generate,
     /// A plain service.
     Service,
-    /// An engine that loads something or is kept back: no request goes there.
+    /// An engine that is loading a model or is kept in reserve; it receives no requests.
     Standby,
 }
 
-/// What membership says of a backend server.
+/// Health of a backend server according to the membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum HealthState {
-    /// Its lease is fresh.
+    /// Its lease is valid.
     #[default]
     Healthy,
-    /// Silent for longer than it should be; used only where nothing healthy is left.
+    /// Its announcements are overdue. It is used only if no healthy backend server is left.
     Suspect,
-    /// Its lease is over, or it refuses connections.
+    /// Its lease has expired, or it refuses connections.
     Down,
 }
 
-/// What an engine can do.
+/// Capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineCapacity {
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Prompt tokens it reads in a second, all requests together.
+    /// Prefill rate over all requests, in prompt tokens per second.
     pub prefill_rate: f64,
 }
 
-/// What the engine last said of its load.
+/// Last load report of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests running or waiting in the engine.
+    /// Requests running or queued in the engine.
     pub active: u32,
-    /// Prompt tokens that these have still to read before their first token.
+    /// Prompt tokens of these requests that are not prefilled yet.
     pub prefill_tokens: u32,
     /// Time since the engine took these figures.
     pub age: Duration,
 }
 
-/// This gateway's own work at one engine; see [`OwnLoadTracker`](crate::OwnLedger).
+/// This gateway's own load on one engine; see [`OwnLoadTracker`](crate::OwnLoadTracker).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnLoad {
     /// Own requests there now.
@@ -58,60 +58,61 @@
     pub active_at_report: u32,
     /// Prompt tokens of own requests that have no first token yet.
     pub prefill_tokens: u32,
-    /// The same when the report was taken.
+    /// Prompt tokens of own requests that had no first token when the report was taken.
     pub prefill_tokens_at_report: u32,
 }
 
-/// One row of the decision.
+/// Backend server that may be selected for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// The backend server.
+    /// Name of the backend server.
     pub name: &'a BackendName,
-    /// Its region; a row of another region than the gateway's is never chosen.
+    /// Region of the backend server; a row of another region than the gateway's is never selected.
     pub region: &'a RegionName,
-    /// The models it serves; empty for a plain service.
+    /// Models that it serves; empty for a plain service.
     pub models: &'a [ModelName],
-    /// What it is for.
+    /// Role of the backend server.
     pub role: BackendRole,
-    /// What membership says.
+    /// Health according to the membership.
     pub health: HealthState,
-    /// Whether it said that it is leaving.
+    /// Whether the backend server announced that it is leaving.
     pub leaving: bool,
-    /// What it can do.
+    /// Capacity of the backend server.
     pub capacity: EngineCapacity,
-    /// Its last word.
+    /// Last load report.
     pub report: LoadReport,
-    /// This gateway's own work there.
+    /// This gateway's own load on the backend server.
     pub own: OwnLoad,
-    /// Tokens of the request's prompt that are expected in its cache.
+    /// Prompt tokens of the request that are expected in its cache.
     pub cached_tokens: u32,
-    /// One-way delay from the gateway.
+    /// One-way network delay from the gateway.
     pub link: Duration,
-    /// Time since it joined or came back.
+    /// Time since it joined or rejoined.
     pub since_join: Duration,
 }
 
 impl Candidate<'_> {
-    /// Requests running or waiting there now: the report, corrected by what this gateway started and
-    /// finished since. The others' work since the report is unknown.
+    /// Returns the estimated number of requests running or queued there: the report, corrected by
+    /// the requests that this gateway started and finished since. What other gateways did since the
+    /// report is unknown.
     pub fn active_now(&self) -> u32 {
         self.others_at_report().saturating_add(self.own.active)
     }
 
-    /// Requests of other gateways there when the report was taken.
+    /// Returns the requests of other gateways there when the report was taken.
     pub fn others_at_report(&self) -> u32 {
         self.report.active.saturating_sub(self.own.active_at_report)
     }
 
-    /// Prompt tokens still to be read there now: own ones exactly, the others' as reported less what
-    /// the engine read since.
+    /// Returns the prompt tokens not prefilled yet: exact for own requests, and for others the
+    /// reported number less what the engine could prefill since.
     pub fn prefill_tokens_now(&self) -> f64 {
         let others = self.report.prefill_tokens.saturating_sub(self.own.prefill_tokens_at_report);
         let read = self.report.age.as_secs_f64() * self.capacity.prefill_rate;
         (f64::from(others) - read).max(0.0) + f64::from(self.own.prefill_tokens)
     }
 
-    /// Free slots as far as this gateway can tell.
+    /// Returns the estimated number of free slots.
     pub fn free_slots(&self) -> u32 {
         self.capacity.slots.saturating_sub(self.active_now())
     }
--- a/crates/route/src/decision.rs
+++ b/crates/route/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a policy answers.
+//! Routing decisions and the trait that policies implement.
 
 use {
     crate::{Candidate, RegionOffer, RouteRequest},
@@ -6,21 +6,21 @@
     std::time::Duration,
 };
 
-/// Why a request is refused. A refusal is always `not-run`: no byte has gone anywhere.
+/// Reason for refusing a request. A refused request is always `not-run`: no byte of it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefuseReason {
-    /// No region that the document allows can be used from here.
+    /// The residency rules of the document exclude every region that is reachable from here.
     Residency,
-    /// A forwarded request came back to the region it came from.
+    /// A forwarded request came back to the region that it came from.
     Loop,
-    /// No backend server in reach serves the model.
+    /// No reachable backend server serves the model.
     NoBackend,
-    /// It would be answered after its deadline.
+    /// The answer would come after the deadline of the request.
     TooLate,
 }
 
 impl RefuseReason {
-    /// The stable code of this reason, for replies and logs.
+    /// Returns the stable code of this reason, for replies and logs.
     pub fn code(self) -> &'static str {
         match self {
             RefuseReason::Residency => "residency",
@@ -31,34 +31,35 @@
     }
 }
 
-/// Where a request goes.
+/// Outcome of a routing decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteDecision {
-    /// To the backend server of this row.
+    /// Run the request on a backend server of this region.
     Local {
         /// Index into the candidates.
         backend: usize,
     },
-    /// To a gateway of the region of this row.
+    /// Forward the request to a gateway of another region.
     Forward {
         /// Index into the offers.
         offer: usize,
     },
-    /// Nowhere yet: ask again when a slot becomes free, a report arrives, or after this time.
+    /// Keep the request queued, and decide again when a slot becomes free, a load report arrives or
+    /// `at_most` has passed.
     Wait {
-        /// The longest time until the next question.
+        /// The longest time until the next decision.
         at_most: Duration,
     },
-    /// Nowhere.
+    /// Refuse the request.
     Refuse {
-        /// Why.
+        /// The reason for the refusal.
         reason: RefuseReason,
-        /// When a new attempt makes sense.
+        /// Time after which a retry can succeed.
         retry_after: Duration,
     },
 }
 
-/// A way to decide. Implementations may remember their own decisions, nothing else.
+/// Routing policy. Implementations may keep state about their own decisions only.
 pub trait RoutePolicy {
     /// Decides one request.
     fn decide(
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -5,13 +5,13 @@
     std::time::Duration,
 };
 
-/// What the estimates assume.
+/// Settings of the estimates.
 #[derive(Clone, Copy, Debug)]
 pub struct EstimateSettings {
-    /// Time over which an engine that joined is trusted with its full capacity: its cache is cold and
-    /// its first report is missing. Default 10 s.
+    /// Slow-start time of an engine that joined, until it is trusted with its full capacity: its
+    /// cache is cold and its first report is missing. Default 10 s.
     pub slow_start: Duration,
-    /// The part of its slots an engine is trusted with at the moment it joins. Default 0.25.
+    /// Fraction of its slots that an engine is trusted with when it joins. Default 0.25.
     pub slow_start_floor: f64,
 }
 
@@ -21,89 +21,92 @@
     }
 }
 
-/// An estimate of the time to first token, seconds, in its parts.
+/// Estimated time to first token by component, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FirstTokenEstimate {
-    /// Waiting for a slot.
+    /// Wait for a slot.
     pub slot_wait: f64,
-    /// Reading the prompts before this one.
+    /// Prefill of the prompts queued before this one.
     pub prefill_wait: f64,
-    /// Reading this prompt, less what the cache is expected to hold.
+    /// Prefill of this prompt, without the tokens expected in the cache.
     pub prefill: f64,
-    /// Both ways over the link.
+    /// Network round trip.
     pub link: f64,
 }
 
-/// The work of other gateways over all candidates: what an old report of one engine fades into.
+/// Mean load that other gateways put on the candidates. An old report of one engine decays towards
+/// it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Part of all slots that others use, as reported.
-    others_part: f64,
+    /// Fraction of all slots used by other gateways, as reported.
+    others_fraction: f64,
 }
 
 impl PoolLoad {
-    /// The pool of these candidates.
+    /// Computes the mean load over these candidates.
     pub fn new(candidates: &[Candidate<'_>]) -> Self {
         let others: f64 = candidates.iter().map(|c| f64::from(c.others_at_report())).sum();
         let slots: f64 = candidates.iter().map(|c| f64::from(c.capacity.slots)).sum();
-        Self { others_part: others / slots.max(1.0) }
+        Self { others_fraction: others / slots.max(1.0) }
     }
 }
 
-/// How much faster a report loses its worth than by requests that end: the other gateways read the same
-/// report and act on it as well, so what it says of a free slot is soon wrong. Measured: see the design
-/// note.
-const HERD_FACTOR: f64 = 8.0;
+/// Factor by which a report decays faster than its requests end. Other gateways read the same
+/// report and act on it too (the herd effect), so the free slots that it states are soon taken.
+const HERD_DECAY_FACTOR: f64 = 8.0;
 
-/// What is believed of the requests at one engine now.
+/// Estimated number of requests at one engine now, as a normal distribution.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct ActiveBelief {
+pub(crate) struct ActiveEstimate {
     /// Mean.
     pub(crate) mean: f64,
     /// Standard deviation.
-    pub(crate) spread: f64,
+    pub(crate) std_dev: f64,
 }
 
-impl ActiveBelief {
-    /// A report tells of requests that stay for `hold` on average, so after a time of `age` a part of
-    /// exp(-age / hold) of them is still there; what came instead is as many as the pool's mean. The
-    /// variance grows as that of an M/G/infinity queue forgets its state. (Dahlin, "Interpreting Stale
-    /// Load Information", 1999, interprets reports by their age likewise.)
-    pub(crate) fn of(candidate: &Candidate<'_>, hold: f64, pool: &PoolLoad) -> Self {
-        let fade = HERD_FACTOR * candidate.report.age.as_secs_f64() / hold.max(1e-3);
-        let kept = (-fade).exp();
+impl ActiveEstimate {
+    /// Estimates the number of requests from a report by its age, similar to Dahlin, "Interpreting
+    /// Stale Load Information" (1999).
+    ///
+    /// With a mean holding time of `holding_time` seconds, a fraction of exp(-age / holding_time)
+    /// of the reported requests still runs; the requests that replaced the others are assumed to
+    /// match the mean of the pool. The variance grows like that of an M/G/infinity queue as it
+    /// forgets its initial state.
+    pub(crate) fn of(candidate: &Candidate<'_>, holding_time: f64, pool: &PoolLoad) -> Self {
+        let fade = HERD_DECAY_FACTOR * candidate.report.age.as_secs_f64() / holding_time.max(1e-3);
+        let surviving = (-fade).exp();
         let others = f64::from(candidate.others_at_report());
-        let usual = pool.others_part * f64::from(candidate.capacity.slots);
-        let mean = usual + (others - usual) * kept;
-        let spread = (mean.max(0.0) * (1.0 - kept * kept)).sqrt();
-        Self { mean: mean + f64::from(candidate.own.active), spread }
+        let pool_mean = pool.others_fraction * f64::from(candidate.capacity.slots);
+        let mean = pool_mean + (others - pool_mean) * surviving;
+        let std_dev = (mean.max(0.0) * (1.0 - surviving * surviving)).sqrt();
+        Self { mean: mean + f64::from(candidate.own.active), std_dev }
     }
 
-    /// Mean of the requests that one more would have to wait for: the positive part of a normal
-    /// variable, with the logistic function in place of the normal distribution.
-    pub(crate) fn missing(&self, slots: f64) -> f64 {
+    /// Returns the expected number of requests that one more request would have to wait for: the
+    /// mean of the positive part of a normal variable, approximated with the logistic function.
+    pub(crate) fn expected_excess(&self, slots: f64) -> f64 {
         let excess = self.mean + 1.0 - slots;
-        let scale = self.spread / LOGISTIC_SCALE;
-        if scale < 1e-6 || excess > FAR * scale {
+        let scale = self.std_dev / LOGISTIC_SCALE;
+        if scale < 1e-6 || excess > LINEAR_SCALES * scale {
             return excess.max(0.0);
         }
         scale * (excess / scale).exp().ln_1p()
     }
 }
 
-/// The logistic function of 1.702 x is within 0.01 of the normal distribution.
+/// Scale of the logistic function that approximates the normal distribution to within 0.01.
 const LOGISTIC_SCALE: f64 = 1.702;
 
-/// Beyond this many scales the positive part is the variable itself.
-const FAR: f64 = 30.0;
+/// Number of scales beyond which the positive part is taken as the variable itself.
+const LINEAR_SCALES: f64 = 30.0;
 
 impl FirstTokenEstimate {
-    /// The sum.
+    /// Returns the total in seconds.
     pub fn seconds(&self) -> f64 {
         self.slot_wait + self.prefill_wait + self.prefill + self.link
     }
 
-    /// The estimate for a backend server of the own region.
+    /// Estimates the time to first token on a backend server of the local region.
     pub fn of(
         settings: &EstimateSettings,
         request: &RouteRequest<'_>,
@@ -112,11 +115,11 @@
     ) -> Self {
         let rate = candidate.capacity.prefill_rate.max(1.0);
         let slots = trusted_slots(settings, candidate.capacity.slots, candidate.since_join);
-        let hold = request.holding_time.as_secs_f64();
-        let missing = ActiveBelief::of(candidate, hold, pool).missing(slots);
+        let holding_time = request.holding_time.as_secs_f64();
+        let excess = ActiveEstimate::of(candidate, holding_time, pool).expected_excess(slots);
         let uncached = request.prompt_tokens.saturating_sub(candidate.cached_tokens);
         Self {
-            slot_wait: missing * hold / slots,
+            slot_wait: excess * holding_time / slots,
             prefill_wait: candidate.prefill_tokens_now() / rate,
             prefill: f64::from(uncached) / rate,
             link: 2.0 * candidate.link.as_secs_f64(),
@@ -124,32 +127,35 @@
     }
 }
 
-/// The slots that an engine is trusted with while it is new.
+/// Returns the number of slots that an engine is trusted with, which is reduced during its slow
+/// start.
 pub(crate) fn trusted_slots(settings: &EstimateSettings, slots: u32, since: Duration) -> f64 {
     let full = f64::from(slots.max(1));
     let progress = since.as_secs_f64() / settings.slow_start.as_secs_f64().max(1e-9);
-    let part = settings.slow_start_floor + (1.0 - settings.slow_start_floor) * progress.min(1.0);
-    (full * part).max(1.0)
+    let fraction =
+        settings.slow_start_floor + (1.0 - settings.slow_start_floor) * progress.min(1.0);
+    (full * fraction).max(1.0)
 }
 
-/// The estimate for a request sent to another region, seconds. Its caches hold nothing of the prompt,
-/// and an engine there reads `prefill_rate` prompt tokens a second.
+/// Estimates the time to first token of a request forwarded to another region, in seconds. The
+/// region's caches are assumed to hold nothing of the prompt, and its engines to prefill
+/// `prefill_rate` tokens per second.
 ///
-/// What the region says is free was free some time ago. In a region of few slots this says little: the
-/// same spread that a large region hardly notices is a full queue there.
+/// The advertised free slots may be taken by now. This matters most in a region with few slots: a
+/// deviation that is negligible in a large region is a full queue in a small one.
 pub fn forwarded_first_token(
     request: &RouteRequest<'_>,
     offer: &RegionOffer<'_>,
-    sent: f64,
+    in_flight: f64,
     prefill_rate: f64,
 ) -> f64 {
-    let hold = request.holding_time.as_secs_f64();
+    let holding_time = request.holding_time.as_secs_f64();
     let slots = f64::from(offer.slots.max(1));
     let busy = f64::from(offer.slots.saturating_sub(offer.free_slots));
-    let kept = (-offer.age.as_secs_f64() / hold.max(1e-3)).exp();
-    let spread = (busy * (1.0 - kept * kept)).sqrt();
-    let belief = ActiveBelief { mean: busy + sent, spread };
-    let slot_wait = belief.missing(slots) * hold / slots;
+    let surviving = (-offer.age.as_secs_f64() / holding_time.max(1e-3)).exp();
+    let std_dev = (busy * (1.0 - surviving * surviving)).sqrt();
+    let active = ActiveEstimate { mean: busy + in_flight, std_dev };
+    let slot_wait = active.expected_excess(slots) * holding_time / slots;
     let prefill_wait = f64::from(offer.prefill_tokens) / offer.prefill_rate.max(1.0);
     let prefill = f64::from(request.prompt_tokens) / prefill_rate.max(1.0);
     slot_wait + prefill_wait + prefill + 2.0 * offer.link.as_secs_f64()
--- a/crates/route/src/filter.rs
+++ b/crates/route/src/filter.rs
@@ -1,4 +1,4 @@
-//! The hard filters, applied before every policy, and the check of its answer.
+//! Hard filters that run before every policy, and validation of the policy's answer.
 
 use {
     crate::{
@@ -9,23 +9,24 @@
     std::time::Duration,
 };
 
-/// When a refused caller may try again where nothing better is known.
-const REFUSE_PAUSE: Duration = Duration::from_secs(1);
+/// Retry delay of a refusal for which no better estimate is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a forwarded request is not taken in.
+/// Reason for rejecting a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardError {
-    /// It comes from this region itself.
+    /// The request comes from this region itself.
     Loop,
-    /// It has travelled between regions already and is to travel again.
+    /// The request was forwarded between regions before and would be forwarded again.
     SecondHop,
 }
 
-/// Both ends of a forward check it with this: the sender with its own origin (`None` for a request
-/// of its own callers), the receiver with the origin that came along.
+/// Checks that a request may be forwarded from `from` to `to`. Both ends call this: the sender with
+/// the origin that it received (`None` for a request of its own callers), the receiver with the
+/// origin in the forwarded request.
 ///
-/// Without the receiver's check a gateway of an older version, or one whose settings name a wrong
-/// region, could pass a request on for ever; it would show as the same request id arriving twice.
+/// Without the check at the receiver, a gateway of an older version, or one that is configured with
+/// a wrong region, could forward a request in a loop; the same request id would then arrive twice.
 pub fn check_forward(
     origin: Option<&RegionName>,
     from: &RegionName,
@@ -42,12 +43,12 @@
     }
 }
 
-fn permits(request: &RouteRequest<'_>, region: &RegionName) -> bool {
+fn allows_region(request: &RouteRequest<'_>, region: &RegionName) -> bool {
     let home = request.home.is_none_or(|home| home == region);
     home && request.residency.allows(region)
 }
 
-fn fits(request: &RouteRequest<'_>, candidate: &Candidate<'_>) -> bool {
+fn is_eligible(request: &RouteRequest<'_>, candidate: &Candidate<'_>) -> bool {
     candidate.region == request.local_region
         && !candidate.leaving
         && candidate.health != HealthState::Down
@@ -56,18 +57,18 @@
         && request.model.is_none_or(|model| candidate.models.contains(model))
 }
 
-fn may_go(request: &RouteRequest<'_>, offer: &RegionOffer<'_>) -> bool {
+fn can_forward(request: &RouteRequest<'_>, offer: &RegionOffer<'_>) -> bool {
     request.origin.is_none()
         && !request.stale_config
         && offer.reachable
         && offer.region != request.local_region
-        && permits(request, offer.region)
+        && allows_region(request, offer.region)
 }
 
-/// The rows that a request may go to, as indexes.
+/// Indexes of the rows that a request may use.
 #[derive(Debug, Default)]
 pub struct EligibleSet {
-    /// Allowed candidates: the healthy ones, or the suspect ones where none is healthy.
+    /// Allowed candidates: the healthy ones, or the suspect ones if none is healthy.
     pub candidates: Vec<usize>,
     /// Allowed offers.
     pub offers: Vec<usize>,
@@ -80,52 +81,53 @@
         candidates: &[Candidate<'_>],
         offers: &[RegionOffer<'_>],
     ) -> Self {
-        let offers = indexes(offers, |o| may_go(request, o));
-        if !permits(request, request.local_region) {
+        let offers = matching_indexes(offers, |o| can_forward(request, o));
+        if !allows_region(request, request.local_region) {
             return Self { candidates: Vec::new(), offers };
         }
-        let healthy = |c: &Candidate<'_>| c.health == HealthState::Healthy && fits(request, c);
-        let mut candidates_left = indexes(candidates, healthy);
-        if candidates_left.is_empty() {
-            candidates_left = indexes(candidates, |c| fits(request, c));
+        let healthy =
+            |c: &Candidate<'_>| c.health == HealthState::Healthy && is_eligible(request, c);
+        let mut allowed = matching_indexes(candidates, healthy);
+        if allowed.is_empty() {
+            allowed = matching_indexes(candidates, |c| is_eligible(request, c));
         }
-        Self { candidates: candidates_left, offers }
+        Self { candidates: allowed, offers }
     }
 
-    /// The refusal where nothing is left.
+    /// Returns the refusal if no row is allowed.
     fn refusal(&self, request: &RouteRequest<'_>) -> Option<RouteDecision> {
         if !self.candidates.is_empty() || !self.offers.is_empty() {
             return None;
         }
         let reason = if request.origin == Some(request.local_region) {
             RefuseReason::Loop
-        } else if permits(request, request.local_region) {
+        } else if allows_region(request, request.local_region) {
             RefuseReason::NoBackend
         } else {
             RefuseReason::Residency
         };
-        Some(RouteDecision::Refuse { reason, retry_after: REFUSE_PAUSE })
+        Some(RouteDecision::Refuse { reason, retry_after: DEFAULT_RETRY_AFTER })
     }
 }
 
-fn indexes<T>(rows: &[T], keep: impl Fn(&T) -> bool) -> Vec<usize> {
+fn matching_indexes<T>(rows: &[T], keep: impl Fn(&T) -> bool) -> Vec<usize> {
     let mut kept = Vec::with_capacity(rows.len());
     kept.extend(rows.iter().enumerate().filter(|(_, row)| keep(row)).map(|(index, _)| index));
     kept
 }
 
-/// A policy behind the hard filters: it sees only rows that are allowed, whatever it is.
+/// Wraps a policy with the hard filters, so that the policy sees only allowed rows.
 pub struct CheckedPolicy<P> {
     inner: P,
 }
 
 impl<P: RoutePolicy> CheckedPolicy<P> {
-    /// Puts the filters before `inner`.
+    /// Wraps `inner` with the filters.
     pub fn new(inner: P) -> Self {
         Self { inner }
     }
 
-    /// The policy behind the filters.
+    /// Returns the wrapped policy.
     pub fn inner(&self) -> &P {
         &self.inner
     }
@@ -141,7 +143,7 @@
     ) -> RouteDecision {
         if request.origin == Some(request.local_region) {
             let reason = RefuseReason::Loop;
-            return RouteDecision::Refuse { reason, retry_after: REFUSE_PAUSE };
+            return RouteDecision::Refuse { reason, retry_after: DEFAULT_RETRY_AFTER };
         }
         let eligible = EligibleSet::new(request, candidates, offers);
         if let Some(refusal) = eligible.refusal(request) {
@@ -149,13 +151,13 @@
         }
         let rows: Vec<_> = eligible.candidates.iter().map(|i| candidates[*i]).collect();
         let regions: Vec<_> = eligible.offers.iter().map(|i| offers[*i]).collect();
-        translate(self.inner.decide(request, &rows, &regions, random), &eligible)
+        map_indexes(self.inner.decide(request, &rows, &regions, random), &eligible)
     }
 }
 
-/// Turns the policy's indexes into the caller's. An index that is out of bounds is a fault of the
-/// policy; it refuses the request rather than the process.
-fn translate(decision: RouteDecision, eligible: &EligibleSet) -> RouteDecision {
+/// Maps the indexes of the policy's answer to the caller's rows. An index that is out of bounds is
+/// a bug in the policy; it refuses the request instead of aborting the process.
+fn map_indexes(decision: RouteDecision, eligible: &EligibleSet) -> RouteDecision {
     let translated = match decision {
         RouteDecision::Local { backend } => {
             eligible.candidates.get(backend).map(|&backend| RouteDecision::Local { backend })
@@ -166,5 +168,5 @@
         other => Some(other),
     };
     let reason = RefuseReason::NoBackend;
-    translated.unwrap_or(RouteDecision::Refuse { reason, retry_after: REFUSE_PAUSE })
+    translated.unwrap_or(RouteDecision::Refuse { reason, retry_after: DEFAULT_RETRY_AFTER })
 }
--- a/crates/route/src/forwarding.rs
+++ b/crates/route/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! The account of what a gateway sends to other regions.
+//! Limits on forwarding to other regions, and the tracker of forwarded requests.
 
 use {
     crate::{RouteRequest, RouteWeights},
@@ -10,36 +10,37 @@
     },
 };
 
-/// When a request goes away, for a document that weighs both measures the same.
+/// Thresholds for forwarding a request, for a document that weighs latency and forwarding equally.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardingThresholds {
-    /// The local time to first token below which nothing goes away, as a multiple of the target.
+    /// Local time to first token below which nothing is forwarded, as a multiple of the target.
     pub floor: f64,
-    /// What going away must save, as a multiple of the target.
+    /// Time that forwarding must save, as a multiple of the target.
     pub margin: f64,
 }
 
-/// Bounds on sending away.
+/// Limits on forwarding.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardingSettings {
-    /// Part of this gateway's requests that may go away, at most. Default 0.5.
+    /// Maximum fraction of this gateway's requests that may be forwarded. Default 0.5.
     pub max_share: f64,
-    /// Time over which the share is averaged. Default 30 s.
+    /// Averaging window of the forwarded share. Default 30 s.
     pub window: Duration,
-    /// The bounds while nothing goes away. Default: floor 0.8, margin 0.15.
+    /// Thresholds while nothing is forwarded. Default: floor 0.8, margin 0.15.
     pub base: ForwardingThresholds,
-    /// The bounds while `relaxed_share` or more goes away. Default: floor 0.2, margin 0.
+    /// Thresholds while a share of `relaxed_share` or more is forwarded. Default: floor 0.2, margin
+    /// 0.
     pub relaxed: ForwardingThresholds,
-    /// The share at which the bounds of `relaxed` are reached; between they change in proportion.
-    /// Default 0.2.
+    /// Forwarded share at which the `relaxed` thresholds apply; below it the thresholds are
+    /// interpolated linearly. Default 0.2.
     ///
-    /// This is the hysteresis: a region that must send away for a while anyway does so early, before its
-    /// queue is long, and one that only fluctuates keeps its work.
+    /// This provides hysteresis: a region that has to forward for a while does so early, before its
+    /// queue grows, and one whose load only fluctuates keeps its requests.
     pub relaxed_share: f64,
-    /// The power of the ratio of the document's weights by which the bounds are multiplied. Default 0.4:
-    /// a weight of 0.8 on latency lowers them to 0.57, a weight of 0.2 raises them to 1.74.
+    /// Exponent of the ratio of the document's weights by which the thresholds are scaled. Default
+    /// 0.4: a weight of 0.8 on latency scales them by 0.57, a weight of 0.2 by 1.74.
     pub weight_exponent: f64,
-    /// Time over which a region that came back is trusted with its full offer. Default 20 s.
+    /// Ramp-up time during which a recovered region's offer is trusted only in part. Default 20 s.
     pub return_ramp: Duration,
 }
 
@@ -58,50 +59,55 @@
 }
 
 impl ForwardingSettings {
-    /// The bounds in force, seconds, where `share` of the requests goes away.
-    fn bounds(&self, weights: &RouteWeights, target: Duration, share: f64) -> ForwardingThresholds {
+    /// Returns the effective thresholds, in seconds, while `share` of the requests is forwarded.
+    fn thresholds(
+        &self,
+        weights: &RouteWeights,
+        target: Duration,
+        share: f64,
+    ) -> ForwardingThresholds {
         let scale = weights.away_ratio().powf(self.weight_exponent) * target.as_secs_f64();
-        let need = (share / self.relaxed_share.max(1e-6)).min(1.0);
-        let between = |base: f64, relaxed: f64| scale * (base + (relaxed - base) * need);
+        let relaxation = (share / self.relaxed_share.max(1e-6)).min(1.0);
+        let interpolate = |base: f64, relaxed: f64| scale * (base + (relaxed - base) * relaxation);
         ForwardingThresholds {
-            floor: between(self.base.floor, self.relaxed.floor),
-            margin: between(self.base.margin, self.relaxed.margin),
+            floor: interpolate(self.base.floor, self.relaxed.floor),
+            margin: interpolate(self.base.margin, self.relaxed.margin),
         }
     }
 }
 
-/// Requests sent at about the same time.
+/// Requests sent within [`GROUP_SPAN`].
 #[derive(Clone, Copy, Debug)]
 struct SentGroup {
     time: MonotonicTime,
     count: u32,
 }
 
-/// Requests sent within this time of each other are remembered as one group.
+/// Requests sent within this time of each other are recorded as one group.
 const GROUP_SPAN: Duration = Duration::from_millis(50);
 
-/// Groups are remembered for this long; an older offer counts as if nothing had been sent before.
-const MEMORY: Duration = Duration::from_secs(10);
+/// Retention of the groups; an older offer is treated as if nothing had been sent before.
+const GROUP_RETENTION: Duration = Duration::from_secs(10);
 
-/// What was sent to one region.
+/// Requests sent to one region.
 #[derive(Debug, Default)]
-struct SentRow {
+struct SentHistory {
     groups: VecDeque<SentGroup>,
     running: f64,
     updated: MonotonicTime,
 }
 
-impl SentRow {
-    /// Requests that are still running there, if each ends at any moment with the same probability and
-    /// runs for `hold` on average.
-    fn running(&self, now: MonotonicTime, hold: f64) -> f64 {
-        self.running * kept(now.since(self.updated), hold)
+impl SentHistory {
+    /// Returns the expected number of requests that still run there, with exponentially distributed
+    /// holding times of mean `holding_time` seconds.
+    fn running(&self, now: MonotonicTime, holding_time: f64) -> f64 {
+        self.running * surviving_fraction(now.since(self.updated), holding_time)
     }
 
-    fn record_sent(&mut self, now: MonotonicTime, hold: f64) {
-        self.running = self.running(now, hold) + 1.0;
+    fn record_sent(&mut self, now: MonotonicTime, holding_time: f64) {
+        self.running = self.running(now, holding_time) + 1.0;
         self.updated = now;
-        while self.groups.front().is_some_and(|group| now.since(group.time) > MEMORY) {
+        while self.groups.front().is_some_and(|group| now.since(group.time) > GROUP_RETENTION) {
             self.groups.pop_front();
         }
         match self.groups.back_mut() {
@@ -110,85 +116,97 @@
         }
     }
 
-    /// How many more run there now than `age` ago: those sent since, less those that ended.
-    fn in_flight_change(&self, now: MonotonicTime, age: Duration, hold: f64) -> f64 {
+    /// Returns how many more requests run there than `age` ago: those sent since, less those that
+    /// ended.
+    fn in_flight_change(&self, now: MonotonicTime, age: Duration, holding_time: f64) -> f64 {
         let recent = self.groups.iter().rev().take_while(|group| now.since(group.time) < age);
-        let new: f64 = recent.map(|g| f64::from(g.count) * kept(now.since(g.time), hold)).sum();
-        let old = (self.running(now, hold) - new).max(0.0);
-        new - old * (1.0 / kept(age, hold).max(1e-3) - 1.0)
+        let new: f64 = recent
+            .map(|g| f64::from(g.count) * surviving_fraction(now.since(g.time), holding_time))
+            .sum();
+        let old = (self.running(now, holding_time) - new).max(0.0);
+        new - old * (1.0 / surviving_fraction(age, holding_time).max(1e-3) - 1.0)
     }
 }
 
-fn kept(time: Duration, hold: f64) -> f64 {
-    (-time.as_secs_f64() / hold.max(1e-3)).exp()
+fn surviving_fraction(time: Duration, holding_time: f64) -> f64 {
+    (-time.as_secs_f64() / holding_time.max(1e-3)).exp()
 }
 
 #[derive(Debug, Default)]
-struct AccountState {
+struct TrackerState {
     last: MonotonicTime,
     total: f64,
-    away: f64,
-    rows: BTreeMap<RegionName, SentRow>,
+    forwarded: f64,
+    rows: BTreeMap<RegionName, SentHistory>,
 }
 
-/// Counts what goes away, as a share and against each region's stated spare capacity.
+/// Tracks forwarded requests: their share of all requests, and those in flight per region.
 #[derive(Debug, Default)]
 pub struct ForwardingTracker {
-    state: RefCell<AccountState>,
+    state: RefCell<TrackerState>,
 }
 
 impl ForwardingTracker {
-    /// The share of recent requests that went away, 0 to 1.
+    /// Returns the fraction of recent requests that were forwarded, 0 to 1.
     pub fn share(&self) -> f64 {
         let state = self.state.borrow();
-        if state.total < 1.0 { 0.0 } else { state.away / state.total }
+        if state.total < 1.0 { 0.0 } else { state.forwarded / state.total }
     }
 
-    /// Records one decided request.
-    pub fn record_decision(&self, settings: &ForwardingSettings, now: MonotonicTime, away: bool) {
+    /// Records the decision on one request.
+    pub fn record_decision(
+        &self,
+        settings: &ForwardingSettings,
+        now: MonotonicTime,
+        forwarded: bool,
+    ) {
         let mut state = self.state.borrow_mut();
         let elapsed = now.since(state.last).as_secs_f64();
-        let keep = (-elapsed / settings.window.as_secs_f64().max(1e-9)).exp();
+        let decay = (-elapsed / settings.window.as_secs_f64().max(1e-9)).exp();
         state.last = now;
-        state.total = state.total * keep + 1.0;
-        state.away = state.away * keep + if away { 1.0 } else { 0.0 };
+        state.total = state.total * decay + 1.0;
+        state.forwarded = state.forwarded * decay + if forwarded { 1.0 } else { 0.0 };
     }
 
-    /// Whether a request whose first token is expected after `local` seconds here and after `away` seconds
-    /// elsewhere should go away.
+    /// Returns whether to forward a request whose first token is expected after `local` seconds in
+    /// this region and after `remote` seconds in the other one.
     pub fn should_forward(
         &self,
         settings: &ForwardingSettings,
         request: &RouteRequest<'_>,
         local: f64,
-        away: f64,
+        remote: f64,
     ) -> bool {
         let share = self.share();
-        let bounds = settings.bounds(&request.weights, request.target, share);
-        share < settings.max_share && local > bounds.floor && away + bounds.margin < local
+        let thresholds = settings.thresholds(&request.weights, request.target, share);
+        share < settings.max_share && local > thresholds.floor && remote + thresholds.margin < local
     }
 
-    /// How many more requests of this gateway run in `region` than `age` ago, which an offer of that age
-    /// cannot know of; below zero where fewer do. `hold` is how long one runs there on average.
+    /// Returns how many more requests of this gateway run in `region` than `age` ago, which an
+    /// offer of that age cannot include; negative if fewer run. `holding_time` is the mean holding
+    /// time of a slot there.
     pub fn in_flight_change(
         &self,
         region: &RegionName,
         now: MonotonicTime,
         age: Duration,
-        hold: Duration,
+        holding_time: Duration,
     ) -> f64 {
         let state = self.state.borrow();
-        state.rows.get(region).map_or(0.0, |row| row.in_flight_change(now, age, hold.as_secs_f64()))
+        state
+            .rows
+            .get(region)
+            .map_or(0.0, |row| row.in_flight_change(now, age, holding_time.as_secs_f64()))
     }
 
-    /// Notes one request sent to `region`.
-    pub fn record_sent(&self, region: &RegionName, now: MonotonicTime, hold: Duration) {
+    /// Records one request sent to `region`.
+    pub fn record_sent(&self, region: &RegionName, now: MonotonicTime, holding_time: Duration) {
         let mut state = self.state.borrow_mut();
         if !state.rows.contains_key(region) {
-            state.rows.insert(region.clone(), SentRow::default());
+            state.rows.insert(region.clone(), SentHistory::default());
         }
         if let Some(row) = state.rows.get_mut(region) {
-            row.record_sent(now, hold.as_secs_f64());
+            row.record_sent(now, holding_time.as_secs_f64());
         }
     }
 }
--- a/crates/route/src/latency.rs
+++ b/crates/route/src/latency.rs
@@ -1,4 +1,4 @@
-//! The policy of the product.
+//! The default policy: it minimizes the estimated time to first token.
 
 use {
     crate::{
@@ -10,23 +10,24 @@
     std::time::Duration,
 };
 
-/// What an operator can set.
+/// Settings of [`LatencyPolicy`].
 #[derive(Clone, Copy, Debug)]
 pub struct LatencySettings {
-    /// The estimates.
+    /// Settings of the latency estimates.
     pub estimate: EstimateSettings,
-    /// Sending away.
+    /// Settings of forwarding to other regions.
     pub forwarding: ForwardingSettings,
-    /// Estimates within this part of the target of the best count as equal, and one of them is drawn:
-    /// gateways that hold the same reports need not all choose the same engine. Default 0: equal ones only.
+    /// Tie margin, as a fraction of the latency target. Estimates within the margin of the best one
+    /// count as equal, and one of them is drawn at random, so that gateways with the same reports
+    /// do not all select the same engine. Default 0: only equal estimates tie.
     pub tie_margin: f64,
-    /// How much a second of reading counts on top of itself when engines are compared: while an engine
-    /// reads what another has in its cache, everybody behind waits. Default 0.5.
+    /// Extra weight of a second of prefill when engines are compared: while an engine prefills what
+    /// another one has cached, every request queued behind it waits. Default 0.5.
     pub prefill_weight: f64,
-    /// Requests beyond its slots that an engine may hold before the rest waits in the gateway, where
-    /// it can still be ordered and moved. Default 2.
+    /// Requests that an engine may hold beyond its slots. Further requests wait in the gateway,
+    /// where they can still be reordered and moved. Default 2.
     pub overcommit: u32,
-    /// Part of the region's slots that workspaces over their share leave free. Default 0.6.
+    /// Fraction of the region's slots that workspaces over their share leave free. Default 0.6.
     pub reserve: f64,
 }
 
@@ -43,11 +44,11 @@
     }
 }
 
-/// Chooses by the estimated time to first token.
+/// Selects the engine or region with the lowest estimated time to first token.
 #[derive(Debug, Default)]
 pub struct LatencyPolicy {
     settings: LatencySettings,
-    account: ForwardingTracker,
+    tracker: ForwardingTracker,
 }
 
 struct Choice {
@@ -56,14 +57,14 @@
 }
 
 impl LatencyPolicy {
-    /// A policy with these settings.
+    /// Creates a policy with these settings.
     pub fn new(settings: LatencySettings) -> Self {
-        Self { settings, account: ForwardingTracker::default() }
+        Self { settings, tracker: ForwardingTracker::default() }
     }
 
-    /// What was sent away.
-    pub fn account(&self) -> &ForwardingTracker {
-        &self.account
+    /// Returns the tracker of forwarded requests.
+    pub fn tracker(&self) -> &ForwardingTracker {
+        &self.tracker
     }
 
     fn best_local(
@@ -84,57 +85,65 @@
         Some(Choice { index, seconds: estimates[index].seconds() })
     }
 
-    /// The estimate, and what reading the prompt costs those who come after.
+    /// Returns the estimate plus the weighted cost of the prefill for the requests behind this one.
     fn score(&self, estimate: &FirstTokenEstimate) -> f64 {
         estimate.seconds() + self.settings.prefill_weight * estimate.prefill
     }
 
-    fn best_away(
+    fn best_remote(
         &self,
         request: &RouteRequest<'_>,
         candidates: &[Candidate<'_>],
         offers: &[RegionOffer<'_>],
     ) -> Option<Choice> {
         let rate = prefill_rate(candidates);
-        let part = needy_part(candidates, offers);
+        let capacity_share = contention_share(candidates, offers);
         let choices = offers.iter().enumerate().map(|(index, offer)| {
             let in_flight_change = self.in_flight_change(request, offer);
             let seconds = forwarded_first_token(request, offer, in_flight_change, rate);
-            let excess = (in_flight_change + 1.0 - part * self.granted(offer)).max(0.0);
-            let own_slots = f64::from(offer.slots.max(1)) * offer.share.clamp(0.01, 1.0) * part;
+            let excess =
+                (in_flight_change + 1.0 - capacity_share * self.available_requests(offer)).max(0.0);
+            let own_slots =
+                f64::from(offer.slots.max(1)) * offer.share.clamp(0.01, 1.0) * capacity_share;
             let queue = excess * request.holding_time.as_secs_f64() / own_slots.max(1e-3);
             Choice { index, seconds: seconds + queue }
         });
         choices.min_by(|a, b| a.seconds.total_cmp(&b.seconds))
     }
 
-    /// What this gateway has added in the region since it made the offer.
+    /// Returns the change in the number of this gateway's requests that run in the region since the
+    /// offer was made.
     fn in_flight_change(&self, request: &RouteRequest<'_>, offer: &RegionOffer<'_>) -> f64 {
-        self.account.in_flight_change(offer.region, request.now, offer.age, request.holding_time)
+        self.tracker.in_flight_change(offer.region, request.now, offer.age, request.holding_time)
     }
 
-    /// Requests that this gateway may send on this offer if no other region needs it.
-    fn granted(&self, offer: &RegionOffer<'_>) -> f64 {
+    /// Returns the number of requests that this gateway may send on this offer if no other region
+    /// competes for it.
+    fn available_requests(&self, offer: &RegionOffer<'_>) -> f64 {
         let ramp = self.settings.forwarding.return_ramp.as_secs_f64().max(1e-9);
         let trust = (offer.since_return.as_secs_f64() / ramp).min(1.0);
         f64::from(offer.free_slots) * offer.share.clamp(0.0, 1.0) * trust
     }
 
-    fn goes_away(&self, request: &RouteRequest<'_>, local: f64, away: f64) -> bool {
+    fn should_forward(&self, request: &RouteRequest<'_>, local: f64, remote: f64) -> bool {
         request.within_share
-            && self.account.should_forward(&self.settings.forwarding, request, local, away)
+            && self.tracker.should_forward(&self.settings.forwarding, request, local, remote)
     }
 
-    /// Sends what cannot stay to the best region that it may go to, whether that region has room to
-    /// spare or not: only there can it wait its turn.
-    fn leave(&self, request: &RouteRequest<'_>, offers: &[RegionOffer<'_>]) -> RouteDecision {
+    /// Forwards a request that no local engine can run to the best allowed region, even one without
+    /// spare capacity: the request can queue only there.
+    fn forward_best(
+        &self,
+        request: &RouteRequest<'_>,
+        offers: &[RegionOffer<'_>],
+    ) -> RouteDecision {
         let seconds = offers.iter().map(|offer| {
-            let sent = self.in_flight_change(request, offer);
-            forwarded_first_token(request, offer, sent, DEFAULT_PREFILL_RATE)
+            let in_flight = self.in_flight_change(request, offer);
+            forwarded_first_token(request, offer, in_flight, DEFAULT_PREFILL_RATE)
         });
         let seconds = seconds.enumerate();
         match seconds.min_by(|a, b| a.1.total_cmp(&b.1)) {
-            Some((index, _)) => self.send(request, &offers[index], index),
+            Some((index, _)) => self.forward(request, &offers[index], index),
             None => RouteDecision::Refuse {
                 reason: RefuseReason::NoBackend,
                 retry_after: Duration::from_secs(1),
@@ -142,48 +151,50 @@
         }
     }
 
-    fn send(
+    fn forward(
         &self,
         request: &RouteRequest<'_>,
         offer: &RegionOffer<'_>,
         index: usize,
     ) -> RouteDecision {
-        self.account.record_sent(offer.region, request.now, request.holding_time);
-        self.account.record_decision(&self.settings.forwarding, request.now, true);
+        self.tracker.record_sent(offer.region, request.now, request.holding_time);
+        self.tracker.record_decision(&self.settings.forwarding, request.now, true);
         RouteDecision::Forward { offer: index }
     }
 
-    fn stay(&self, request: &RouteRequest<'_>, local: &Choice) -> RouteDecision {
+    fn run_locally(&self, request: &RouteRequest<'_>, local: &Choice) -> RouteDecision {
         let late = request.deadline.is_some_and(|left| local.seconds > left.as_secs_f64());
         if late {
             let retry_after = Duration::from_secs_f64(local.seconds.clamp(0.1, 60.0));
             return RouteDecision::Refuse { reason: RefuseReason::TooLate, retry_after };
         }
-        self.account.record_decision(&self.settings.forwarding, request.now, false);
+        self.tracker.record_decision(&self.settings.forwarding, request.now, false);
         RouteDecision::Local { backend: local.index }
     }
 }
 
-/// Prompt tokens a second of an engine where none is known.
+/// Prefill rate of an engine whose rate is unknown, in prompt tokens per second.
 const DEFAULT_PREFILL_RATE: f64 = 8_000.0;
 
-/// The mean prefill rate of the engines here, taken for those of other regions as well.
+/// Returns the mean prefill rate of the local engines, which is also assumed for the engines of
+/// other regions.
 fn prefill_rate(candidates: &[Candidate<'_>]) -> f64 {
     let sum: f64 = candidates.iter().map(|c| c.capacity.prefill_rate).sum();
     if candidates.is_empty() { DEFAULT_PREFILL_RATE } else { sum / candidates.len() as f64 }
 }
 
-/// A region that states fewer free slots than one in this many of its slots sends work away itself.
-const NEEDY: u32 = 20;
-
-/// This region's part of what other regions have to spare: its slots by those of all regions in need.
-/// Without it several regions at their peak would each count on the whole of a third one's free slots,
-/// and flood it until its next summary.
-fn needy_part(candidates: &[Candidate<'_>], offers: &[RegionOffer<'_>]) -> f64 {
-    let here: f64 = candidates.iter().map(|c| f64::from(c.capacity.slots)).sum();
-    let needy = offers.iter().filter(|o| o.reachable && o.free_slots < o.slots / NEEDY);
-    let others: f64 = needy.map(|o| f64::from(o.slots)).sum();
-    here / (here + others).max(1.0)
+/// A region whose free slots are fewer than its slots divided by this forwards work itself.
+const SCARCE_CAPACITY_DIVISOR: u32 = 20;
+
+/// Returns this region's fraction of the spare capacity of other regions: its slots divided by the
+/// slots of all regions that are short of capacity. Without it, several regions at their peak would
+/// each count on all free slots of another region and overload it until its next offer.
+fn contention_share(candidates: &[Candidate<'_>], offers: &[RegionOffer<'_>]) -> f64 {
+    let local_slots: f64 = candidates.iter().map(|c| f64::from(c.capacity.slots)).sum();
+    let scarce =
+        offers.iter().filter(|o| o.reachable && o.free_slots < o.slots / SCARCE_CAPACITY_DIVISOR);
+    let remote_slots: f64 = scarce.map(|o| f64::from(o.slots)).sum();
+    local_slots / (local_slots + remote_slots).max(1.0)
 }
 
 impl RoutePolicy for LatencyPolicy {
@@ -195,14 +206,16 @@
         random: &dyn RandomSource,
     ) -> RouteDecision {
         let Some(local) = self.best_local(request, candidates, random) else {
-            return self.leave(request, offers);
+            return self.forward_best(request, offers);
         };
         let waited = request.queue_wait.as_secs_f64();
-        match self.best_away(request, candidates, offers) {
-            Some(away) if self.goes_away(request, local.seconds + waited, away.seconds) => {
-                self.send(request, &offers[away.index], away.index)
+        match self.best_remote(request, candidates, offers) {
+            Some(remote)
+                if self.should_forward(request, local.seconds + waited, remote.seconds) =>
+            {
+                self.forward(request, &offers[remote.index], remote.index)
             }
-            _ => self.stay(request, &local),
+            _ => self.run_locally(request, &local),
         }
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,16 +1,18 @@
-//! The decision: which backend server, in which region, now, later or not at all.
+//! Request routing: selects a backend server, a remote region, a wait or a refusal.
 //!
-//! A gateway fills borrowed rows ([`Candidate`] for each backend server of its region,
-//! [`RegionOffer`] for each other region) and asks a [`RoutePolicy`]. Nothing here does I/O, reads a
-//! clock or starts a task: the time and the random source come with the call, so the experiments and
-//! the gateway run the same code.
+//! A gateway fills borrowed rows (a [`Candidate`] for each backend server of its region, a
+//! [`RegionOffer`] for each other region) and asks a [`RoutePolicy`]. This crate does no I/O, reads
+//! no clock and spawns no tasks: the time and the random source are arguments, so the experiments
+//! and the gateway run the same code.
 //!
-//! [`CheckedPolicy`] keeps what must always hold (residency, at most one hop, no work for a leaving
-//! backend server) outside the policies: it hands them only what is allowed, and checks what they
-//! answer. [`LatencyPolicy`] is the policy of the product, [`baseline`] holds those it is compared with.
+//! [`CheckedPolicy`] enforces the invariants (residency, at most one hop between regions, no work
+//! for a leaving backend server) outside the policies: it passes them only the allowed rows and
+//! validates their answer. [`LatencyPolicy`] is the default policy; [`baseline`] holds the policies
+//! that it is compared with.
 //!
-//! The helpers beside the policies keep what a gateway knows of itself: [`OwnLoadTracker`] its own work at
-//! one backend server, [`PrefixTable`] where prompt prefixes are expected in caches.
+//! Two helpers track the state of the gateway itself: [`OwnLoadTracker`] counts its requests at one
+//! backend server, and [`PrefixTable`] records which engines are expected to hold a prompt prefix
+//! in their caches.
 
 pub mod baseline;
 mod candidate;
--- a/crates/route/src/offer.rs
+++ b/crates/route/src/offer.rs
@@ -1,29 +1,30 @@
-//! What another region says it can take.
+//! Capacity that another region advertises.
 
 use {gullglade_units::RegionName, std::time::Duration};
 
-/// One row for each other region that serves the model.
+/// Advertised capacity of another region that serves the model.
 #[derive(Clone, Copy, Debug)]
 pub struct RegionOffer<'a> {
     /// The region.
     pub region: &'a RegionName,
-    /// Whether a gateway there answers now.
+    /// Whether a gateway of the region is reachable.
     pub reachable: bool,
-    /// One-way delay between gateways.
+    /// One-way network delay between the gateways.
     pub link: Duration,
-    /// Slots of its engines for the model, all together.
+    /// Total slots of the region's engines for the model.
     pub slots: u32,
-    /// Slots that it says are free.
+    /// Free slots, as advertised by the region.
     pub free_slots: u32,
-    /// Prompt tokens waiting there, all engines together.
+    /// Total prompt tokens that wait for prefill in the region.
     pub prefill_tokens: u32,
-    /// Prompt tokens its engines read in a second, all together.
+    /// Total prefill rate of the region's engines, in prompt tokens per second.
     pub prefill_rate: f64,
-    /// Time since its engines reported these figures, not since the region passed them on.
+    /// Time since the engines reported these figures, which is longer than the time since the
+    /// region advertised them.
     pub age: Duration,
-    /// Time since it came back from an outage or a partition.
+    /// Time since the region recovered from an outage or a network partition.
     pub since_return: Duration,
-    /// This gateway's part, 0 to 1, of what its own region may send there: one by the gateways of the
-    /// region that send.
+    /// Fraction of the local region's traffic to that region that this gateway may send, 0 to 1:
+    /// the inverse of the number of gateways of the local region that send there.
     pub share: f64,
 }
--- a/crates/route/src/own_load.rs
+++ b/crates/route/src/own_load.rs
@@ -1,4 +1,4 @@
-//! A gateway's own work at one engine, now and at the time of the engine's report.
+//! Tracks a gateway's own requests at one engine, now and at the time of the engine's report.
 
 use {
     crate::OwnLoad,
@@ -6,47 +6,47 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Changes that are remembered; older ones count as seen by every report.
+/// Changes in the history; a report is assumed to include all older ones.
 const HISTORY_LIMIT: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct LedgerChange {
+struct LoadChange {
     time: MonotonicTime,
     active: i8,
     prefill_tokens: i64,
 }
 
-/// Counts of own work with a short history, so that a report that was taken some time ago can be
-/// corrected by what was started and finished since.
+/// Counts of a gateway's own requests at one engine, with a short history. The history allows
+/// correcting an old report by the requests started and finished since.
 #[derive(Clone, Debug, Default)]
 pub struct OwnLoadTracker {
     active: u32,
     prefill_tokens: u32,
-    history: VecDeque<LedgerChange>,
+    history: VecDeque<LoadChange>,
 }
 
 impl OwnLoadTracker {
-    /// A request with this many uncached prompt tokens is sent.
+    /// Records that a request with `tokens` uncached prompt tokens was sent.
     pub fn started(&mut self, now: MonotonicTime, tokens: u32) {
         self.change(now, 1, i64::from(tokens));
     }
 
-    /// Its first token has arrived.
+    /// Records the first token of a request that was sent with `tokens` uncached prompt tokens.
     pub fn first_token(&mut self, now: MonotonicTime, tokens: u32) {
         self.change(now, 0, -i64::from(tokens));
     }
 
-    /// It has ended, after its first token.
+    /// Records the end of a request after its first token.
     pub fn finished(&mut self, now: MonotonicTime) {
         self.change(now, -1, 0);
     }
 
-    /// The load now, and when a report of this age was taken.
+    /// Returns the load now, and at the time of a report of this age.
     pub fn load(&self, now: MonotonicTime, age: Duration) -> OwnLoad {
-        let taken = MonotonicTime(now.0.saturating_sub(age));
+        let report_time = MonotonicTime(now.0.saturating_sub(age));
         let mut active = i64::from(self.active);
         let mut tokens = i64::from(self.prefill_tokens);
-        for change in self.history.iter().rev().take_while(|c| c.time > taken) {
+        for change in self.history.iter().rev().take_while(|c| c.time > report_time) {
             active -= i64::from(change.active);
             tokens -= change.prefill_tokens;
         }
@@ -64,7 +64,7 @@
         if self.history.len() == HISTORY_LIMIT {
             self.history.pop_front();
         }
-        self.history.push_back(LedgerChange { time, active, prefill_tokens });
+        self.history.push_back(LoadChange { time, active, prefill_tokens });
     }
 }
 
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,4 +1,4 @@
-//! What is known of a request when it is decided.
+//! The request as input of a routing decision.
 
 use {
     gullglade_units::{ModelName, MonotonicTime, RegionName},
@@ -7,17 +7,17 @@
 
 use crate::BackendRole;
 
-/// The regions that a service's document lets a request and its data travel to.
+/// Regions that a service's document allows a request and its data to enter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Residency<'a> {
     /// Every region.
     Anywhere,
-    /// Only these; none where the list is empty.
+    /// Only these regions; none if the list is empty.
     Only(&'a [RegionName]),
 }
 
 impl Residency<'_> {
-    /// Whether `region` may see the request.
+    /// Returns whether the request may enter `region`.
     pub fn allows(&self, region: &RegionName) -> bool {
         match self {
             Residency::Anywhere => true,
@@ -26,28 +26,28 @@
     }
 }
 
-/// How the service's document weighs its measures against each other; only the ratio counts.
+/// Weights of the service's document for the measures of the policy; only their ratio counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteWeights {
     /// Weight of tail latency.
     pub latency: f64,
-    /// Weight of the share sent away.
+    /// Weight of the forwarded share.
     pub away: f64,
 }
 
 impl Default for RouteWeights {
-    /// Both weigh the same.
+    /// Equal weights.
     fn default() -> Self {
         Self { latency: 1.0, away: 1.0 }
     }
 }
 
 impl RouteWeights {
-    /// The least and the greatest ratio in force: a document cannot switch one measure off.
+    /// Bounds of the effective ratio, so that a document cannot disable either measure.
     const RATIO_RANGE: (f64, f64) = (0.05, 20.0);
 
-    /// Seconds of time to first token that one request sent away must save, as a multiple of the
-    /// target. One where nothing usable is stated.
+    /// Returns the latency that forwarding one request must save, as a multiple of the target; 1 if
+    /// the weights give no valid ratio.
     pub fn away_ratio(&self) -> f64 {
         let ratio = self.away / self.latency;
         let usable = if ratio.is_nan() { 1.0 } else { ratio };
@@ -55,42 +55,41 @@
     }
 }
 
-/// One request, as the decision sees it.
+/// Request to be routed.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// The time of the decision.
+    /// Time of the decision.
     pub now: MonotonicTime,
-    /// The region of the gateway that decides.
+    /// Region of the gateway that decides.
     pub local_region: &'a RegionName,
-    /// The region that forwarded the request here; such a request never goes away again.
+    /// Region that forwarded the request to this one; such a request is never forwarded again.
     pub origin: Option<&'a RegionName>,
-    /// What the document allows.
+    /// Regions that the document allows.
     pub residency: Residency<'a>,
-    /// The one region the request is bound to, where it is.
+    /// The only region that the request may run in, if it is bound to one.
     pub home: Option<&'a RegionName>,
-    /// Whether this gateway's configuration may be out of date; it then keeps work in its region,
-    /// because a newer document may have withdrawn the permission to travel.
+    /// Whether this gateway's configuration may be out of date. The gateway then forwards nothing,
+    /// because a newer document may have withdrawn the permission to leave the region.
     pub stale_config: bool,
-    /// The model, none for a plain service.
+    /// Model of the request; `None` for a plain service.
     pub model: Option<&'a ModelName>,
-    /// The role a backend server must have.
+    /// Required role of the backend server.
     pub role: BackendRole,
-    /// Estimated tokens of the prompt.
+    /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
-    /// How long a request of this model keeps an engine's slot, on average.
+    /// Mean time that a request of this model holds a slot of an engine.
     pub holding_time: Duration,
-    /// The time to first token that the document promises.
+    /// Target of the document for the time to first token.
     pub target: Duration,
-    /// The time left until an answer is of no use; none where the caller waits for ever.
+    /// Time left until the answer is useless; `None` if the caller waits without limit.
     pub deadline: Option<Duration>,
-    /// Time the request has spent in this gateway already.
+    /// Time that the request has already spent in this gateway.
     pub waited: Duration,
-    /// How long the requests of this gateway that wait before this one will take to leave; zero when
-    /// it is this one's turn.
+    /// Expected time until all requests queued in this gateway before this one have left the queue;
+    /// zero if this one is first.
     pub queue_wait: Duration,
-    /// Whether the workspace uses no more than its fair share; what is above the share is not sent
-    /// away.
+    /// Whether the workspace is within its fair share; requests over the share are not forwarded.
     pub within_share: bool,
-    /// The document's weights.
+    /// Weights of the document.
     pub weights: RouteWeights,
 }
--- a/crates/route/tests/filters.rs
+++ b/crates/route/tests/filters.rs
@@ -1,5 +1,5 @@
-//! Residency, hops and drain hold for any topology and any stale or contradictory input, whatever
-//! the policy behind the filters answers.
+//! Residency, hop and drain rules hold for any topology and for stale or contradictory input,
+//! whatever the wrapped policy answers.
 
 use {
     gullglade_route::{
@@ -39,9 +39,9 @@
     age: u64,
 }
 
-/// Any state of the world, likely or not.
+/// Arbitrary input of a decision, including states that are unlikely in practice.
 #[derive(Clone, Debug)]
-struct RawWorld {
+struct RawInput {
     here: usize,
     origin: Option<usize>,
     home: Option<usize>,
@@ -58,33 +58,33 @@
     seed: u64,
 }
 
-fn pick(g: &mut Gen, count: usize) -> usize {
+fn index_below(g: &mut Gen, count: usize) -> usize {
     usize::arbitrary(g) % count
 }
 
-fn maybe(g: &mut Gen, count: usize) -> Option<usize> {
-    bool::arbitrary(g).then(|| pick(g, count))
+fn optional_index(g: &mut Gen, count: usize) -> Option<usize> {
+    bool::arbitrary(g).then(|| index_below(g, count))
 }
 
-fn number(g: &mut Gen) -> u32 {
+fn arbitrary_count(g: &mut Gen) -> u32 {
     *g.choose(&[0, 1, 2, 16, 100, 5_000, u32::MAX]).expect("not empty")
 }
 
-fn millis(g: &mut Gen) -> u64 {
+fn arbitrary_millis(g: &mut Gen) -> u64 {
     *g.choose(&[0, 1, 55, 1_000, 60_000, u64::from(u32::MAX)]).expect("not empty")
 }
 
 impl Arbitrary for RawCandidate {
     fn arbitrary(g: &mut Gen) -> Self {
-        let models = (0..pick(g, 3)).map(|_| pick(g, MODELS.len())).collect();
+        let models = (0..index_below(g, 3)).map(|_| index_below(g, MODELS.len())).collect();
         Self {
-            region: pick(g, REGIONS.len()),
+            region: index_below(g, REGIONS.len()),
             models,
             role: u8::arbitrary(g),
             health: u8::arbitrary(g),
             leaving: bool::arbitrary(g),
-            numbers: std::array::from_fn(|_| number(g)),
-            age: millis(g),
+            numbers: std::array::from_fn(|_| arbitrary_count(g)),
+            age: arbitrary_millis(g),
             rate: f64::arbitrary(g),
         }
     }
@@ -93,31 +93,31 @@
 impl Arbitrary for RawOffer {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
-            region: pick(g, REGIONS.len()),
+            region: index_below(g, REGIONS.len()),
             reachable: bool::arbitrary(g),
-            numbers: std::array::from_fn(|_| number(g)),
+            numbers: std::array::from_fn(|_| arbitrary_count(g)),
             rate: f64::arbitrary(g),
             share: f64::arbitrary(g),
-            age: millis(g),
+            age: arbitrary_millis(g),
         }
     }
 }
 
-impl Arbitrary for RawWorld {
+impl Arbitrary for RawInput {
     fn arbitrary(g: &mut Gen) -> Self {
-        let allowed =
-            bool::arbitrary(g).then(|| (0..pick(g, 4)).map(|_| pick(g, REGIONS.len())).collect());
+        let allowed = bool::arbitrary(g)
+            .then(|| (0..index_below(g, 4)).map(|_| index_below(g, REGIONS.len())).collect());
         Self {
-            here: pick(g, REGIONS.len()),
-            origin: maybe(g, REGIONS.len()),
-            home: maybe(g, REGIONS.len()),
+            here: index_below(g, REGIONS.len()),
+            origin: optional_index(g, REGIONS.len()),
+            home: optional_index(g, REGIONS.len()),
             allowed,
             stale_config: bool::arbitrary(g),
-            model: maybe(g, MODELS.len()),
+            model: optional_index(g, MODELS.len()),
             role: u8::arbitrary(g),
             weights: (f64::arbitrary(g), f64::arbitrary(g)),
-            times: std::array::from_fn(|_| millis(g)),
-            prompt_tokens: number(g),
+            times: std::array::from_fn(|_| arbitrary_millis(g)),
+            prompt_tokens: arbitrary_count(g),
             within_share: bool::arbitrary(g),
             candidates: Vec::arbitrary(g),
             offers: Vec::arbitrary(g),
@@ -134,7 +134,7 @@
     [HealthState::Healthy, HealthState::Suspect, HealthState::Down][usize::from(raw % 3)]
 }
 
-/// The checked names that the borrowed rows point to.
+/// Validated names that the borrowed rows refer to.
 struct Names {
     regions: Vec<RegionName>,
     models: Vec<ModelName>,
@@ -149,10 +149,10 @@
     }
 }
 
-/// A policy that answers nonsense.
-struct BlindPolicy;
+/// Policy that answers with random indexes, some of them out of bounds.
+struct RandomPolicy;
 
-impl RoutePolicy for BlindPolicy {
+impl RoutePolicy for RandomPolicy {
     fn decide(
         &self,
         _request: &RouteRequest<'_>,
@@ -170,7 +170,7 @@
 
 fn policies() -> Vec<(&'static str, Box<dyn RoutePolicy>)> {
     vec![
-        ("blind", Box::new(CheckedPolicy::new(BlindPolicy))),
+        ("random", Box::new(CheckedPolicy::new(RandomPolicy))),
         ("round-robin", Box::new(CheckedPolicy::new(baseline::RoundRobin::default()))),
         ("least-reported", Box::new(CheckedPolicy::new(baseline::LeastReported))),
         ("two-choices", Box::new(CheckedPolicy::new(baseline::TwoChoices))),
@@ -179,35 +179,35 @@
     ]
 }
 
-fn holds(world: &RawWorld) -> Result<(), String> {
+fn check_input(input: &RawInput) -> Result<(), String> {
     let names = names();
-    let models: Vec<Vec<ModelName>> = world
+    let models: Vec<Vec<ModelName>> = input
         .candidates
         .iter()
         .map(|c| c.models.iter().map(|m| names.models[*m].clone()).collect())
         .collect();
     let allowed: Option<Vec<RegionName>> =
-        world.allowed.as_ref().map(|list| list.iter().map(|r| names.regions[*r].clone()).collect());
-    let time = |index: usize| Duration::from_millis(world.times[index]);
+        input.allowed.as_ref().map(|list| list.iter().map(|r| names.regions[*r].clone()).collect());
+    let time = |index: usize| Duration::from_millis(input.times[index]);
     let request = RouteRequest {
         now: MonotonicTime(time(0)),
-        local_region: &names.regions[world.here],
-        origin: world.origin.map(|r| &names.regions[r]),
+        local_region: &names.regions[input.here],
+        origin: input.origin.map(|r| &names.regions[r]),
         residency: allowed.as_deref().map_or(Residency::Anywhere, Residency::Only),
-        home: world.home.map(|r| &names.regions[r]),
-        stale_config: world.stale_config,
-        model: world.model.map(|m| &names.models[m]),
-        role: role(world.role),
-        prompt_tokens: world.prompt_tokens,
+        home: input.home.map(|r| &names.regions[r]),
+        stale_config: input.stale_config,
+        model: input.model.map(|m| &names.models[m]),
+        role: role(input.role),
+        prompt_tokens: input.prompt_tokens,
         holding_time: time(1),
         target: time(2),
         deadline: Some(time(3)),
         waited: Duration::ZERO,
         queue_wait: time(4),
-        within_share: world.within_share,
-        weights: RouteWeights { latency: world.weights.0, away: world.weights.1 },
+        within_share: input.within_share,
+        weights: RouteWeights { latency: input.weights.0, away: input.weights.1 },
     };
-    let candidates: Vec<Candidate<'_>> = world
+    let candidates: Vec<Candidate<'_>> = input
         .candidates
         .iter()
         .zip(&models)
@@ -235,7 +235,7 @@
             since_join: Duration::from_millis(raw.age),
         })
         .collect();
-    let offers: Vec<RegionOffer<'_>> = world
+    let offers: Vec<RegionOffer<'_>> = input
         .offers
         .iter()
         .map(|raw| RegionOffer {
@@ -251,19 +251,19 @@
             share: raw.share,
         })
         .collect();
-    let random = SeededRandom::new(world.seed);
+    let random = SeededRandom::new(input.seed);
     for (name, policy) in policies() {
         for _ in 0..4 {
             let decision = policy.decide(&request, &candidates, &offers, &random);
-            check(&request, &candidates, &offers, decision)
-                .map_err(|fault| format!("{name}: {fault}: {decision:?}"))?;
+            check_decision(&request, &candidates, &offers, decision)
+                .map_err(|violation| format!("{name}: {violation}: {decision:?}"))?;
         }
     }
     Ok(())
 }
 
-/// What must hold of a decision, written down apart from the code that filters.
-fn check(
+/// Checks the invariants of a decision, independently of the code that filters.
+fn check_decision(
     request: &RouteRequest<'_>,
     candidates: &[Candidate<'_>],
     offers: &[RegionOffer<'_>],
@@ -272,42 +272,42 @@
     let (region, away) = match decision {
         RouteDecision::Local { backend } => {
             let row = candidates.get(backend).ok_or("no such candidate")?;
-            expect(!row.leaving, "a leaving backend server")?;
-            expect(row.health != HealthState::Down, "a dead backend server")?;
-            expect(row.role == request.role, "a wrong role")?;
-            expect(row.role != BackendRole::Standby, "a backend server on standby")?;
-            expect(request.model.is_none_or(|m| row.models.contains(m)), "a wrong model")?;
-            expect(row.region == request.local_region, "a row of another region")?;
+            ensure(!row.leaving, "a leaving backend server")?;
+            ensure(row.health != HealthState::Down, "a backend server that is down")?;
+            ensure(row.role == request.role, "a wrong role")?;
+            ensure(row.role != BackendRole::Standby, "a backend server on standby")?;
+            ensure(request.model.is_none_or(|m| row.models.contains(m)), "a wrong model")?;
+            ensure(row.region == request.local_region, "a row of another region")?;
             (row.region, false)
         }
         RouteDecision::Forward { offer } => {
             let row = offers.get(offer).ok_or("no such offer")?;
-            expect(row.reachable, "an unreachable region")?;
-            expect(row.region != request.local_region, "away to the own region")?;
+            ensure(row.reachable, "an unreachable region")?;
+            ensure(row.region != request.local_region, "forwarded to its own region")?;
             (row.region, true)
         }
         RouteDecision::Wait { .. } | RouteDecision::Refuse { .. } => return Ok(()),
     };
     if let Residency::Only(list) = request.residency {
-        expect(list.contains(region), "outside its residency")?;
+        ensure(list.contains(region), "outside its allowed regions")?;
     }
-    expect(request.home.is_none_or(|home| home == region), "outside its home")?;
-    expect(!(away && request.origin.is_some()), "a second hop")?;
-    expect(!(away && request.stale_config), "away under a stale configuration")?;
-    expect(request.origin != Some(request.local_region), "a loop taken in")
+    ensure(request.home.is_none_or(|home| home == region), "outside its home region")?;
+    ensure(!(away && request.origin.is_some()), "a second hop")?;
+    ensure(!(away && request.stale_config), "forwarded under a stale configuration")?;
+    ensure(request.origin != Some(request.local_region), "a looped request accepted")
 }
 
-fn expect(held: bool, fault: &str) -> Result<(), String> {
-    if held { Ok(()) } else { Err(fault.to_owned()) }
+fn ensure(held: bool, violation: &str) -> Result<(), String> {
+    if held { Ok(()) } else { Err(violation.to_owned()) }
 }
 
 quickcheck! {
-    /// Symptom it would show: a request outside its places, or in a loop. Sequence: any mixture of
-    /// late, doubled or contradictory rows reaches the decision. Cause: a policy that trusts a row.
-    fn limits_hold_for_any_input(world: RawWorld) -> bool {
-        match holds(&world) {
+    /// Guards against a policy that trusts a row: a mix of late, duplicate or contradictory rows
+    /// must not place a request outside its allowed regions or forward it in a loop.
+    fn invariants_hold_for_any_input(input: RawInput) -> bool {
+        match check_input(&input) {
             Ok(()) => true,
-            Err(fault) => panic!("{fault}"),
+            Err(violation) => panic!("{violation}"),
         }
     }
 }
@@ -321,26 +321,32 @@
 }
 
 #[test]
-fn both_ends_refuse_a_second_hop() {
+fn check_forward_rejects_loops_and_second_hops() {
     let cases = [
         HopCase { name: "first hop", origin: None, from: 0, to: 1, expected: Ok(()) },
-        HopCase { name: "as received", origin: Some(0), from: 0, to: 1, expected: Ok(()) },
         HopCase {
-            name: "passed on",
+            name: "forwarded once, checked by the receiver",
+            origin: Some(0),
+            from: 0,
+            to: 1,
+            expected: Ok(()),
+        },
+        HopCase {
+            name: "forwarded a second time",
             origin: Some(0),
             from: 1,
             to: 2,
             expected: Err(ForwardError::SecondHop),
         },
         HopCase {
-            name: "sent back",
+            name: "forwarded back to its origin",
             origin: Some(0),
             from: 1,
             to: 0,
             expected: Err(ForwardError::Loop),
         },
         HopCase {
-            name: "to itself",
+            name: "forwarded to its own region",
             origin: None,
             from: 1,
             to: 1,
