--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,18 +1,18 @@
-//! Retry budgets.
+//! Token-bucket budget for retries.
 
 use {
     gullglade_units::MonotonicTime,
     std::{cell::RefCell, time::Duration},
 };
 
-/// How many retries a service may make.
+/// Limits on the retries of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySettings {
-    /// Retries for each first attempt. Default 0.1.
+    /// Retries allowed per first attempt. Default 0.1.
     pub ratio: f64,
-    /// Retries in a second that are allowed whatever the traffic. Default 1.
+    /// Retries per second that are allowed without any traffic. Default 1.
     pub min_rate: f64,
-    /// The most retries that may be saved up. Default 10.
+    /// Maximum number of retries that can accumulate. Default 10.
     pub burst: f64,
 }
 
@@ -23,57 +23,57 @@
 }
 
 #[derive(Debug)]
-struct BudgetState {
-    credit: f64,
-    last: MonotonicTime,
+struct BucketState {
+    tokens: f64,
+    last_refill: MonotonicTime,
 }
 
-/// The retries one service may still make.
+/// Retry budget of one service.
 ///
-/// When all backend servers of a service fail at once, each retry adds load to what is left and makes
-/// it fail too; it shows as more attempts than requests. The budget bounds the attempts to the
-/// requests times one plus the ratio.
+/// When all backend servers of a service fail at once, each retry adds load to the remaining ones
+/// and makes them fail too; the attempts then outnumber the requests. The budget limits the
+/// attempts to the requests times one plus the ratio.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    state: RefCell<BudgetState>,
+    state: RefCell<BucketState>,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: RetrySettings, now: MonotonicTime) -> Self {
-        let state = BudgetState { credit: settings.burst, last: now };
+        let state = BucketState { tokens: settings.burst, last_refill: now };
         Self { settings, state: RefCell::new(state) }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_first_attempt(&self, now: MonotonicTime) {
-        self.add(now, self.settings.ratio);
+        self.refill(now, self.settings.ratio);
     }
 
-    /// Takes one retry out of the budget, where there is one.
+    /// Consumes one retry and returns true, or returns false if the budget is exhausted.
     pub fn try_retry(&self, now: MonotonicTime) -> bool {
-        self.add(now, 0.0);
+        self.refill(now, 0.0);
         let mut state = self.state.borrow_mut();
-        let allowed = state.credit >= 1.0;
+        let allowed = state.tokens >= 1.0;
         if allowed {
-            state.credit -= 1.0;
+            state.tokens -= 1.0;
         }
         allowed
     }
 
-    /// Time until the next retry is allowed if no request comes.
+    /// Returns the time until the next retry is allowed if no further request arrives.
     pub fn retry_after(&self, now: MonotonicTime) -> Duration {
-        self.add(now, 0.0);
-        let missing = (1.0 - self.state.borrow().credit).max(0.0);
-        Duration::from_secs_f64((missing / self.settings.min_rate.max(1e-3)).min(60.0))
+        self.refill(now, 0.0);
+        let deficit = (1.0 - self.state.borrow().tokens).max(0.0);
+        Duration::from_secs_f64((deficit / self.settings.min_rate.max(1e-3)).min(60.0))
     }
 
-    fn add(&self, now: MonotonicTime, credit: f64) {
+    fn refill(&self, now: MonotonicTime, tokens: f64) {
         let mut state = self.state.borrow_mut();
-        let elapsed = now.since(state.last).as_secs_f64();
-        state.last = now.max(state.last);
-        let sum = state.credit + credit + elapsed * self.settings.min_rate;
-        state.credit = sum.min(self.settings.burst);
+        let elapsed = now.since(state.last_refill).as_secs_f64();
+        state.last_refill = now.max(state.last_refill);
+        let sum = state.tokens + tokens + elapsed * self.settings.min_rate;
+        state.tokens = sum.min(self.settings.burst);
     }
 }
--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one workspace at one priority.
+//! Queue of the waiting requests of one workspace at one priority.
 
 use {
     crate::{AdmissionPermit, AdmissionPriority, AdmissionRefusal, AdmissionRequest},
@@ -7,37 +7,39 @@
     std::collections::BTreeMap,
 };
 
-/// Orders the requests of a flow: earliest deadline, then first come.
+/// Sort key of a flow's requests: earliest deadline first, then order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaiterKey {
-    /// The deadline, the end of time for none.
+    /// Deadline of the request, or the maximum time if it has none.
     pub(crate) deadline: MonotonicTime,
-    /// Order of coming.
+    /// Sequence number of the arrival.
     pub(crate) sequence: u64,
 }
 
-/// A request that waits.
+/// A queued request.
 pub(crate) struct Waiter {
-    /// Its cost by its share: how far it moves its flow's virtual time.
-    pub(crate) charge: u64,
-    /// Wakes the task.
+    /// Cost of the request divided by the share of its workspace: the advance of the flow's virtual
+    /// time.
+    pub(crate) virtual_cost: u64,
+    /// Completes the waiting task.
     pub(crate) sender: WaiterSender,
 }
 
-/// The way to a waiting task.
+/// Channel to a waiting task.
 pub(crate) type WaiterSender = oneshot::Sender<Result<AdmissionPermit, AdmissionRefusal>>;
 
 impl Waiter {
-    /// Answers the task; where it is gone the answer, and with it a permit, is dropped.
-    pub(crate) fn answer(self, outcome: Result<AdmissionPermit, AdmissionRefusal>) {
+    /// Sends the outcome to the task. If the task is gone, the outcome is dropped together with any
+    /// permit in it.
+    pub(crate) fn complete(self, outcome: Result<AdmissionPermit, AdmissionRefusal>) {
         drop(self.sender.send(outcome));
     }
 }
 
-/// Time in which a [`DecayedSum`] forgets all but 1 / e, seconds.
-const DEMAND_WINDOW: f64 = 30.0;
+/// Time constant of a [`DecayedSum`] in seconds.
+const DEMAND_TIME_CONSTANT: f64 = 30.0;
 
-/// A sum whose terms lose their weight exponentially.
+/// Sum with exponentially decaying terms.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayedSum {
     sum: f64,
@@ -45,9 +47,9 @@
 }
 
 impl DecayedSum {
-    /// The sum now.
+    /// Returns the sum at `now`.
     pub(crate) fn at(&self, now: MonotonicTime) -> f64 {
-        self.sum * (-now.since(self.updated).as_secs_f64() / DEMAND_WINDOW).exp()
+        self.sum * (-now.since(self.updated).as_secs_f64() / DEMAND_TIME_CONSTANT).exp()
     }
 
     /// Adds a term.
@@ -57,31 +59,31 @@
     }
 }
 
-/// One workspace at one priority.
+/// Queue and accounting of one workspace at one priority.
 pub(crate) struct Flow {
-    /// The workspace.
+    /// Workspace of the flow.
     pub(crate) workspace: WorkspaceName,
-    /// The priority.
+    /// Priority of the flow.
     pub(crate) priority: AdmissionPriority,
-    /// The workspace's share against the others'.
+    /// Weight of the workspace relative to the other workspaces.
     pub(crate) share: f64,
-    /// Permits out.
+    /// Permits currently held.
     pub(crate) running: u32,
-    /// Requests that came lately.
+    /// Recent number of requests.
     pub(crate) demand: DecayedSum,
-    /// When its next request may start while it is over its share.
+    /// Earliest start of the next request while the flow is over its share.
     pub(crate) next_start: MonotonicTime,
-    /// Its place among those over their share.
-    pub(crate) held_until: Option<MonotonicTime>,
-    /// Virtual time at which the next request of this flow starts.
-    pub(crate) start: u64,
-    /// What waits.
+    /// Key of the flow in the set of deferred flows, if it is deferred.
+    pub(crate) deferred_until: Option<MonotonicTime>,
+    /// Start tag: virtual time at which the next request of this flow starts.
+    pub(crate) start_tag: u64,
+    /// Queued requests.
     pub(crate) waiters: BTreeMap<WaiterKey, Waiter>,
 }
 
 impl Flow {
-    /// An idle flow that may start at once.
-    pub(crate) fn new(request: &AdmissionRequest, start: u64) -> Self {
+    /// Creates an idle flow with the given start tag.
+    pub(crate) fn new(request: &AdmissionRequest, start_tag: u64) -> Self {
         Self {
             workspace: request.workspace.clone(),
             priority: request.priority,
@@ -89,13 +91,13 @@
             running: 0,
             demand: DecayedSum::default(),
             next_start: MonotonicTime::default(),
-            held_until: None,
-            start,
+            deferred_until: None,
+            start_tag,
             waiters: BTreeMap::new(),
         }
     }
 
-    /// Whether it has permits out or requests waiting.
+    /// Returns whether the flow holds permits or has queued requests.
     pub(crate) fn is_active(&self) -> bool {
         self.running > 0 || !self.waiters.is_empty()
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,10 @@
-//! Deadline-aware queues, fair shares and retry budgets.
+//! Deadline-aware admission queues, fair shares and retry budgets.
 //!
-//! A gateway lets no more requests of a model run than its engines have slots for; the rest waits
-//! here, where it can still be ordered, refused or cancelled. The order is priority first, then fair
-//! shares of the workspaces (start-time fair queueing, Goyal et al., 1996), then the earliest deadline.
-//! What cannot start before its deadline is refused when it comes, while its caller can still go
-//! elsewhere, and always as `not-run`.
+//! A gateway runs no more requests of a model than its engines have slots for. Further requests
+//! wait in a queue here, where they can still be reordered, refused or cancelled. Requests are
+//! ordered by priority, then by the fair shares of the workspaces (start-time fair queueing, Goyal
+//! et al., 1996), then by earliest deadline. A request that cannot start before its deadline is
+//! refused on arrival, while its caller can still go elsewhere. Every refusal is `not-run`.
 
 mod budget;
 mod flow;
--- a/crates/admission/src/pool.rs
+++ b/crates/admission/src/pool.rs
@@ -1,4 +1,4 @@
-//! The slots of one model and who waits for them.
+//! Permits of one model and the flows that wait for them, scheduled by start-time fair queueing.
 
 use {
     crate::{
@@ -13,115 +13,118 @@
     },
 };
 
-/// Virtual time units of one unit of cost at a share of one.
-const CHARGE_SCALE: f64 = 1_024.0;
+/// Units of virtual time per unit of cost at a share of one.
+const VIRTUAL_TIME_SCALE: f64 = 1_024.0;
 
-/// A workspace is over its share when it asks for more than this many times its part of what all ask for.
-/// Shares are never stated exactly, and the fair queue alone is enough for those who are somewhat above.
-const OVER_SHARE: f64 = 8.0;
+/// A workspace is over its share if its demand exceeds its fair part of the total demand by more
+/// than this factor. Shares are only roughly configured, and fair queueing alone handles workspaces
+/// that are slightly over.
+const OVER_SHARE_FACTOR: f64 = 8.0;
 
-/// A workspace that sent fewer requests lately (see [`DecayedSum`]) is never over its share: one person's
-/// session may be far more than the share of a workspace that is seldom used.
-const FEW_REQUESTS: f64 = 20.0;
+/// A workspace with less recent demand than this (see [`DecayedSum`]) is never over its share: one
+/// user's session may exceed the share of a workspace that is rarely used.
+const MIN_OVER_SHARE_DEMAND: f64 = 20.0;
 
-/// Idle flows beyond this many and beyond those that wait are forgotten.
-const IDLE_FLOWS: usize = 1_024;
+/// Number of flows, in addition to twice the waiting ones, above which idle flows are removed.
+const IDLE_FLOW_LIMIT: usize = 1_024;
 
-/// Weight of a new sample in the average time a permit is held.
-const HOLD_WEIGHT: f64 = 0.05;
+/// Smoothing factor of the moving average of the holding time.
+const HOLDING_TIME_SMOOTHING: f64 = 0.05;
 
-/// Where a waiting request is.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WaiterPlace {
+pub(crate) struct WaiterId {
     pub(crate) flow: FlowId,
     pub(crate) key: WaiterKey,
 }
 
-/// A flow's number within its pool.
+/// Number of a flow within its pool.
 pub(crate) type FlowId = u64;
 
-/// Counts of one pool since its start. Always `arrived = granted + refused + cancelled + waiting`.
+/// Counters of one pool since its start. `arrived = granted + refused + cancelled + waiting` always
+/// holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolCounts {
-    /// Requests that came.
+    /// Requests that arrived.
     pub arrived: u64,
     /// Requests that got a permit.
     pub granted: u64,
-    /// Requests refused: not run.
+    /// Requests refused, which did not run.
     pub refused: u64,
-    /// Requests whose callers gave up while they waited: not run.
+    /// Requests cancelled by their callers while queued, which did not run.
     pub cancelled: u64,
-    /// Requests that wait now.
+    /// Requests queued now.
     pub waiting: u64,
-    /// Permits out now.
+    /// Permits held now.
     pub running: u64,
 }
 
-/// How many requests of a model may run.
+/// Limits on the running requests of a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// Permits that may be out.
+    /// Maximum number of permits.
     pub permits: u32,
-    /// Permits that may be out when another is given to a workspace over its share. What lies between is
-    /// kept free, so that the others find a slot at once.
+    /// Maximum number of permits up to which a workspace over its share gets another one. The rest
+    /// is reserved, so that other workspaces find a free slot at once.
     pub over_share: u32,
 }
 
 type FlowKey = (AdmissionPriority, WorkspaceName);
 
-type FlowOrder = (Reverse<AdmissionPriority>, u64, FlowId);
+type ReadyKey = (Reverse<AdmissionPriority>, u64, FlowId);
 
-/// One model.
+/// Permits and queues of one model.
 pub(crate) struct Pool {
     pub(crate) limits: PoolLimits,
     pub(crate) counts: PoolCounts,
-    hold: f64,
-    virtual_now: u64,
+    mean_holding_time: f64,
+    virtual_time: u64,
     next_sequence: u64,
-    next_flow: FlowId,
-    ids: HashMap<FlowKey, FlowId>,
+    next_flow_id: FlowId,
+    flow_ids: HashMap<FlowKey, FlowId>,
     flows: HashMap<FlowId, Flow>,
-    known_shares: f64,
+    total_share: f64,
     demand: DecayedSum,
-    ready: BTreeSet<FlowOrder>,
-    held: BTreeSet<(MonotonicTime, FlowId)>,
-    held_waiting: u64,
-    by_length: BTreeSet<(usize, FlowId)>,
+    ready: BTreeSet<ReadyKey>,
+    deferred: BTreeSet<(MonotonicTime, FlowId)>,
+    deferred_waiting: u64,
+    flows_by_length: BTreeSet<(usize, FlowId)>,
 }
 
 impl Pool {
-    pub(crate) fn new(hold: Duration) -> Self {
+    pub(crate) fn new(mean_holding_time: Duration) -> Self {
         Self {
             limits: PoolLimits::default(),
             counts: PoolCounts::default(),
-            hold: hold.as_secs_f64(),
-            virtual_now: 0,
+            mean_holding_time: mean_holding_time.as_secs_f64(),
+            virtual_time: 0,
             next_sequence: 0,
-            next_flow: 0,
-            ids: HashMap::new(),
+            next_flow_id: 0,
+            flow_ids: HashMap::new(),
             flows: HashMap::new(),
-            known_shares: 0.0,
+            total_share: 0.0,
             demand: DecayedSum::default(),
             ready: BTreeSet::new(),
-            held: BTreeSet::new(),
-            held_waiting: 0,
-            by_length: BTreeSet::new(),
+            deferred: BTreeSet::new(),
+            deferred_waiting: 0,
+            flows_by_length: BTreeSet::new(),
         }
     }
 
-    /// Whether a request may start.
-    fn has_room(&self) -> bool {
+    /// Returns whether a request may start.
+    fn has_free_permit(&self) -> bool {
         self.counts.running < u64::from(self.limits.permits)
     }
 
-    /// Whether a request of a workspace over its share may start.
-    fn has_spare(&self) -> bool {
+    /// Returns whether a request of a workspace over its share may start.
+    fn has_spare_capacity(&self) -> bool {
         self.counts.running < u64::from(self.limits.over_share)
     }
 
-    /// The time a new request of this workspace would wait. Within its share this is the lesser of a
-    /// turn behind everybody within theirs and a turn behind its own requests at its fair part of the
-    /// slots; over its share only its part of the slots counts.
+    /// Estimates the wait of a new request of this workspace. Within its share, this is the shorter
+    /// of the wait behind all requests of flows within their share and the wait behind its own
+    /// requests at its fair part of the slots. Over its share, only its own part of the slots
+    /// counts.
     pub(crate) fn expected_wait(
         &self,
         workspace: &WorkspaceName,
@@ -129,242 +132,256 @@
         now: MonotonicTime,
     ) -> Duration {
         let flow = self.flow(workspace, priority);
-        let own = flow.map_or(0, |flow| flow.waiters.len()) as f64 + 1.0;
-        if let Some(flow) = flow.filter(|flow| !self.has_spare() && self.is_over(flow, now)) {
-            return flow.next_start.since(now) + seconds(own * self.hold / self.part(flow));
+        let own_waiting = flow.map_or(0, |flow| flow.waiters.len()) as f64 + 1.0;
+        if let Some(flow) =
+            flow.filter(|flow| !self.has_spare_capacity() && self.exceeds_share(flow, now))
+        {
+            return flow.next_start.since(now)
+                + seconds(own_waiting * self.mean_holding_time / self.sustained_slots(flow));
         }
-        let waiting = self.counts.waiting.saturating_sub(self.held_waiting) as f64;
-        if self.has_room() && waiting < 1.0 {
+        let waiting = self.counts.waiting.saturating_sub(self.deferred_waiting) as f64;
+        if self.has_free_permit() && waiting < 1.0 {
             return Duration::ZERO;
         }
         let flows = self.ready.len().max(1) as f64;
-        let turns = (waiting + 1.0).min(own * flows);
-        seconds(turns * self.hold / f64::from(self.limits.permits.max(1)))
+        let requests_ahead = (waiting + 1.0).min(own_waiting * flows);
+        seconds(requests_ahead * self.mean_holding_time / f64::from(self.limits.permits.max(1)))
     }
 
-    /// Whether `workspace` has used more than its share.
+    /// Returns whether `workspace` is over its share.
     pub(crate) fn is_over_share(
         &self,
         workspace: &WorkspaceName,
         priority: AdmissionPriority,
         now: MonotonicTime,
     ) -> bool {
-        self.flow(workspace, priority).is_some_and(|flow| self.is_over(flow, now))
+        self.flow(workspace, priority).is_some_and(|flow| self.exceeds_share(flow, now))
     }
 
     fn flow(&self, workspace: &WorkspaceName, priority: AdmissionPriority) -> Option<&Flow> {
-        let id = self.ids.get(&(priority, workspace.clone()))?;
+        let id = self.flow_ids.get(&(priority, workspace.clone()))?;
         self.flows.get(id)
     }
 
-    /// Whether a flow asks for far more than its part of what all ask for. Demand is compared with demand,
-    /// not with the slots: where everybody wants more than there is, nobody is over the share.
-    fn is_over(&self, flow: &Flow, now: MonotonicTime) -> bool {
-        let fair = self.share_part(flow) * self.demand.at(now);
-        flow.demand.at(now) > FEW_REQUESTS.max(OVER_SHARE * fair)
+    /// Returns whether a flow's demand far exceeds its fair part of the total demand. Demand is
+    /// compared with demand and not with the slots: if every workspace wants more than there is,
+    /// none is over its share.
+    fn exceeds_share(&self, flow: &Flow, now: MonotonicTime) -> bool {
+        let fair = self.share_fraction(flow) * self.demand.at(now);
+        flow.demand.at(now) > MIN_OVER_SHARE_DEMAND.max(OVER_SHARE_FACTOR * fair)
     }
 
-    /// A flow's part of the shares of all workspaces that were here lately.
-    fn share_part(&self, flow: &Flow) -> f64 {
-        flow.share / self.known_shares.max(flow.share)
+    /// Returns a flow's fraction of the shares of all recently active workspaces.
+    fn share_fraction(&self, flow: &Flow) -> f64 {
+        flow.share / self.total_share.max(flow.share)
     }
 
-    /// The slots that a flow over its share may use for ever.
-    fn part(&self, flow: &Flow) -> f64 {
-        (self.share_part(flow) * f64::from(self.limits.permits)).max(MIN_PART)
+    /// Returns the number of slots that a flow over its share may use continuously.
+    fn sustained_slots(&self, flow: &Flow) -> f64 {
+        (self.share_fraction(flow) * f64::from(self.limits.permits)).max(MIN_SUSTAINED_SLOTS)
     }
 
-    /// Notes that a request has come, whatever becomes of it: a workspace whose requests are refused asks
-    /// for as much as before.
-    pub(crate) fn note_demand(&mut self, request: &AdmissionRequest, now: MonotonicTime) {
+    /// Records the demand of a request regardless of its outcome: a workspace whose requests are
+    /// refused still has the same demand.
+    pub(crate) fn record_demand(&mut self, request: &AdmissionRequest, now: MonotonicTime) {
         let id = self.flow_id(request);
         self.demand.add(now, 1.0);
         let Some(flow) = self.flows.get_mut(&id) else { return };
         flow.demand.add(now, 1.0);
-        self.known_shares += request.checked_share() - flow.share;
+        self.total_share += request.checked_share() - flow.share;
         flow.share = request.checked_share();
     }
 
-    /// Puts a request into the queue.
+    /// Queues a request.
     pub(crate) fn push(
         &mut self,
         request: &AdmissionRequest,
         sender: WaiterSender,
         now: MonotonicTime,
-    ) -> WaiterPlace {
+    ) -> WaiterId {
         let id = self.flow_id(request);
         let deadline = request.deadline.unwrap_or(MonotonicTime(Duration::MAX));
         let key = WaiterKey { deadline, sequence: self.next_sequence };
         self.next_sequence += 1;
-        let virtual_now = self.virtual_now;
-        self.change(id, now, |flow| {
+        let virtual_time = self.virtual_time;
+        self.update_flow(id, now, |flow| {
             if flow.waiters.is_empty() {
-                flow.start = flow.start.max(virtual_now);
+                flow.start_tag = flow.start_tag.max(virtual_time);
             }
-            flow.waiters.insert(key, Waiter { charge: charge(request), sender });
+            flow.waiters.insert(key, Waiter { virtual_cost: virtual_cost(request), sender });
         });
         self.counts.arrived += 1;
         self.counts.waiting += 1;
-        WaiterPlace { flow: id, key }
+        WaiterId { flow: id, key }
     }
 
-    /// Takes out the request whose turn it is, where there is room for it, and its flow.
+    /// Removes the next request in order if a permit is free, and returns it with its flow.
     pub(crate) fn grant_next(&mut self, now: MonotonicTime) -> Option<(FlowId, Waiter)> {
-        if !self.has_room() {
+        if !self.has_free_permit() {
             return None;
         }
-        self.free_earned(now);
-        let id = self.next_turn()?;
-        let pause = self.flows.get(&id).map(|flow| seconds(self.hold / self.part(flow)))?;
-        let virtual_now = self.virtual_now;
-        let (start, waiter) = self.change(id, now, |flow| {
+        self.release_deferred(now);
+        let id = self.select_flow()?;
+        let start_interval = self
+            .flows
+            .get(&id)
+            .map(|flow| seconds(self.mean_holding_time / self.sustained_slots(flow)))?;
+        let virtual_time = self.virtual_time;
+        let (start_tag, waiter) = self.update_flow(id, now, |flow| {
             let (_, waiter) = flow.waiters.pop_first()?;
-            let start = flow.start.max(virtual_now);
-            flow.start = start.saturating_add(waiter.charge);
-            flow.next_start = flow.next_start.max(now) + pause;
+            let start_tag = flow.start_tag.max(virtual_time);
+            flow.start_tag = start_tag.saturating_add(waiter.virtual_cost);
+            flow.next_start = flow.next_start.max(now) + start_interval;
             flow.running += 1;
-            Some((start, waiter))
+            Some((start_tag, waiter))
         })??;
-        self.virtual_now = start;
+        self.virtual_time = start_tag;
         self.counts.waiting -= 1;
         self.counts.granted += 1;
         self.counts.running += 1;
         Some((id, waiter))
     }
 
-    /// Lets flows whose time has come wait with the others again.
-    fn free_earned(&mut self, now: MonotonicTime) {
-        while let Some((_, id)) = self.held.first().copied().filter(|(until, _)| *until <= now) {
-            self.change(id, now, |_| ());
+    /// Returns deferred flows whose start time has passed to the ready flows.
+    fn release_deferred(&mut self, now: MonotonicTime) {
+        while let Some((_, id)) = self.deferred.first().copied().filter(|(until, _)| *until <= now)
+        {
+            self.update_flow(id, now, |_| ());
         }
     }
 
-    /// Whose turn it is: flows within their share first, and where there is room to spare the one whose
-    /// time comes first.
-    fn next_turn(&self) -> Option<FlowId> {
+    /// Selects the next flow: ready flows first, then the deferred flow with the earliest start
+    /// time if there is spare capacity for workspaces over their share.
+    fn select_flow(&self) -> Option<FlowId> {
         let ready = self.ready.first().map(|(_, _, id)| *id);
-        let held = self.held.first().map(|(_, id)| *id).filter(|_| self.has_spare());
-        ready.or(held)
+        let deferred =
+            self.deferred.first().map(|(_, id)| *id).filter(|_| self.has_spare_capacity());
+        ready.or(deferred)
     }
 
-    /// Takes a permit of this flow back that was held for `time`.
+    /// Returns a permit of this flow that was held for `time`.
     pub(crate) fn release(&mut self, id: FlowId, time: Duration, now: MonotonicTime) {
-        self.change(id, now, |flow| flow.running = flow.running.saturating_sub(1));
+        self.update_flow(id, now, |flow| flow.running = flow.running.saturating_sub(1));
         self.counts.running = self.counts.running.saturating_sub(1);
-        self.hold += HOLD_WEIGHT * (time.as_secs_f64() - self.hold);
+        self.mean_holding_time +=
+            HOLDING_TIME_SMOOTHING * (time.as_secs_f64() - self.mean_holding_time);
     }
 
-    /// Time until everything that waits now has started.
+    /// Estimates the time until every queued request has started.
     pub(crate) fn drain_time(&self) -> Duration {
         let slots = f64::from(self.limits.permits.max(1));
-        seconds(self.counts.waiting as f64 * self.hold / slots)
+        seconds(self.counts.waiting as f64 * self.mean_holding_time / slots)
     }
 
-    /// Takes out one request that is refused or cancelled; its flow is not charged.
-    pub(crate) fn remove(&mut self, place: WaiterPlace, now: MonotonicTime) -> Option<Waiter> {
-        let waiter = self.change(place.flow, now, |flow| flow.waiters.remove(&place.key))??;
+    /// Removes one request that is refused or cancelled; its flow is not charged.
+    pub(crate) fn remove(&mut self, id: WaiterId, now: MonotonicTime) -> Option<Waiter> {
+        let waiter = self.update_flow(id.flow, now, |flow| flow.waiters.remove(&id.key))??;
         self.counts.waiting -= 1;
         Some(waiter)
     }
 
-    /// Takes out the last request of the workspace that has the most waiting.
-    pub(crate) fn push_out(&mut self, now: MonotonicTime) -> Option<(WorkspaceName, Waiter)> {
-        let (_, id) = *self.by_length.last()?;
+    /// Removes the request with the latest deadline from the longest flow.
+    pub(crate) fn remove_from_longest(
+        &mut self,
+        now: MonotonicTime,
+    ) -> Option<(WorkspaceName, Waiter)> {
+        let (_, id) = *self.flows_by_length.last()?;
         let flow = self.flows.get(&id)?;
         let workspace = flow.workspace.clone();
         let key = *flow.waiters.last_key_value()?.0;
-        let waiter = self.remove(WaiterPlace { flow: id, key }, now)?;
+        let waiter = self.remove(WaiterId { flow: id, key }, now)?;
         Some((workspace, waiter))
     }
 
     fn flow_id(&mut self, request: &AdmissionRequest) -> FlowId {
         let key = (request.priority, request.workspace.clone());
-        if let Some(id) = self.ids.get(&key) {
+        if let Some(id) = self.flow_ids.get(&key) {
             return *id;
         }
-        self.forget_idle();
-        let id = self.next_flow;
-        self.next_flow += 1;
-        self.flows.insert(id, Flow::new(request, self.virtual_now));
-        self.known_shares += request.checked_share();
-        self.ids.insert(key, id);
+        self.remove_idle_flows();
+        let id = self.next_flow_id;
+        self.next_flow_id += 1;
+        self.flows.insert(id, Flow::new(request, self.virtual_time));
+        self.total_share += request.checked_share();
+        self.flow_ids.insert(key, id);
         id
     }
 
-    /// Idle flows that have paid for what they used are as good as new ones; forgetting them bounds
-    /// the memory by the workspaces in use and not by those ever seen.
-    fn forget_idle(&mut self) {
-        if self.flows.len() < 2 * self.by_length.len() + IDLE_FLOWS {
+    /// Removes idle flows whose start tag has been reached, as these are equivalent to new ones.
+    /// This bounds the memory by the active workspaces instead of all workspaces ever seen.
+    fn remove_idle_flows(&mut self) {
+        if self.flows.len() < 2 * self.flows_by_length.len() + IDLE_FLOW_LIMIT {
             return;
         }
-        let virtual_now = self.virtual_now;
-        let idle = |flow: &Flow| !flow.is_active() && flow.start <= virtual_now;
+        let virtual_time = self.virtual_time;
+        let idle = |flow: &Flow| !flow.is_active() && flow.start_tag <= virtual_time;
         self.flows.retain(|_, flow| !idle(flow));
-        self.known_shares = self.flows.values().map(|flow| flow.share).sum();
+        self.total_share = self.flows.values().map(|flow| flow.share).sum();
         let flows = &self.flows;
-        self.ids.retain(|_, id| flows.contains_key(id));
+        self.flow_ids.retain(|_, id| flows.contains_key(id));
     }
 
-    /// Changes a flow and keeps the orders in step with it.
-    fn change<T>(
+    /// Updates a flow and keeps the indexes consistent with it.
+    fn update_flow<T>(
         &mut self,
         id: FlowId,
         now: MonotonicTime,
-        work: impl FnOnce(&mut Flow) -> T,
+        update: impl FnOnce(&mut Flow) -> T,
     ) -> Option<T> {
         let mut flow = self.flows.remove(&id)?;
-        self.unlist(id, &flow);
-        let result = work(&mut flow);
-        self.list(id, &mut flow, now);
+        self.remove_from_indexes(id, &flow);
+        let result = update(&mut flow);
+        self.add_to_indexes(id, &mut flow, now);
         self.flows.insert(id, flow);
         Some(result)
     }
 
-    fn unlist(&mut self, id: FlowId, flow: &Flow) {
+    fn remove_from_indexes(&mut self, id: FlowId, flow: &Flow) {
         if flow.waiters.is_empty() {
             return;
         }
-        self.by_length.remove(&(flow.waiters.len(), id));
-        match flow.held_until {
-            None => _ = self.ready.remove(&(Reverse(flow.priority), flow.start, id)),
+        self.flows_by_length.remove(&(flow.waiters.len(), id));
+        match flow.deferred_until {
+            None => _ = self.ready.remove(&(Reverse(flow.priority), flow.start_tag, id)),
             Some(until) => {
-                self.held.remove(&(until, id));
-                self.held_waiting -= flow.waiters.len() as u64;
+                self.deferred.remove(&(until, id));
+                self.deferred_waiting -= flow.waiters.len() as u64;
             }
         }
     }
 
-    fn list(&mut self, id: FlowId, flow: &mut Flow, now: MonotonicTime) {
+    fn add_to_indexes(&mut self, id: FlowId, flow: &mut Flow, now: MonotonicTime) {
         if flow.waiters.is_empty() {
             return;
         }
-        self.by_length.insert((flow.waiters.len(), id));
-        flow.held_until = self.held_until(flow, now);
-        match flow.held_until {
-            None => _ = self.ready.insert((Reverse(flow.priority), flow.start, id)),
+        self.flows_by_length.insert((flow.waiters.len(), id));
+        flow.deferred_until = self.deferred_until(flow, now);
+        match flow.deferred_until {
+            None => _ = self.ready.insert((Reverse(flow.priority), flow.start_tag, id)),
             Some(until) => {
-                self.held.insert((until, id));
-                self.held_waiting += flow.waiters.len() as u64;
+                self.deferred.insert((until, id));
+                self.deferred_waiting += flow.waiters.len() as u64;
             }
         }
     }
 
-    /// Until when a flow over its share has to wait.
-    fn held_until(&self, flow: &Flow, now: MonotonicTime) -> Option<MonotonicTime> {
-        (flow.next_start > now && self.is_over(flow, now)).then_some(flow.next_start)
+    /// Returns the time until which a flow over its share is deferred.
+    fn deferred_until(&self, flow: &Flow, now: MonotonicTime) -> Option<MonotonicTime> {
+        (flow.next_start > now && self.exceeds_share(flow, now)).then_some(flow.next_start)
     }
 }
 
-/// The least slots that a flow may use for ever: what is waited for must come.
-const MIN_PART: f64 = 0.01;
+/// Minimum of the slots that a flow may use continuously, so that every queued request starts
+/// eventually.
+const MIN_SUSTAINED_SLOTS: f64 = 0.01;
 
 fn seconds(time: f64) -> Duration {
     Duration::from_secs_f64(time.min(MAX_WAIT))
 }
 
-/// The longest wait that is ever stated, seconds.
+/// Maximum wait that is reported, in seconds.
 const MAX_WAIT: f64 = 3_600.0;
 
-fn charge(request: &AdmissionRequest) -> u64 {
-    (f64::from(request.cost.max(1)) * CHARGE_SCALE / request.checked_share()) as u64
+fn virtual_cost(request: &AdmissionRequest) -> u64 {
+    (f64::from(request.cost.max(1)) * VIRTUAL_TIME_SCALE / request.checked_share()) as u64
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,9 +1,9 @@
-//! The door of a gateway.
+//! Admission queue of a gateway.
 
 use {
     crate::{
         AdmissionPriority, AdmissionRefusal, AdmissionRequest, PoolCounts, PoolLimits,
-        pool::{FlowId, Pool, WaiterPlace},
+        pool::{FlowId, Pool, WaiterId},
     },
     futures::{
         channel::oneshot,
@@ -13,14 +13,15 @@
     std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration},
 };
 
-/// Bounds of the queue.
+/// Limits of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionSettings {
-    /// Requests of one model that may wait. Default 4,096.
+    /// Maximum number of queued requests per model. Default 4,096.
     pub waiting_limit: usize,
-    /// Models that may have a queue; a request for one more is refused. Default 1,024.
+    /// Maximum number of models with a queue; requests for further models are refused. Default
+    /// 1,024.
     pub model_limit: usize,
-    /// How long a permit is held, until this is measured. Default 4 s.
+    /// Assumed holding time of a permit until it has been measured. Default 4 s.
     pub initial_holding_time: Duration,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// Lets requests in as slots allow. Cheap to clone; all clones are one queue.
+/// Grants permits to requests as slots become free. Clones share one queue and are cheap.
 #[derive(Clone)]
 pub struct AdmissionQueue {
     shared: Rc<QueueShared>,
@@ -47,24 +48,27 @@
 }
 
 impl AdmissionQueue {
-    /// A queue without capacity: everything waits until [`set_capacity`](Self::set_capacity).
+    /// Creates a queue without capacity: every request waits until
+    /// [`set_capacity`](Self::set_capacity) is called.
     pub fn new(settings: AdmissionSettings, context: ProcessContext) -> Self {
         let pools = RefCell::new(HashMap::new());
         Self { shared: Rc::new(QueueShared { settings, context, pools }) }
     }
 
-    /// States how many requests of `model` this gateway may have running at once, whoever they are of.
+    /// Sets the number of requests of `model` that this gateway may run at once, for all workspaces
+    /// alike.
     pub fn set_capacity(&self, model: &ModelName, slots: u32) {
         self.set_limits(model, PoolLimits { permits: slots, over_share: slots });
     }
 
-    /// States how many requests of `model` this gateway may have running at once.
+    /// Sets the limits on the requests of `model` that this gateway may run at once.
     pub fn set_limits(&self, model: &ModelName, limits: PoolLimits) {
         self.shared.with_pool(model, |pool| pool.limits = limits);
         self.shared.grant(model);
     }
 
-    /// Whether `workspace` has more than its share running; such work should not be sent away.
+    /// Returns whether `workspace` is over its share; its requests should not be forwarded to other
+    /// regions.
     pub fn is_over_share(
         &self,
         model: &ModelName,
@@ -75,12 +79,12 @@
         pools.get(model).is_some_and(|pool| pool.is_over_share(workspace, priority, self.now()))
     }
 
-    /// The counts of `model`.
+    /// Returns the counters of `model`.
     pub fn counts(&self, model: &ModelName) -> PoolCounts {
         self.shared.pools.borrow().get(model).map(|pool| pool.counts).unwrap_or_default()
     }
 
-    /// How long a new request of `workspace` would wait.
+    /// Estimates the wait of a new request of `workspace`.
     pub fn expected_wait(
         &self,
         model: &ModelName,
@@ -97,8 +101,8 @@
         self.shared.context.clock.now()
     }
 
-    /// Waits for a slot. A refusal that can be known at once is answered at once. Dropping the future
-    /// gives the place in the queue back, dropping the permit gives the slot back.
+    /// Waits for a permit. A refusal that can be determined on arrival is returned at once.
+    /// Dropping the future removes the request from the queue; dropping the permit frees the slot.
     pub fn acquire(
         &self,
         request: AdmissionRequest,
@@ -109,14 +113,14 @@
 }
 
 impl QueueShared {
-    fn with_pool<T>(&self, model: &ModelName, work: impl FnOnce(&mut Pool) -> T) -> T {
+    fn with_pool<T>(&self, model: &ModelName, update: impl FnOnce(&mut Pool) -> T) -> T {
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get_mut(model) {
-            return work(pool);
+            return update(pool);
         }
         let pool =
             pools.entry(model.clone()).or_insert(Pool::new(self.settings.initial_holding_time));
-        work(pool)
+        update(pool)
     }
 
     async fn acquire(
@@ -125,14 +129,14 @@
     ) -> Result<AdmissionPermit, AdmissionRefusal> {
         self.check_model(&request)?;
         let now = self.context.clock.now();
-        self.with_pool(&request.model, |pool| pool.note_demand(&request, now));
+        self.with_pool(&request.model, |pool| pool.record_demand(&request, now));
         self.check_deadline(&request, now)?;
         let (sender, receiver) = oneshot::channel();
-        let place = self.with_pool(&request.model, |pool| pool.push(&request, sender, now));
-        let guard = PlaceGuard { shared: self.clone(), model: request.model.clone(), place };
-        self.shorten(&request.model);
+        let waiter = self.with_pool(&request.model, |pool| pool.push(&request, sender, now));
+        let entry = QueueEntry { shared: self.clone(), model: request.model.clone(), waiter };
+        self.enforce_limit(&request.model);
         self.grant(&request.model);
-        guard.await_turn(receiver, request.deadline.map(|deadline| deadline.since(now))).await
+        entry.wait(receiver, request.deadline.map(|deadline| deadline.since(now))).await
     }
 
     fn check_model(&self, request: &AdmissionRequest) -> Result<(), AdmissionRefusal> {
@@ -143,8 +147,8 @@
         Err(queue_full(&request.model, request.workspace.clone(), MIN_RETRY_AFTER))
     }
 
-    /// Refuses what would start after its deadline. Held back until the deadline it would still be
-    /// refused, but its caller could do nothing with the answer any more.
+    /// Refuses a request that would start after its deadline. If it were queued it would still be
+    /// refused at the deadline, when its caller can no longer act on the answer.
     fn check_deadline(
         &self,
         request: &AdmissionRequest,
@@ -163,25 +167,27 @@
         })
     }
 
-    /// Refuses requests of whoever holds the most of a queue that is too long.
-    fn shorten(&self, model: &ModelName) {
+    /// If the queue is over its limit, refuses the last request of the flow with the most queued
+    /// requests.
+    fn enforce_limit(&self, model: &ModelName) {
         let limit = self.settings.waiting_limit as u64;
         let now = self.context.clock.now();
-        let pushed_out = self.with_pool(model, |pool| {
+        let removed = self.with_pool(model, |pool| {
             if pool.counts.waiting <= limit {
                 return None;
             }
             let retry_after = pool.drain_time().max(MIN_RETRY_AFTER);
             pool.counts.refused += 1;
-            pool.push_out(now).map(|(workspace, waiter)| (workspace, waiter, retry_after))
+            pool.remove_from_longest(now)
+                .map(|(workspace, waiter)| (workspace, waiter, retry_after))
         });
-        if let Some((workspace, waiter, retry_after)) = pushed_out {
-            waiter.answer(Err(queue_full(model, workspace, retry_after)));
+        if let Some((workspace, waiter, retry_after)) = removed {
+            waiter.complete(Err(queue_full(model, workspace, retry_after)));
         }
     }
 
-    /// Lets in what there is room for. No borrow is held while a waiter is answered: where its task is
-    /// gone the permit comes straight back and asks for the pool again.
+    /// Grants permits while slots are free. No borrow is held while a waiter is answered: if its
+    /// task is gone, the permit is dropped at once and borrows the pools again.
     fn grant(self: &Rc<Self>, model: &ModelName) {
         let now = self.context.clock.now();
         while let Some((flow, waiter)) = self.with_pool(model, |pool| pool.grant_next(now)) {
@@ -191,7 +197,7 @@
                 flow,
                 granted_at: now,
             };
-            waiter.answer(Ok(permit));
+            waiter.complete(Ok(permit));
         }
     }
 }
@@ -204,36 +210,36 @@
     AdmissionRefusal::QueueFull { model: model.clone(), workspace, retry_after }
 }
 
-/// The shortest pause a refused caller is asked for.
+/// Minimum retry delay of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A place in the queue, given back when the waiting task is dropped.
-struct PlaceGuard {
+/// Removes a request from the queue when its task is dropped.
+struct QueueEntry {
     shared: Rc<QueueShared>,
     model: ModelName,
-    place: WaiterPlace,
+    waiter: WaiterId,
 }
 
-impl PlaceGuard {
-    async fn await_turn(
+impl QueueEntry {
+    async fn wait(
         self,
         receiver: oneshot::Receiver<Result<AdmissionPermit, AdmissionRefusal>>,
         limit: Option<Duration>,
     ) -> Result<AdmissionPermit, AdmissionRefusal> {
-        let Some(limit) = limit else { return receiver.await.unwrap_or_else(|_| self.expired()) };
+        let Some(limit) = limit else { return receiver.await.unwrap_or_else(|_| self.expire()) };
         match select(receiver, self.shared.context.clock.sleep(limit)).await {
-            Either::Left((outcome, _)) => outcome.unwrap_or_else(|_| self.expired()),
+            Either::Left((outcome, _)) => outcome.unwrap_or_else(|_| self.expire()),
             Either::Right(((), mut receiver)) => match receiver.try_recv() {
                 Ok(Some(outcome)) => outcome,
-                _ => self.expired(),
+                _ => self.expire(),
             },
         }
     }
 
-    fn expired(&self) -> Result<AdmissionPermit, AdmissionRefusal> {
+    fn expire(&self) -> Result<AdmissionPermit, AdmissionRefusal> {
         let now = self.shared.context.clock.now();
         let retry_after = self.shared.with_pool(&self.model, |pool| {
-            if pool.remove(self.place, now).is_some() {
+            if pool.remove(self.waiter, now).is_some() {
                 pool.counts.refused += 1;
             }
             pool.drain_time().max(MIN_RETRY_AFTER)
@@ -242,18 +248,18 @@
     }
 }
 
-impl Drop for PlaceGuard {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let now = self.shared.context.clock.now();
         self.shared.with_pool(&self.model, |pool| {
-            if pool.remove(self.place, now).is_some() {
+            if pool.remove(self.waiter, now).is_some() {
                 pool.counts.cancelled += 1;
             }
         });
     }
 }
 
-/// The right to have one request running; dropping it gives the slot to the next.
+/// Permission to run one request; dropping it passes the slot to the next request.
 pub struct AdmissionPermit {
     shared: Rc<QueueShared>,
     model: ModelName,
@@ -264,8 +270,8 @@
 impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let now = self.shared.context.clock.now();
-        let held = now.since(self.granted_at);
-        self.shared.with_pool(&self.model, |pool| pool.release(self.flow, held, now));
+        let holding_time = now.since(self.granted_at);
+        self.shared.with_pool(&self.model, |pool| pool.release(self.flow, holding_time, now));
         self.shared.grant(&self.model);
     }
 }
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,4 +1,4 @@
-//! What a request shows to be admitted, and why it is not.
+//! Requests for admission, and the reasons for refusing them.
 
 use {
     gullglade_units::{ModelName, MonotonicTime, WorkspaceName},
@@ -6,49 +6,49 @@
     std::time::Duration,
 };
 
-/// Requests of a higher priority start before all of a lower one.
+/// Priority of a request. All requests of a higher priority start before those of a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdmissionPriority {
-    /// Work that can wait, as nightly summaries.
+    /// Deferrable work, such as nightly summaries.
     Low,
-    /// What a document says nothing about.
+    /// Default for documents that set no priority.
     #[default]
     Normal,
-    /// Somebody stands and waits.
+    /// Interactive work that a person waits for.
     High,
 }
 
-/// One request at the door.
+/// Request for a permit.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The workspace it counts for.
+    /// Workspace that the request counts towards.
     pub workspace: WorkspaceName,
-    /// The workspace's share against the others'; 1 where the document says nothing.
+    /// Weight of the workspace relative to the other workspaces; 1 if the document sets none.
     pub share: f64,
-    /// The model; a plain service has a queue under its own name.
+    /// Model of the request; a plain service has a queue under its own name.
     pub model: ModelName,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: AdmissionPriority,
-    /// When its start is of no use any more.
+    /// Time after which starting the request is useless.
     pub deadline: Option<MonotonicTime>,
-    /// What it costs, in any unit that is the same for all requests of a model (tokens).
+    /// Cost of the request, in a unit common to all requests of a model (tokens).
     pub cost: u32,
 }
 
-/// The least share, so that what a request is charged stays finite.
+/// Minimum share, which keeps the charge of a request finite.
 const MIN_SHARE: f64 = 1e-3;
 
 impl AdmissionRequest {
-    /// The share, within its bounds.
+    /// Returns the share, or its nearest valid value.
     pub(crate) fn checked_share(&self) -> f64 {
         if self.share.is_finite() { self.share.max(MIN_SHARE) } else { 1.0 }
     }
 }
 
-/// Why a request was not admitted. It was not run.
+/// Reason for refusing admission. The request did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum AdmissionRefusal {
-    /// It cannot start before its deadline.
+    /// The request cannot start before its deadline.
     #[snafu(display(
         "no slot for {model} before the deadline; try again in {} ms or allow more time",
         retry_after.as_millis()
@@ -56,10 +56,10 @@
     TooLate {
         /// The model.
         model: ModelName,
-        /// When a new attempt makes sense.
+        /// Time after which a retry can succeed.
         retry_after: Duration,
     },
-    /// The queue is full and this workspace holds the most of it.
+    /// The queue is full and this workspace has the most requests in it.
     #[snafu(display(
         "the queue for {model} is full and workspace {workspace} holds the most of it; send fewer \
          requests at once or try again in {} ms",
@@ -70,13 +70,13 @@
         model: ModelName,
         /// The workspace.
         workspace: WorkspaceName,
-        /// When a new attempt makes sense.
+        /// Time after which a retry can succeed.
         retry_after: Duration,
     },
 }
 
 impl AdmissionRefusal {
-    /// When a new attempt makes sense.
+    /// Returns the time after which a retry can succeed.
     pub fn retry_after(&self) -> Duration {
         match self {
             AdmissionRefusal::TooLate { retry_after, .. }
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A clock that stands still until told, and requests.
+//! Manual clock, task executor and request builders.
 
 use {
     futures::{channel::oneshot, executor::LocalPool, task::LocalSpawnExt},
@@ -17,12 +17,12 @@
 type Timer = (MonotonicTime, oneshot::Sender<()>);
 
 #[derive(Default)]
-pub(crate) struct FakeClock {
+pub(crate) struct ManualClock {
     now: Cell<MonotonicTime>,
     timers: RefCell<Vec<Timer>>,
 }
 
-impl Clock for FakeClock {
+impl Clock for ManualClock {
     fn now(&self) -> MonotonicTime {
         self.now.get()
     }
@@ -34,12 +34,12 @@
     fn sleep(&self, duration: Duration) -> LocalFuture<'static, ()> {
         let (sender, receiver) = oneshot::channel();
         self.timers.borrow_mut().push((self.now() + duration, sender));
-        Box::pin(async move { receiver.await.expect("the clock keeps its timers") })
+        Box::pin(async move { receiver.await.expect("the clock keeps the senders of its timers") })
     }
 }
 
-impl FakeClock {
-    /// Moves the time and wakes what is due.
+impl ManualClock {
+    /// Advances the time and fires the timers that are due.
     pub(crate) fn advance(&self, duration: Duration) {
         let now = self.now() + duration;
         self.now.set(now);
@@ -49,21 +49,21 @@
     }
 }
 
-struct NoSpawner;
+struct PanickingSpawner;
 
-impl TaskSpawner for NoSpawner {
+impl TaskSpawner for PanickingSpawner {
     fn spawn(&self, _task: LocalFuture<'static, ()>) {
-        panic!("admission starts no task");
+        panic!("admission must not spawn tasks");
     }
 }
 
-/// A pool of tasks over a fake clock.
-pub(crate) struct Bench {
+/// Task executor with a manual clock.
+pub(crate) struct TestRuntime {
     pub(crate) pool: LocalPool,
-    pub(crate) clock: Rc<FakeClock>,
+    pub(crate) clock: Rc<ManualClock>,
 }
 
-impl Bench {
+impl TestRuntime {
     pub(crate) fn new() -> Self {
         Self { pool: LocalPool::new(), clock: Rc::default() }
     }
@@ -72,24 +72,24 @@
         ProcessContext {
             clock: self.clock.clone(),
             random: Rc::new(SeededRandom::new(1)),
-            spawner: Rc::new(NoSpawner),
+            spawner: Rc::new(PanickingSpawner),
         }
     }
 
-    /// Runs `future` beside the others; its output lands in the slot.
+    /// Runs `future` concurrently with the other tasks and stores its output in the returned cell.
     pub(crate) fn start<T: 'static>(
         &mut self,
         future: impl Future<Output = T> + 'static,
     ) -> Rc<RefCell<Option<T>>> {
-        let slot = Rc::new(RefCell::new(None));
-        let place = slot.clone();
+        let output_cell = Rc::new(RefCell::new(None));
+        let cell = output_cell.clone();
         let task = async move {
             let output = future.await;
-            *place.borrow_mut() = Some(output);
+            *cell.borrow_mut() = Some(output);
         };
-        self.pool.spawner().spawn_local(task).expect("the pool lives");
+        self.pool.spawner().spawn_local(task).expect("the pool is alive");
         self.pool.run_until_stalled();
-        slot
+        output_cell
     }
 
     pub(crate) fn advance(&mut self, duration: Duration) {
--- a/crates/poison/src/shared.rs
+++ b/crates/poison/src/shared.rs
@@ -136,8 +136,7 @@
             self.events.emit(event.millis("left_ms", hold.left));
         }
         for fingerprint in before.difference(&now) {
-            self.events
-                .emit(EventDraft::new("poison.let_go").field("fingerprint", *fingerprint));
+            self.events.emit(EventDraft::new("poison.let_go").field("fingerprint", *fingerprint));
         }
         self.metrics.fingerprints_held(now.len());
     }
