--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a control process recalls of its run before, and what a gateway makes of it.
+//! Snapshot of a control process's previous run, and its use by a gateway.
 
 use {
     gullglade_control::{DataFolder, DiskError, FileStat},
@@ -24,7 +24,7 @@
     MonotonicTime(Duration::from_millis(millis))
 }
 
-/// The same moment on the clock of a VM that started a minute before.
+/// The same time on the boot clock of a VM that started a minute earlier.
 fn boot(millis: u64) -> BootTime {
     BootTime(Duration::from_millis(60_000 + millis))
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// No configuration: these tests are about backend servers alone.
+/// Format for tests without configurations.
 struct NoFormat;
 
 impl TrafficFormat for NoFormat {
@@ -81,7 +81,7 @@
     }
 }
 
-/// A disk that outlives the processes that use it.
+/// Disk that outlives the processes that use it.
 #[derive(Default)]
 struct MemoryFolder {
     files: RefCell<BTreeMap<String, Vec<u8>>>,
@@ -147,8 +147,8 @@
     )
 }
 
-/// After a loss of power everywhere no process knew any more under which requests backend servers
-/// had ended, and each of them ended three more.
+/// The crashes must survive a complete restart. Otherwise no process would know the requests, and
+/// each would crash three more backend servers.
 #[test]
 fn requests_that_end_backend_servers_are_recalled() {
     let (world, _) = FakeWorld::new(1);
@@ -174,10 +174,10 @@
     let (process, server, crashes) = start();
     for number in 1..=3 {
         let (backend, incarnation) = (name(&format!("i-{number}")), Incarnation(1));
-        crashes.note_cut_off(print, BackendRun { backend, incarnation }, world.now());
+        crashes.record_cut_off(print, BackendRun { backend, incarnation }, world.now());
         world.run_for(Duration::from_secs(1));
     }
-    // Anything that is kept is kept with all of it.
+    // Any change of the backend servers saves the crashes as well.
     server.announce(record("i-4", 1));
     world.run_for(Duration::from_secs(1));
     process.kill();
@@ -187,7 +187,8 @@
     assert_eq!(hold.ends, 3);
 }
 
-/// A control process over `folder` that hears `said` and ends; what it then recalls at its start.
+/// Runs a control process over `folder` that observes `announced` and `left`, and returns the
+/// number of backend servers that its next run restores.
 fn heard_after_restart(folder: &Rc<MemoryFolder>, said: &[BackendRecord], left: &[&str]) -> usize {
     let (world, _) = FakeWorld::new(1);
     let start = |folder: &Rc<MemoryFolder>| {
@@ -210,16 +211,15 @@
 
 #[test]
 fn a_control_process_recalls_whom_it_heard() {
-    // Symptom: after a loss of power everywhere, gateways know some backend servers and give these
-    // everything; the others stand idle for a second. Sequence: control processes and gateways are
-    // restarted, backend servers announce themselves one after the other. Cause: a control process
-    // began with an empty book.
+    // After a complete restart, backend servers announce themselves one after the other. With an
+    // empty registry, gateways would send everything to the first ones while the others stay idle
+    // for a second.
     struct Case {
         what: &'static str,
         said: Vec<BackendRecord>,
         left: Vec<&'static str>,
         is_full: bool,
-        /// What the file holds before, where it is not what a process wrote.
+        /// Initial content of the file, if it was not written by a process.
         file: Option<Vec<u8>>,
         recalled: usize,
     }
@@ -251,17 +251,16 @@
 
 #[test]
 fn what_is_recalled_is_a_hint() {
-    // Symptom: a backend server that crashed or left gets work again. Sequence: a control process
-    // that was down meanwhile is back and recalls it. Cause: what was heard long ago was told as
-    // if it were heard now.
+    // A control process that was down must not report its restored observations as current, or a
+    // backend server that crashed or left meanwhile gets work again.
     struct Case {
         what: &'static str,
-        /// What another control process has said before: silence or not, `None` for nothing.
+        /// Earlier report of another control process: silent or not, or `None` for no report.
         told: Option<bool>,
         has_left: bool,
-        /// When the view is asked, milliseconds after the hint.
+        /// Time of the query, in milliseconds after the hint.
         asked: u64,
-        /// Whether it is known, and as silent.
+        /// Whether the member is silent; `None` if it is unknown.
         expected: Option<bool>,
     }
     let case =
@@ -313,7 +312,7 @@
         assert_eq!(row.map(|row| row.is_silent), case.expected, "{}", case.what);
     }
 
-    // An announcement makes a hint a fact, whatever its count.
+    // An announcement turns the hint into an observation, whatever its sequence number.
     let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     book.restore(
         FleetSnapshot {
--- a/crates/poison/benches/print.rs
+++ b/crates/poison/benches/print.rs
@@ -1,4 +1,4 @@
-//! What a request costs that crashed nothing.
+//! Cost of fingerprinting a request that crashed nothing.
 #![allow(missing_docs, reason = "criterion's macros make undocumented functions")]
 
 use {
@@ -10,7 +10,7 @@
     let key = FingerprintKey::from([7; 32]);
     for kilobytes in [1_usize, 8, 64] {
         let body = vec![42; kilobytes << 10];
-        let view = RequestContent {
+        let request = RequestContent {
             method: "POST",
             host: "host.example",
             target: "/a/b?c=d",
@@ -18,7 +18,7 @@
             body: &body,
         };
         c.bench_function(&format!("fingerprint of a body of {kilobytes} KB"), |bencher| {
-            bencher.iter(|| key.fingerprint(&view));
+            bencher.iter(|| key.fingerprint(&request));
         });
     }
 }
--- a/crates/poison/src/fingerprint.rs
+++ b/crates/poison/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! Content fingerprints that identify repeats of a request.
 
 use {
     gullglade_event::FieldValue,
@@ -8,31 +8,31 @@
     std::fmt,
 };
 
-/// What a request is, apart from its id: the same for each attempt of a caller's, at every gateway
-/// and in every region.
+/// The parts of a request that identify its content: the same for each attempt of a caller, at
+/// every gateway and in every region.
 ///
-/// Two requests are the same where method, host, path with query, credentials and body are. That
-/// holds for one that is sent on to another region, and for a stream that is resumed: the last
-/// event that its caller has is left out. The same body for another workspace has another host or
-/// path, and is another request. Left out is what a repeat may change though it asks for the same:
-/// its id, its deadline, the caller's address and hints.
+/// Two requests are equal if method, host, path with query, credentials and body are equal. This
+/// includes a request that is forwarded to another region, and a resumed stream, whose last event
+/// id is excluded. The same body for another workspace has another host or path and is a different
+/// request. Excluded is what may differ between repeats of the same request: its id, deadline,
+/// caller address and hints.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that the caller named.
+    /// The host that the caller addressed.
     pub host: &'a str,
     /// Path and query, as sent.
     pub target: &'a str,
-    /// What the caller proves itself with; empty where it does not.
+    /// Credentials of the caller; empty if there are none.
     pub credentials: &'a [u8],
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// The fingerprint of a request: a keyed 128-bit hash (HighwayHash) of its [`RequestContent`].
+/// Fingerprint of a request: a keyed 128-bit hash (HighwayHash) of its [`RequestContent`].
 ///
-/// Neither body nor credentials can be read back from it, so it may be logged and told to other
+/// Body and credentials cannot be recovered from it, so it may be logged and sent to other
 /// processes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentFingerprint([u64; 2]);
@@ -43,10 +43,10 @@
     }
 }
 
-/// Why a text is not a fingerprint.
+/// The text is not a valid fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "{text:?} is no fingerprint; give the 32 hexadecimal digits that a log line has after \
+    "{text:?} is not a fingerprint; give the 32 hexadecimal digits that a log line has after \
      fingerprint="
 ))]
 pub struct FingerprintError {
@@ -59,9 +59,9 @@
     fn try_from(text: &str) -> Result<Self, FingerprintError> {
         let invalid = || FingerprintError { text: text.chars().take(64).collect() };
         let is_hexadecimal = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let whole = u128::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
-        let whole = whole.ok_or_else(invalid)?.to_be_bytes();
-        let word = |at: usize| whole[at..at + 8].iter().fold(0, |v, b| v << 8 | u64::from(*b));
+        let value = u128::from_str_radix(text, 16).ok().filter(|_| is_hexadecimal);
+        let value = value.ok_or_else(invalid)?.to_be_bytes();
+        let word = |at: usize| value[at..at + 8].iter().fold(0, |v, b| v << 8 | u64::from(*b));
         Ok(Self([word(0), word(8)]))
     }
 }
@@ -74,9 +74,9 @@
 
 impl FieldValue for ContentFingerprint {}
 
-/// The key of the fleet's fingerprints. All gateways make it from the secret that they share, so
-/// their fingerprints are alike; a caller that does not know it cannot make a request whose
-/// fingerprint is that of somebody else's.
+/// Key of the fleet's fingerprints. All gateways derive it from their shared secret, so they
+/// compute equal fingerprints; a caller without the secret cannot construct a request that collides
+/// with another caller's.
 #[derive(Clone, Copy)]
 pub struct FingerprintKey([u64; 4]);
 
@@ -97,12 +97,13 @@
 }
 
 impl FingerprintKey {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn fingerprint(&self, request: &RequestContent<'_>) -> ContentFingerprint {
         let mut hasher = HighwayHasher::new(Key(self.0));
         let RequestContent { method, host, target, credentials, body } = *request;
         for field in [method.as_bytes(), host.as_bytes(), target.as_bytes(), credentials, body] {
-            // With its length in front, no field can take over a part of its neighbour.
+            // The length prefix keeps bytes from moving between adjacent fields without changing
+            // the hash.
             hasher.append(&(field.len() as u64).to_le_bytes());
             hasher.append(field);
         }
--- a/crates/poison/src/lib.rs
+++ b/crates/poison/src/lib.rs
@@ -1,34 +1,36 @@
-//! Requests that end the backend servers that run them.
+//! Detection of poison requests: requests that crash the backend servers that run them.
 //!
-//! The load pattern: one caller's request crashes every engine that begins to run it. The caller is
-//! told that it failed and sends it again, under a new id and through any gateway, and each of
-//! these sends ends another engine with all the requests that it runs, until most engines are
-//! restarting. Limits on the attempts of one id do not see it.
+//! Failure scenario: a request of one caller crashes every engine that starts to run it. The caller
+//! gets an error and retries under a new id through any gateway, and each retry crashes another
+//! engine with all the requests on it, until most engines are restarting. Limits on the attempts
+//! per id do not detect this.
 //!
-//! So requests are told by what they are ([`ContentFingerprint`]) and counted over the fleet
-//! ([`CrashTracker`]): each gateway notes under which request a backend server's connection broke
-//! and tells the control processes, which tell all gateways of every request under which two or
-//! more have ended ([`CrashUpdate`]). After the third the request is held back everywhere.
+//! Requests are therefore identified by their content ([`ContentFingerprint`]) and their crashes
+//! are counted across the fleet ([`CrashTracker`]). Each gateway records the requests that were
+//! running when the connection to a backend server broke, and reports them to the control
+//! processes, which inform all gateways of every request with two or more crashes
+//! ([`CrashUpdate`]). After the third crash, all gateways hold the request.
 //!
-//! # By what evidence the cause is told from a bystander
+//! # Telling the cause from unrelated requests
 //!
-//! A backend server runs dozens of requests at once, and when it ends all of them end.
+//! A backend server runs dozens of requests at once, and all of them fail when it crashes. The
+//! evidence is weighed as follows:
 //!
-//! - *How many different runs ended.* A bystander is on one that ends by chance; it takes three,
-//!   none of them answered in between, and each answer takes one end back.
-//! - *What else ended beside it.* One end has one cause. What the request with the most ends
-//!   explains speaks against no other, so bystanders of a request that is held back are let go as
-//!   soon as that is known.
-//! - *Overlapping sends that end close together* count as one: a failure domain that is lost takes all sends of a request
-//!   that many callers make at once.
-//! - *Whether the run ended at all.* A reset connection or a cut link looks like an end. A run that
-//!   answers a request sent a second later had not ended, and that is told, too.
-//! - *What says nothing*: an attempt whose caller left, one that was turned away or never reached
-//!   its backend server, and one without an answer in time; a silent run is slow, hung or cut off
-//!   far more often than crashed by what it was sent.
+//! - *Number of distinct runs that crashed.* An unrelated request is on a crashing run by chance. A
+//!   hold takes three crashes, and each answer in between cancels one.
+//! - *Other requests on the same runs.* A crash has one cause. Crashes that are explained by the
+//!   request with the most crashes do not count against others, so unrelated requests are released
+//!   as soon as the cause is held.
+//! - *Overlapping sends that fail at about the same time* count as one crash: the loss of a failure
+//!   domain interrupts all sends of a request that many callers make at once.
+//! - *Whether the run crashed at all.* A reset connection or a broken link looks like a crash. A
+//!   run that answers a request sent a second later did not crash, and this is reported too.
+//! - *No evidence* are an attempt whose caller disconnected, one that was refused or never reached
+//!   its backend server, and one that timed out: a silent run is far more often slow, hung or
+//!   disconnected than crashed by the request.
 //!
-//! A cause that is missed ends one more backend server each time. A bystander that is held back
-//! gets a failure that says so, for ten minutes at most; then it is tried again.
+//! Each retry of an undetected cause costs one more backend server. An unrelated request that is
+//! held gets an error that says so for ten minutes at most; then it is tried again.
 
 mod fingerprint;
 mod record;
--- a/crates/poison/src/record.rs
+++ b/crates/poison/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! Crash history of one request.
 
 use {
     crate::{CrashTrackerSettings, SendEnd, signed_time::SignedTime},
@@ -6,47 +6,47 @@
     std::time::Duration,
 };
 
-/// The most sends that are remembered of one request. A request is held back after three ends and
-/// is then tried at most once for each doubling of the hold, so that more are never needed.
+/// Maximum number of sends kept per request. A request is held after three crashes and is then
+/// retried at most once per doubling of the hold, so more are never needed.
 const MAX_SENDS: usize = 32;
 
-/// The longest hold: a caller's system is mended or given up within a day.
+/// Maximum hold. Within a day a caller's system is fixed or shut down.
 const MAX_HOLD: Duration = Duration::from_secs(24 * 3_600);
 
-/// One send that ended.
-pub(crate) struct EndedSend {
+/// A completed send of a request.
+pub(crate) struct CompletedSend {
     pub(crate) ended: SignedTime,
-    /// How long it had been with the backend server by then.
+    /// Time that the request had spent on the backend server, in milliseconds.
     pub(crate) lasted_ms: u32,
     pub(crate) end: SendEnd,
 }
 
-impl EndedSend {
+impl CompletedSend {
     fn sent(&self) -> SignedTime {
         self.ended.before(Duration::from_millis(self.lasted_ms.into()))
     }
 }
 
-/// What is known of one request.
+/// Crash history of one request.
 #[derive(Default)]
 pub(crate) struct RequestRecord {
-    sends: Vec<EndedSend>,
-    /// What ended before counts no more.
+    sends: Vec<CompletedSend>,
+    /// Time of the last release; sends that ended before it do not count.
     pub(crate) released_at: Option<SignedTime>,
-    /// The number of the last change of any kind, and of the last one that this process made.
-    pub(crate) changed: u64,
-    pub(crate) own: u64,
+    /// Number of the last change, and of the last one that this process made itself.
+    pub(crate) last_change: u64,
+    pub(crate) local_change: u64,
 }
 
 impl RequestRecord {
-    /// Adds a send, unless it is known. Two processes may see one run end under one request, which
-    /// is one end.
-    pub(crate) fn add(&mut self, send: EndedSend) -> bool {
-        let is_known = self.sends.iter().any(|known| known.end == send.end);
-        if is_known || self.released_at.is_some_and(|at| send.ended <= at) {
+    /// Adds a send and returns true, unless it is known. Two processes may report the crash of one
+    /// run under one request, which counts once.
+    pub(crate) fn add(&mut self, send: CompletedSend) -> bool {
+        let is_duplicate = self.sends.iter().any(|other| other.end == send.end);
+        if is_duplicate || self.released_at.is_some_and(|at| send.ended <= at) {
             return false;
         }
-        let at = self.sends.partition_point(|known| known.ended <= send.ended);
+        let at = self.sends.partition_point(|other| other.ended <= send.ended);
         self.sends.insert(at, send);
         if self.sends.len() > MAX_SENDS {
             self.sends.remove(0);
@@ -54,9 +54,10 @@
         true
     }
 
-    /// Forgets what ended up to `at`.
+    /// Removes the sends that ended up to `at` and returns true, unless a release at or after `at`
+    /// is known.
     pub(crate) fn release(&mut self, at: SignedTime) -> bool {
-        if self.released_at.is_some_and(|known| known >= at) {
+        if self.released_at.is_some_and(|other| other >= at) {
             return false;
         }
         self.released_at = Some(at);
@@ -64,11 +65,11 @@
         true
     }
 
-    pub(crate) fn sends(&self) -> impl Iterator<Item = &EndedSend> {
+    pub(crate) fn sends(&self) -> impl Iterator<Item = &CompletedSend> {
         self.sends.iter()
     }
 
-    /// The runs that ended under it, with when.
+    /// Returns the runs that crashed under the request, and the times of the crashes.
     pub(crate) fn crashes(&self) -> impl Iterator<Item = (&BackendRun, SignedTime)> {
         self.sends.iter().filter_map(|send| match &send.end {
             SendEnd::CutOff(run) => Some((run, send.ended)),
@@ -76,55 +77,61 @@
         })
     }
 
-    /// How many ends that `counts` allows it has beyond its answers, however close together.
-    pub(crate) fn net_crashes(&self, counts: impl Fn(&BackendRun, SignedTime) -> bool) -> usize {
-        let ends = self.crashes().filter(|(run, ended)| counts(run, *ended)).count();
+    /// Returns the number of crashes accepted by `counts`, less the number of answers. Coincident
+    /// crashes are counted separately.
+    pub(crate) fn net_crashes(
+        &self,
+        is_evidence: impl Fn(&BackendRun, SignedTime) -> bool,
+    ) -> usize {
+        let ends = self.crashes().filter(|(run, ended)| is_evidence(run, *ended)).count();
         ends.saturating_sub(self.sends.len() - self.crashes().count())
     }
 
-    /// How many ends speak against it: those that `counts` allows, ends of sends that overlap and
-    /// end close together as one, each answer taking one back.
-    pub(crate) fn weight(
+    /// Returns the evidence against the request: the number of crashes accepted by `counts`, where
+    /// crashes of overlapping sends that end close together count as one and each answer cancels
+    /// one.
+    pub(crate) fn evidence(
         &self,
         settings: &CrashTrackerSettings,
-        counts: impl Fn(&BackendRun, SignedTime) -> bool,
+        is_evidence: impl Fn(&BackendRun, SignedTime) -> bool,
     ) -> u32 {
-        let mut weight = 0_u32;
+        let mut evidence = 0_u32;
         let mut last: Option<SignedTime> = None;
         for send in &self.sends {
             match &send.end {
-                SendEnd::Answered(_) => weight = weight.saturating_sub(1),
-                SendEnd::CutOff(run) if counts(run, send.ended) => {
-                    // One that was sent after the other had ended did not end beside it.
-                    let is_apart = |last: SignedTime| {
+                SendEnd::Answered(_) => evidence = evidence.saturating_sub(1),
+                SendEnd::CutOff(run) if is_evidence(run, send.ended) => {
+                    // A send that started after the other crash did not overlap with it.
+                    let is_separate = |last: SignedTime| {
                         send.ended.since(last) >= settings.coincidence_window || send.sent() >= last
                     };
-                    if last.is_none_or(is_apart) {
-                        weight += 1;
+                    if last.is_none_or(is_separate) {
+                        evidence += 1;
                         last = Some(send.ended);
                     }
                 }
                 SendEnd::CutOff(_) => {}
             }
         }
-        weight
+        evidence
     }
 
-    /// How long it had usually been with a backend server that ended under it, milliseconds.
+    /// Returns the mean time that the request had spent on a backend server when it crashed, in
+    /// milliseconds.
     pub(crate) fn mean_lasted_ms(&self) -> u64 {
         let cut_off = || self.sends.iter().filter(|s| matches!(s.end, SendEnd::CutOff(_)));
         let sum: u64 = cut_off().map(|send| u64::from(send.lasted_ms)).sum();
         sum / cut_off().count().max(1) as u64
     }
 
-    /// When it was cut off last.
+    /// Returns the time of the last crash.
     pub(crate) fn last_crash(&self) -> Option<SignedTime> {
         self.crashes().map(|(_, ended)| ended).max()
     }
 }
 
-/// How long a request of this weight is held back: twice as long for each end after the bound.
-pub(crate) fn hold_duration(settings: &CrashTrackerSettings, weight: u32) -> Duration {
-    let doublings = weight.saturating_sub(settings.bound).min(16);
+/// Returns the hold for this evidence: it doubles with each crash beyond the threshold.
+pub(crate) fn hold_duration(settings: &CrashTrackerSettings, evidence: u32) -> Duration {
+    let doublings = evidence.saturating_sub(settings.crash_threshold).min(16);
     settings.hold.saturating_mul(1 << doublings).min(MAX_HOLD)
 }
--- a/crates/poison/src/settings.rs
+++ b/crates/poison/src/settings.rs
@@ -1,63 +1,64 @@
-//! Settings of the account, as they are given and checked.
+//! Settings of the crash tracker and their validation.
 
 use {
     snafu::Snafu,
     std::{ops::RangeInclusive, time::Duration},
 };
 
-/// With one end each request that was on a backend server when it ended would be held back; a bound
-/// beyond this many costs that many backend servers with each such request.
-const BOUND_RANGE: RangeInclusive<u32> = 2..=16;
+/// At one crash, every request on a crashed backend server would be held; each cause costs as many
+/// backend servers as the threshold.
+const CRASH_THRESHOLD_RANGE: RangeInclusive<u32> = 2..=16;
 
-/// Shorter holds end before a caller gives up repeating; after a day either side has changed.
+/// A shorter hold ends before a caller stops retrying; after a day the caller or the backend server
+/// has been changed.
 const HOLD_SECONDS_RANGE: RangeInclusive<u64> = 10..=86_400;
 
-/// Below, one busy backend server that ends pushes everything else out; above, an account takes
-/// more than a tenth of the memory of a control process.
-const REQUESTS_RANGE: RangeInclusive<usize> = 256..=131_072;
+/// Below this range, the crash of one busy backend server evicts all other records; above it, a
+/// tracker uses more than a tenth of the memory of a control process.
+const MAX_RECORDS_RANGE: RangeInclusive<usize> = 256..=131_072;
 
-/// Why settings are refused.
+/// A setting is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{name}={value} is not from {least} to {most}; leave it out for {default}"))]
+#[snafu(display("{name}={value} is not from {min} to {max}; leave it out for {default}"))]
 pub struct CrashTrackerSettingsError {
     name: &'static str,
     value: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
     default: u64,
 }
 
-/// Settings as they are given; what is left out has its default value.
+/// Unvalidated settings; an omitted setting has its default value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RawCrashTrackerSettings {
-    /// How many backend servers end under a request before it is held back. Usually 3.
+    /// Number of crashed backend servers after which a request is held. Default 3.
     pub ends: Option<u32>,
-    /// For how many seconds it is held back at first. Usually 600.
+    /// Duration of the first hold in seconds. Default 600.
     pub hold_seconds: Option<u64>,
-    /// How many requests are remembered. Usually 4,096.
+    /// Maximum number of tracked requests. Default 4,096.
     pub requests: Option<usize>,
 }
 
-/// Settings of a [`CrashTracker`](crate::CrashAccount), the same in all processes of a fleet.
+/// Settings of a [`CrashTracker`](crate::CrashTracker), equal in all processes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashTrackerSettings {
-    /// A request is held back once so many backend servers have ended under it. Two may be chance:
-    /// a caller that repeats at once is easily on two that fail in a row.
-    pub(crate) bound: u32,
-    /// Ends of overlapping sends this close together count as one: a failure domain that is lost
-    /// takes all sends of a request that many callers make at the same time.
+    /// Number of crashed backend servers after which a request is held. Two may be a coincidence:
+    /// an immediate retry can easily hit two servers that fail in a row.
+    pub(crate) crash_threshold: u32,
+    /// Crashes of overlapping sends within this time count as one: the loss of a failure domain
+    /// interrupts all sends of a request that many callers make at the same time.
     pub(crate) coincidence_window: Duration,
-    /// How long a request is held back at first. Long against the time in which a caller gives up
-    /// repeating by itself, short against the time in which a wrong hold would be complained of.
+    /// Duration of the first hold: longer than a caller keeps retrying on its own, but short enough
+    /// to limit the harm of a wrong hold.
     pub(crate) hold: Duration,
-    /// The most requests that are remembered, about 200 bytes each.
+    /// Maximum number of tracked requests, of about 200 bytes each.
     pub(crate) max_records: usize,
 }
 
 impl Default for CrashTrackerSettings {
     fn default() -> Self {
         Self {
-            bound: 3,
+            crash_threshold: 3,
             coincidence_window: Duration::from_millis(300),
             hold: Duration::from_secs(600),
             max_records: 4_096,
@@ -70,25 +71,30 @@
 
     fn try_from(raw: RawCrashTrackerSettings) -> Result<Self, CrashTrackerSettingsError> {
         let default = Self::default();
-        let bound = raw.ends.unwrap_or(default.bound);
-        check("ends", bound.into(), to_u64_range(BOUND_RANGE), default.bound.into())?;
+        let crash_threshold = raw.ends.unwrap_or(default.crash_threshold);
+        check(
+            "ends",
+            crash_threshold.into(),
+            to_u64_range(CRASH_THRESHOLD_RANGE),
+            default.crash_threshold.into(),
+        )?;
         let seconds = raw.hold_seconds.unwrap_or(default.hold.as_secs());
         check("hold seconds", seconds, HOLD_SECONDS_RANGE, default.hold.as_secs())?;
         let requests = raw.requests.unwrap_or(default.max_records);
         check(
             "requests",
             requests as u64,
-            to_u64_range(REQUESTS_RANGE),
+            to_u64_range(MAX_RECORDS_RANGE),
             default.max_records as u64,
         )?;
         let hold = Duration::from_secs(seconds);
-        Ok(Self { bound, hold, max_records: requests, ..default })
+        Ok(Self { crash_threshold, hold, max_records: requests, ..default })
     }
 }
 
 fn to_u64_range<T: TryInto<u64> + Copy>(range: RangeInclusive<T>) -> RangeInclusive<u64> {
-    let wide = |end: T| end.try_into().unwrap_or(u64::MAX);
-    wide(*range.start())..=wide(*range.end())
+    let to_u64 = |end: T| end.try_into().unwrap_or(u64::MAX);
+    to_u64(*range.start())..=to_u64(*range.end())
 }
 
 fn check(
@@ -97,9 +103,9 @@
     range: RangeInclusive<u64>,
     default: u64,
 ) -> Result<(), CrashTrackerSettingsError> {
-    let (least, most) = range.clone().into_inner();
+    let (min, max) = range.clone().into_inner();
     match range.contains(&value) {
         true => Ok(()),
-        false => Err(CrashTrackerSettingsError { name, value, least, most, default }),
+        false => Err(CrashTrackerSettingsError { name, value, min, max, default }),
     }
 }
--- a/crates/poison/src/shared.rs
+++ b/crates/poison/src/shared.rs
@@ -1,4 +1,4 @@
-//! The account of a running process: with a clock, log lines and metrics.
+//! Crash tracker of a running process, with a clock, events and metrics.
 
 use {
     crate::{
@@ -15,119 +15,119 @@
     },
 };
 
-/// How often what is old is forgotten.
+/// Interval between expiry runs.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The account of one process, shared by the requests that it counts and the session that tells
-/// others of it.
+/// Crash tracker of one process, shared by its requests and by the session that exchanges updates
+/// with other processes.
 pub struct SharedCrashTracker {
-    account: RefCell<CrashTracker>,
+    tracker: RefCell<CrashTracker>,
     clock: Rc<dyn Clock>,
     events: Rc<dyn EventSink>,
     metrics: Rc<MetricSet>,
-    /// What is held back, as it was told last.
-    told: RefCell<BTreeSet<ContentFingerprint>>,
-    expired: Cell<MonotonicTime>,
+    /// The held requests as of the last hold events.
+    reported_holds: RefCell<BTreeSet<ContentFingerprint>>,
+    last_expiry: Cell<MonotonicTime>,
 }
 
 impl SharedCrashTracker {
-    /// The account of a process that has seen nothing yet.
+    /// Creates an empty tracker.
     pub fn new(
         settings: CrashTrackerSettings,
         clock: Rc<dyn Clock>,
         events: Rc<dyn EventSink>,
         metrics: Rc<MetricSet>,
     ) -> Rc<Self> {
-        let expired = Cell::new(clock.now());
+        let last_expiry = Cell::new(clock.now());
         Rc::new(Self {
-            account: RefCell::new(CrashTracker::new(settings)),
+            tracker: RefCell::new(CrashTracker::new(settings)),
             clock,
             events,
             metrics,
-            told: RefCell::default(),
-            expired,
+            reported_holds: RefCell::default(),
+            last_expiry,
         })
     }
 
-    /// Whether no request is suspect, so that none need be compared.
+    /// Returns whether no request is tracked, so that no fingerprint has to be computed.
     pub fn is_empty(&self) -> bool {
-        self.account.borrow().is_empty()
+        self.tracker.borrow().is_empty()
     }
 
-    /// Whether a request is held back.
+    /// Returns the hold on a request, if there is one.
     pub fn hold(&self, fingerprint: &ContentFingerprint) -> Option<RequestHold> {
-        self.account.borrow().hold(fingerprint, self.clock.now())
+        self.tracker.borrow().hold(fingerprint, self.clock.now())
     }
 
-    /// All requests that are held back.
+    /// Returns all held requests.
     pub fn holds(&self) -> Vec<(ContentFingerprint, RequestHold)> {
-        self.account.borrow().holds(self.clock.now())
+        self.tracker.borrow().holds(self.clock.now())
     }
 
-    /// Forgets what is known of a request until now: an operator says that it is sound. False
-    /// where nothing is known of it.
+    /// Clears the history of a request that an operator declares safe. Returns false if nothing is
+    /// known of it.
     pub fn release(&self, fingerprint: ContentFingerprint) -> bool {
-        let is_known = self.account.borrow_mut().release(fingerprint, self.clock.now());
-        self.tell();
+        let is_known = self.tracker.borrow_mut().release(fingerprint, self.clock.now());
+        self.emit_hold_events();
         is_known
     }
 
-    /// Notes that the connection to `run` broke while it had the request, sent there at `sent`; how
-    /// many backend servers have ended under it.
-    pub fn note_cut_off(
+    /// Records that the connection to `run` broke while it had the request, which was sent there at
+    /// `sent`. Returns the number of backend servers that crashed under the request.
+    pub fn record_cut_off(
         &self,
         fingerprint: ContentFingerprint,
         run: BackendRun,
         sent: MonotonicTime,
     ) -> usize {
-        let mut account = self.account.borrow_mut();
-        account.note_cut_off(fingerprint, run, sent, self.clock.now());
-        let ends = account.crashes(&fingerprint);
-        drop(account);
+        let mut tracker = self.tracker.borrow_mut();
+        tracker.record_cut_off(fingerprint, run, sent, self.clock.now());
+        let ends = tracker.crashes(&fingerprint);
+        drop(tracker);
         self.metrics.cut_off();
-        self.tell();
+        self.emit_hold_events();
         ends
     }
 
-    /// Notes a whole answer to a request of which an end is known.
-    pub fn note_answer(&self, fingerprint: ContentFingerprint, answer: u64) {
-        self.account.borrow_mut().note_answer(fingerprint, answer, self.clock.now());
-        self.tell();
+    /// Records a complete answer to a request with a known crash.
+    pub fn record_answer(&self, fingerprint: ContentFingerprint, answer: u64) {
+        self.tracker.borrow_mut().record_answer(fingerprint, answer, self.clock.now());
+        self.emit_hold_events();
     }
 
-    /// Notes that `run` answered a request sent at `sent`.
-    pub fn note_alive(&self, run: &BackendRun, sent: MonotonicTime) {
-        if !self.is_empty() && self.account.borrow_mut().note_alive(run, sent) {
-            self.tell();
+    /// Records that `run` answered a request sent at `sent`.
+    pub fn record_alive(&self, run: &BackendRun, sent: MonotonicTime) {
+        if !self.is_empty() && self.tracker.borrow_mut().record_alive(run, sent) {
+            self.emit_hold_events();
         }
     }
 
-    /// What changed after `cursor`.
+    /// Returns the changes after `cursor`.
     pub fn updates_after(&self, cursor: u64, scope: UpdateScope) -> CrashUpdate {
-        self.account.borrow().updates_after(cursor, scope, self.clock.now())
+        self.tracker.borrow().updates_after(cursor, scope, self.clock.now())
     }
 
-    /// Takes in what another process told. Whether it was news.
-    pub fn merge(&self, news: CrashUpdate) -> bool {
+    /// Merges an update of another process. Returns whether anything changed.
+    pub fn merge(&self, update: CrashUpdate) -> bool {
         let now = self.clock.now();
-        let is_news = self.account.borrow_mut().merge(news, now);
-        let is_due = now.since(self.expired.get()) >= EXPIRY_INTERVAL;
+        let is_new = self.tracker.borrow_mut().merge(update, now);
+        let is_due = now.since(self.last_expiry.get()) >= EXPIRY_INTERVAL;
         if is_due {
-            self.expired.set(now);
-            self.account.borrow_mut().expire(now);
+            self.last_expiry.set(now);
+            self.tracker.borrow_mut().expire(now);
         }
-        if is_news || is_due {
-            self.tell();
+        if is_new || is_due {
+            self.emit_hold_events();
         }
-        is_news
+        is_new
     }
 
-    /// Tells of what is held back now and was not before, and of what was let go.
-    fn tell(&self) {
+    /// Emits events for the requests that are newly held, and for those that are no longer held.
+    fn emit_hold_events(&self) {
         let holds = self.holds();
         let now: BTreeSet<ContentFingerprint> =
             holds.iter().map(|(fingerprint, _)| *fingerprint).collect();
-        let before = self.told.replace(now.clone());
+        let before = self.reported_holds.replace(now.clone());
         for (fingerprint, hold) in
             holds.iter().filter(|(fingerprint, _)| !before.contains(fingerprint))
         {
--- a/crates/poison/src/tracker.rs
+++ b/crates/poison/src/tracker.rs
@@ -1,10 +1,10 @@
-//! Which requests have ended backend servers, and which are held back for it.
+//! Tracks the requests that crashed backend servers, and decides which ones to hold.
 
 use {
     crate::{
         ContentFingerprint, CrashReport, CrashTrackerSettings, CrashUpdate, RunAliveReport,
         SendEnd, SendReport,
-        record::{EndedSend, RequestRecord, hold_duration},
+        record::{CompletedSend, RequestRecord, hold_duration},
         signed_time::SignedTime,
     },
     gullglade_units::{BackendRun, MonotonicTime},
@@ -15,21 +15,21 @@
     },
 };
 
-/// What is told of a request that has ended fewer runs than this is of use to nobody but those who
-/// count: most requests that a backend server takes with it are bystanders, and each of them would
-/// otherwise be told to every gateway.
+/// Requests with fewer crashes than this are reported only to the processes that count them. Most
+/// requests on a crashed backend server are unrelated, and each would otherwise be sent to every
+/// gateway.
 const MIN_SHARED_CRASHES: usize = 2;
 
-/// A run counts as alive only by an answer to a request sent this much after its supposed end. What
-/// other processes tell of it is late by a link's delay and a pause of a process.
+/// An answer shows that a run is alive only if its request was sent this long after the presumed
+/// crash. Reports of other processes are delayed by network latency and process pauses.
 const LIVENESS_MARGIN: Duration = Duration::from_secs(1);
 
-/// A request that is held back.
+/// Hold on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHold {
-    /// How many backend servers ended under it.
+    /// Number of backend servers that crashed under the request.
     pub ends: u32,
-    /// How much longer it is held back.
+    /// Remaining time of the hold.
     pub left: Duration,
 }
 
@@ -38,30 +38,31 @@
     until: SignedTime,
 }
 
-/// What is told to whom.
+/// Selects the changes of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// What this process saw itself, to one that counts; with cursor 0 all that it knows.
+    /// Changes recorded by this process itself, for a process that counts crashes; all that is
+    /// known if the cursor is 0.
     Own,
-    /// What matters to gateways.
+    /// Requests that a gateway may have to hold.
     Suspects,
 }
 
-/// The account of one process.
+/// Crash tracker of one process.
 pub struct CrashTracker {
     settings: CrashTrackerSettings,
     records: BTreeMap<ContentFingerprint, RequestRecord>,
-    /// Runs that have answered since they were thought to have ended: when the request was sent
-    /// that they answered, and the number of the change.
+    /// Runs that answered after their presumed crash, each with the send time of the answered
+    /// request and the number of the change.
     alive: BTreeMap<BackendRun, (SignedTime, u64)>,
     held: BTreeMap<ContentFingerprint, HeldRequest>,
-    /// Runs that ended, or seemed to, under any request.
+    /// Runs that crashed, or are presumed to have crashed, under any request.
     ended: BTreeSet<BackendRun>,
     last_change: u64,
 }
 
 impl CrashTracker {
-    /// An account that knows of no end.
+    /// Creates an empty tracker.
     pub fn new(settings: CrashTrackerSettings) -> Self {
         Self {
             settings,
@@ -73,19 +74,19 @@
         }
     }
 
-    /// Whether it knows of nothing, so that no request need be compared.
+    /// Returns whether no request is tracked, so that no fingerprint has to be computed.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether something is known of a request.
-    pub fn knows(&self, fingerprint: &ContentFingerprint) -> bool {
+    /// Returns whether a request is tracked.
+    pub fn is_tracked(&self, fingerprint: &ContentFingerprint) -> bool {
         self.records.contains_key(fingerprint)
     }
 
-    /// Notes that the connection to `run` broke while it had the request, which was sent there at
+    /// Records that the connection to `run` broke while it had the request, which was sent there at
     /// `sent`.
-    pub fn note_cut_off(
+    pub fn record_cut_off(
         &mut self,
         fingerprint: ContentFingerprint,
         run: BackendRun,
@@ -95,46 +96,45 @@
         let lasted_ms = SignedTime::from(now).millis_since(sent.into());
         self.add_local(
             fingerprint,
-            EndedSend { ended: now.into(), lasted_ms, end: SendEnd::CutOff(run) },
+            CompletedSend { ended: now.into(), lasted_ms, end: SendEnd::CutOff(run) },
         );
     }
 
-    /// Notes a whole answer to a request of which an end is known; `answer` tells it from others.
-    pub fn note_answer(
+    /// Records a complete answer to a request with a known crash; `answer` identifies the answer.
+    pub fn record_answer(
         &mut self,
         fingerprint: ContentFingerprint,
         answer: u64,
         now: MonotonicTime,
     ) {
-        let is_suspect =
-            self.records.get(&fingerprint).is_some_and(|r| self.unexplained_weight(r) > 0);
+        let is_suspect = self.records.get(&fingerprint).is_some_and(|r| self.total_evidence(r) > 0);
         if is_suspect {
             let end = SendEnd::Answered(answer);
-            self.add_local(fingerprint, EndedSend { ended: now.into(), lasted_ms: 0, end });
+            self.add_local(fingerprint, CompletedSend { ended: now.into(), lasted_ms: 0, end });
         }
     }
 
-    /// Notes that `run` answered a request sent at `sent`. One whose end is known by broken
-    /// connections alone may have lost a link and no more. Whether it was news.
-    pub fn note_alive(&mut self, run: &BackendRun, sent: MonotonicTime) -> bool {
-        let is_news = self.ended.contains(run) && self.add_alive(run, sent.into());
-        if is_news {
+    /// Records that `run` answered a request sent at `sent`: if it only lost connections, it may
+    /// not have crashed. Returns whether anything changed.
+    pub fn record_alive(&mut self, run: &BackendRun, sent: MonotonicTime) -> bool {
+        let is_new = self.ended.contains(run) && self.add_alive(run, sent.into());
+        if is_new {
             self.update_holds();
         }
-        is_news
+        is_new
     }
 
-    /// Forgets what is known of a request until now: an operator says that it is sound.
+    /// Clears the history of a request that an operator declares safe.
     pub fn release(&mut self, fingerprint: ContentFingerprint, now: MonotonicTime) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else { return false };
         self.last_change += 1;
         record.release(now.into());
-        (record.changed, record.own) = (self.last_change, self.last_change);
+        (record.last_change, record.local_change) = (self.last_change, self.last_change);
         self.update_holds();
         true
     }
 
-    /// Whether a request is held back, and for how long.
+    /// Returns the hold on a request, if there is one.
     pub fn hold(
         &self,
         fingerprint: &ContentFingerprint,
@@ -145,45 +145,47 @@
         (!left.is_zero()).then_some(RequestHold { ends: *ends, left })
     }
 
-    /// All requests that are held back.
+    /// Returns all held requests.
     pub fn holds(&self, now: MonotonicTime) -> Vec<(ContentFingerprint, RequestHold)> {
         let hold =
             |fingerprint: &ContentFingerprint| Some((*fingerprint, self.hold(fingerprint, now)?));
         self.held.keys().filter_map(hold).collect()
     }
 
-    /// How many backend servers ended under a request.
+    /// Returns the number of backend servers that crashed under a request.
     pub fn crashes(&self, fingerprint: &ContentFingerprint) -> usize {
         self.records.get(fingerprint).map_or(0, |record| record.crashes().count())
     }
 
-    /// The number of the last change.
+    /// Returns the number of the last change.
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// What changed after `cursor`.
+    /// Returns the changes after `cursor`.
     pub fn updates_after(
         &self,
         cursor: u64,
         scope: UpdateScope,
         now: MonotonicTime,
     ) -> CrashUpdate {
-        let is_told = |record: &RequestRecord| match scope {
+        let is_included = |record: &RequestRecord| match scope {
             UpdateScope::Own if cursor == 0 => true,
-            UpdateScope::Own => record.own > cursor,
+            UpdateScope::Own => record.local_change > cursor,
             UpdateScope::Suspects => {
-                record.changed > cursor
+                record.last_change > cursor
                     && (record.crashes().count() >= MIN_SHARED_CRASHES
                         || record.released_at.is_some())
             }
         };
-        let told = self.records.iter().filter(|(_, record)| is_told(record));
-        let alive = self.alive.iter().filter(|(_, (_, changed))| *changed > cursor);
+        let included = self.records.iter().filter(|(_, record)| is_included(record));
+        let alive = self.alive.iter().filter(|(_, (_, change))| *change > cursor);
         let now = now.into();
         CrashUpdate {
             cursor: self.last_change,
-            reports: told.map(|(fingerprint, record)| report(*fingerprint, record, now)).collect(),
+            reports: included
+                .map(|(fingerprint, record)| crash_report(*fingerprint, record, now))
+                .collect(),
             alive: alive
                 .map(|(run, (sent, _))| RunAliveReport {
                     run: run.clone(),
@@ -193,30 +195,30 @@
         }
     }
 
-    /// Takes in what another process told. Whether it was news.
-    pub fn merge(&mut self, news: CrashUpdate, now: MonotonicTime) -> bool {
+    /// Merges an update of another process. Returns whether anything changed.
+    pub fn merge(&mut self, update: CrashUpdate, now: MonotonicTime) -> bool {
         let before = self.last_change;
-        for report in news.reports {
+        for report in update.reports {
             self.merge_report(report, now);
         }
-        for RunAliveReport { run, sent_ago_ms } in news.alive {
+        for RunAliveReport { run, sent_ago_ms } in update.alive {
             self.add_alive(&run, SignedTime::ago(now, sent_ago_ms));
         }
-        let is_news = self.last_change > before;
-        if is_news {
+        let is_new = self.last_change > before;
+        if is_new {
             self.update_holds();
         }
-        is_news
+        is_new
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes outdated records.
     pub fn expire(&mut self, now: MonotonicTime) {
         let (settings, now) = (self.settings, SignedTime::from(now));
         let held = &self.held;
         self.records.retain(|fingerprint, record| {
             let ends = held.get(fingerprint).map_or(0, |h| h.ends);
-            // Once more as long as the hold: one that ends another backend server when it is
-            // tried again is held back at once, and for longer.
+            // The record outlives the hold by its duration: a request that crashes another backend
+            // server when it is retried is then held again at once, and for longer.
             let kept = hold_duration(&settings, ends) * if ends > 0 { 2 } else { 1 };
             record.last_crash().max(record.released_at).is_some_and(|last| now.since(last) < kept)
         });
@@ -226,7 +228,7 @@
         self.update_holds();
     }
 
-    fn add_local(&mut self, fingerprint: ContentFingerprint, send: EndedSend) {
+    fn add_local(&mut self, fingerprint: ContentFingerprint, send: CompletedSend) {
         let number = self.last_change + 1;
         if let SendEnd::CutOff(run) = &send.end {
             self.ended.insert(run.clone());
@@ -234,7 +236,7 @@
         let record = self.records.entry(fingerprint).or_default();
         if record.add(send) {
             self.last_change = number;
-            (record.changed, record.own) = (number, number);
+            (record.last_change, record.local_change) = (number, number);
             self.evict_excess(fingerprint);
             self.update_holds();
         }
@@ -244,26 +246,26 @@
         let CrashReport { print: fingerprint, sends, let_go_ago_ms } = report;
         let number = self.last_change + 1;
         let record = self.records.entry(fingerprint).or_default();
-        let mut is_news =
+        let mut is_new =
             let_go_ago_ms.is_some_and(|ago_ms| merge_release(record, SignedTime::ago(now, ago_ms)));
         for SendReport { ended_ago_ms, lasted_ms, end } in sends {
             if let SendEnd::CutOff(run) = &end {
                 self.ended.insert(run.clone());
             }
             let ended = SignedTime::ago(now, ended_ago_ms);
-            is_news |= record.add(EndedSend { ended, lasted_ms, end });
+            is_new |= record.add(CompletedSend { ended, lasted_ms, end });
         }
-        if is_news {
-            record.changed = number;
+        if is_new {
+            record.last_change = number;
             self.last_change = number;
             self.evict_excess(fingerprint);
         }
     }
 
-    /// Whether it was news: said once for each second of life.
+    /// Returns whether this is new; recorded once per second of the run's life.
     fn add_alive(&mut self, run: &BackendRun, sent: SignedTime) -> bool {
-        let known = self.alive.get(run);
-        if known.is_some_and(|(known, _)| sent.since(*known) < LIVENESS_MARGIN) {
+        let previous = self.alive.get(run);
+        if previous.is_some_and(|(previous, _)| sent.since(*previous) < LIVENESS_MARGIN) {
             return false;
         }
         self.last_change += 1;
@@ -277,64 +279,65 @@
         true
     }
 
-    /// Forgets the request that matters least where there are too many: of those with the fewest
-    /// ends the one that was cut off longest ago. A caller that invents new requests all the time
-    /// pushes out those with one end, which is forgetting one end of three; what is held back stays.
+    /// Evicts the least important record if there are too many: among those with the fewest
+    /// crashes, the one with the oldest last crash. A caller that keeps inventing new requests
+    /// evicts only records with one of the three crashes needed for a hold; held requests stay.
     fn evict_excess(&mut self, newest: ContentFingerprint) {
         if self.records.len() <= self.settings.max_records {
             return;
         }
         let others = self.records.iter().filter(|(fingerprint, _)| **fingerprint != newest);
-        let least = others.min_by_key(|(fingerprint, record)| {
+        let least_important = others.min_by_key(|(fingerprint, record)| {
             (self.held.contains_key(*fingerprint), record.crashes().count(), record.last_crash())
         });
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+        if let Some(fingerprint) = least_important.map(|(fingerprint, _)| *fingerprint) {
             self.records.remove(&fingerprint);
         }
     }
 
-    /// Whether a run's end under a request may be its doing: the run has not answered since.
+    /// Returns whether the presumed crash of a run may be real: the run has not answered since.
     fn is_crash(&self, run: &BackendRun, ended: SignedTime) -> bool {
         self.alive.get(run).is_none_or(|(sent, _)| *sent < ended + LIVENESS_MARGIN)
     }
 
-    fn unexplained_weight(&self, record: &RequestRecord) -> u32 {
-        record.weight(&self.settings, |run, ended| self.is_crash(run, ended))
+    fn total_evidence(&self, record: &RequestRecord) -> u32 {
+        record.evidence(&self.settings, |run, ended| self.is_crash(run, ended))
     }
 
-    /// Works out what is held back. One end has one cause: what the request with the most ends
-    /// explains speaks against no other one.
+    /// Recomputes the holds. A crash has one cause: crashes that are explained by the request with
+    /// the most crashes do not count against other requests.
     fn update_holds(&mut self) {
-        let bound = self.settings.bound as usize;
+        let crash_threshold = self.settings.crash_threshold as usize;
         let mut suspects: Vec<(usize, &ContentFingerprint, &RequestRecord)> = self
             .records
             .iter()
-            .filter(|(_, record)| record.crashes().count() >= bound)
+            .filter(|(_, record)| record.crashes().count() >= crash_threshold)
             .map(|(fingerprint, record)| {
                 (record.net_crashes(|run, at| self.is_crash(run, at)), fingerprint, record)
             })
-            .filter(|(net_crashes, ..)| *net_crashes >= bound)
+            .filter(|(net_crashes, ..)| *net_crashes >= crash_threshold)
             .collect();
-        // Of two that are on the same ends, the one that was there for a shorter time each time is
-        // the likelier cause: an engine ends soon after it begins to run one, and bystanders are
-        // anywhere in theirs.
+        // Of two requests with the same crashes, the one with the shorter time on the backend
+        // servers is the likelier cause: an engine crashes soon after it starts to run the cause,
+        // while unrelated requests are interrupted at any point.
         suspects.sort_by_key(|(net_crashes, fingerprint, record)| {
             (Reverse(*net_crashes), record.mean_lasted_ms(), **fingerprint)
         });
         let mut explained: BTreeSet<&BackendRun> = BTreeSet::new();
         let mut held = BTreeMap::new();
         for (_, fingerprint, record) in suspects {
-            let counts = |run: &BackendRun, at| !explained.contains(run) && self.is_crash(run, at);
-            let unexplained = record.net_crashes(counts);
-            let ends = record.weight(&self.settings, counts);
+            let is_evidence =
+                |run: &BackendRun, at| !explained.contains(run) && self.is_crash(run, at);
+            let unexplained = record.net_crashes(is_evidence);
+            let ends = record.evidence(&self.settings, is_evidence);
             let last = record.last_crash();
-            if unexplained == bound && self.has_likelier_cause(fingerprint, record) {
+            if unexplained == crash_threshold && self.has_likelier_cause(fingerprint, record) {
                 continue;
             }
-            if unexplained >= bound {
+            if unexplained >= crash_threshold {
                 explained.extend(record.crashes().map(|(run, _)| run));
             }
-            if let Some(last) = last.filter(|_| ends >= self.settings.bound) {
+            if let Some(last) = last.filter(|_| ends >= self.settings.crash_threshold) {
                 let until = last + hold_duration(&self.settings, ends);
                 held.insert(*fingerprint, HeldRequest { ends, until });
             }
@@ -342,12 +345,13 @@
         self.held = held;
     }
 
-    /// Whether another request was on one of its ends that was on one more end as well, and is
-    /// usually with a backend server for a shorter time. With no more ends than the bound, the
-    /// other one is then the likelier cause; if it is not, the next end says so.
+    /// Returns whether another request is a likelier cause: it shares a crash with this one, has at
+    /// least one crash more, and usually spends less time on a backend server. Applied only if the
+    /// crashes just reach the threshold; if the other request is not the cause, the next crash
+    /// shows it.
     ///
-    /// Where one request in 200 is a cause and engines run 64 at once, 7 of 183,426 bystanders
-    /// were held back without this and none with it (five seeded schedules of 40 s).
+    /// With one cause in 200 requests and 64 concurrent requests per engine, 7 of 183,426 unrelated
+    /// requests were held without this check and none with it (five seeded schedules of 40 s).
     fn has_likelier_cause(&self, fingerprint: &ContentFingerprint, record: &RequestRecord) -> bool {
         let runs: BTreeSet<&BackendRun> = record.crashes().map(|(run, _)| run).collect();
         let lasted_ms = record.mean_lasted_ms();
@@ -362,12 +366,17 @@
 }
 
 fn merge_release(record: &mut RequestRecord, at: SignedTime) -> bool {
-    // The same word, told again, comes a little later or earlier each time.
-    let is_known = record.released_at.is_some_and(|known| at.since(known) < LIVENESS_MARGIN);
-    !is_known && record.release(at)
+    // Repeated reports of the same release differ slightly in time.
+    let is_duplicate =
+        record.released_at.is_some_and(|previous| at.since(previous) < LIVENESS_MARGIN);
+    !is_duplicate && record.release(at)
 }
 
-fn report(fingerprint: ContentFingerprint, record: &RequestRecord, now: SignedTime) -> CrashReport {
+fn crash_report(
+    fingerprint: ContentFingerprint,
+    record: &RequestRecord,
+    now: SignedTime,
+) -> CrashReport {
     let ago = |at: SignedTime| SignedTime::millis_since(now, at);
     CrashReport {
         print: fingerprint,
--- a/crates/poison/src/update.rs
+++ b/crates/poison/src/update.rs
@@ -1,4 +1,4 @@
-//! What gateways and control processes tell each other of requests that end backend servers.
+//! Messages about crashes that gateways and control processes exchange.
 
 use {
     crate::ContentFingerprint,
@@ -6,54 +6,54 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What one process knows and another may lack.
+/// Changes that one process reports to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// The teller's last change; what it tells next is what came after.
+    /// Number of the sender's last change; its next update contains the changes after it.
     pub cursor: u64,
-    /// What is known of some requests.
+    /// Crash histories of requests.
     pub reports: Vec<CrashReport>,
-    /// Runs that were thought to have ended and have answered since.
+    /// Runs that answered after their presumed crash.
     pub alive: Vec<RunAliveReport>,
 }
 
-/// What is known of one request. It adds to what the listener knows and takes nothing away, so it
-/// may come twice, late or in another order.
+/// Crash history of one request. Merging is idempotent and commutative, so a report may be
+/// delivered repeatedly, late or out of order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: ContentFingerprint,
-    /// What happened to sends of it.
+    /// Completed sends of the request.
     pub sends: Vec<SendReport>,
-    /// How long ago it was let go by an operator, milliseconds: what was before counts no more.
+    /// Time since an operator released the request, in milliseconds; earlier sends do not count.
     pub let_go_ago_ms: Option<u32>,
 }
 
 /// How one send of a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SendReport {
-    /// How long ago, milliseconds.
+    /// Time since the end, in milliseconds.
     pub ended_ago_ms: u32,
-    /// How long it had been with the backend server by then, milliseconds.
+    /// Time that the request had spent on the backend server, in milliseconds.
     pub lasted_ms: u32,
-    /// How.
+    /// Outcome of the send.
     pub end: SendEnd,
 }
 
-/// How a send ended, as far as it tells of the request.
+/// Outcome of a send, as far as it is evidence for or against the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SendEnd {
     /// The connection to this run broke while it had the request.
     CutOff(BackendRun),
-    /// It was answered whole. The number tells one answer from another.
+    /// The answer was complete. The number identifies the answer.
     Answered(u64),
 }
 
-/// A run that was thought to have ended and has answered since.
+/// A run that answered after its presumed crash.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunAliveReport {
     /// The run.
     pub run: BackendRun,
-    /// How long ago the request was sent that it answered, milliseconds.
+    /// Time since the answered request was sent, in milliseconds.
     pub sent_ago_ms: u32,
 }
--- a/crates/poison/tests/print.rs
+++ b/crates/poison/tests/print.rs
@@ -1,11 +1,11 @@
-//! Which requests are the same.
+//! Equality of content fingerprints.
 
 use {
     gullglade_poison::{FingerprintKey, RequestContent},
     std::collections::BTreeSet,
 };
 
-const VIEW: RequestContent<'static> = RequestContent {
+const REQUEST: RequestContent<'static> = RequestContent {
     method: "POST",
     host: "h.example",
     target: "/a/b?c=d",
@@ -14,46 +14,46 @@
 };
 
 #[test]
-fn requests_that_differ_in_what_they_ask_have_fingerprints_of_their_own() {
+fn requests_with_different_content_have_different_fingerprints() {
     struct Case {
-        what: &'static str,
-        view: RequestContent<'static>,
+        name: &'static str,
+        request: RequestContent<'static>,
     }
     let cases = [
-        Case { what: "as it is", view: VIEW },
-        Case { what: "another method", view: RequestContent { method: "PUT", ..VIEW } },
+        Case { name: "unchanged", request: REQUEST },
+        Case { name: "another method", request: RequestContent { method: "PUT", ..REQUEST } },
         Case {
-            what: "another workspace's host",
-            view: RequestContent { host: "g.example", ..VIEW },
+            name: "another workspace's host",
+            request: RequestContent { host: "g.example", ..REQUEST },
         },
-        Case { what: "another query", view: RequestContent { target: "/a/b?c=e", ..VIEW } },
+        Case { name: "another query", request: RequestContent { target: "/a/b?c=e", ..REQUEST } },
         Case {
-            what: "another caller",
-            view: RequestContent { credentials: b"Bearer two", ..VIEW },
+            name: "another caller",
+            request: RequestContent { credentials: b"Bearer two", ..REQUEST },
         },
-        Case { what: "no credentials", view: RequestContent { credentials: b"", ..VIEW } },
-        Case { what: "another body", view: RequestContent { body: b"questions", ..VIEW } },
+        Case { name: "no credentials", request: RequestContent { credentials: b"", ..REQUEST } },
+        Case { name: "another body", request: RequestContent { body: b"questions", ..REQUEST } },
         Case {
-            what: "bytes moved from one field to the next",
-            view: RequestContent { credentials: b"Bearer oneq", body: b"uestion", ..VIEW },
+            name: "bytes moved from one field to the next",
+            request: RequestContent { credentials: b"Bearer oneq", body: b"uestion", ..REQUEST },
         },
         Case {
-            what: "a path that ends where the host began",
-            view: RequestContent { host: "h.example/a", target: "/b?c=d", ..VIEW },
+            name: "a path that ends where the host began",
+            request: RequestContent { host: "h.example/a", target: "/b?c=d", ..REQUEST },
         },
     ];
     let key = FingerprintKey::from([7; 32]);
     let mut seen = BTreeSet::new();
     for case in cases {
-        let fingerprint = key.fingerprint(&case.view);
-        assert!(seen.insert(fingerprint), "{}", case.what);
-        assert_eq!(fingerprint, key.fingerprint(&case.view), "{}", case.what);
+        let fingerprint = key.fingerprint(&case.request);
+        assert!(seen.insert(fingerprint), "{}", case.name);
+        assert_eq!(fingerprint, key.fingerprint(&case.request), "{}", case.name);
     }
 }
 
 #[test]
-fn a_fleet_with_another_secret_has_other_fingerprints() {
+fn fingerprints_depend_on_the_secret() {
     let (one, two) = (FingerprintKey::from([7; 32]), FingerprintKey::from([8; 32]));
-    assert_ne!(one.fingerprint(&VIEW), two.fingerprint(&VIEW));
+    assert_ne!(one.fingerprint(&REQUEST), two.fingerprint(&REQUEST));
     assert_eq!(format!("{one:?}"), "FingerprintKey(..)");
 }
--- a/crates/poison/tests/schedules/main.rs
+++ b/crates/poison/tests/schedules/main.rs
@@ -1,122 +1,131 @@
-//! Causes and bystanders, over seeded schedules: what is held back, and what must not be.
+//! Seeded simulations of causes and unrelated requests: the causes must be held, the others must
+//! not.
 
-mod world;
+mod simulation;
 
-use world::{CALM, Schedule, World};
+use simulation::{BASELINE, Scenario, Simulation};
 
-/// The promise: a request under which three engines ended is sent so often at most, later than
-/// [`world::WINDOW_MS`].
-const MOST_LATE_SENDS: usize = 3;
+/// Maximum number of sends of a request later than [`simulation::WINDOW_MS`] after its third crash.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Innocent requests that are turned away, at most one in so many.
-const ONE_WRONGED_IN: u64 = 10_000;
+/// At most one in this many unrelated requests may be held.
+const ONE_FALSE_HOLD_IN: u64 = 10_000;
 
-/// Seeds of each schedule; `POISON_SEEDS` says how many by hand.
+/// Number of seeds per scenario, unless `POISON_SEEDS` is set.
 const SEEDS: u64 = 2;
 
-const PLAYED_MS: u64 = 40_000;
+const SIMULATED_MS: u64 = 40_000;
 
 fn seeds() -> u64 {
     std::env::var("POISON_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
 }
 
-fn check(schedule: Schedule) {
-    let (mut innocents, mut wronged, mut unserved, mut ended) = (0, 0, 0, 0);
+fn check(scenario: Scenario) {
+    let (mut unrelated, mut false_holds, mut unserved, mut ended) = (0, 0, 0, 0);
     for seed in 0..seeds() {
-        let outcome = World::new(schedule, seed).play(PLAYED_MS);
-        let what = schedule.what;
+        let outcome = Simulation::new(scenario, seed).run(SIMULATED_MS);
+        let name = scenario.name;
         for late in &outcome.late_sends {
-            assert!(*late <= MOST_LATE_SENDS, "{what}, seed {seed}: sent {late} times more");
+            assert!(*late <= MAX_LATE_SENDS, "{name}, seed {seed}: sent {late} more times");
         }
-        innocents += outcome.innocents;
-        wronged += outcome.wronged;
+        unrelated += outcome.unrelated;
+        false_holds += outcome.false_holds;
         unserved += outcome.unserved;
-        ended += outcome.ended_runs;
+        ended += outcome.crashed_runs;
     }
     println!(
-        "{}: {innocents} innocent, {wronged} turned away, {unserved} unserved, {ended} ends",
-        schedule.what
+        "{}: {unrelated} unrelated, {false_holds} held, {unserved} unserved, {ended} crashes",
+        scenario.name
     );
     assert!(
-        wronged * ONE_WRONGED_IN < innocents,
-        "{}: {wronged} of {innocents} innocent requests were turned away",
-        schedule.what
+        false_holds * ONE_FALSE_HOLD_IN < unrelated,
+        "{}: {false_holds} of {unrelated} unrelated requests were held",
+        scenario.name
     );
 }
 
 #[test]
-fn causes_are_held_back_and_bystanders_are_not() {
+fn causes_are_held_and_unrelated_requests_are_not() {
     let cases = [
-        CALM,
-        Schedule { what: "one in 200", one_in: 200, ..CALM },
-        Schedule { what: "6 at once, one in 200", slots: 6, one_in: 200, ..CALM },
-        Schedule { what: "64 at once", slots: 64, ..CALM },
-        Schedule { what: "64 at once, one in 200", slots: 64, one_in: 200, ..CALM },
+        BASELINE,
+        Scenario { name: "one in 200", one_in: 200, ..BASELINE },
+        Scenario { name: "6 at once, one in 200", slots: 6, one_in: 200, ..BASELINE },
+        Scenario { name: "64 at once", slots: 64, ..BASELINE },
+        Scenario { name: "64 at once, one in 200", slots: 64, one_in: 200, ..BASELINE },
     ];
     cases.into_iter().for_each(check);
 }
 
 #[test]
-fn ends_and_resets_of_other_causes_hold_nobody_back() {
-    let ends = Schedule { what: "engines end by themselves", ends_by_itself: true, ..CALM };
-    let resets = Schedule { what: "connections are reset", resets_links: true, ..CALM };
+fn crashes_and_resets_of_other_causes_hold_no_request() {
+    let crashes =
+        Scenario { name: "engines crash by themselves", crashes_engines: true, ..BASELINE };
+    let resets = Scenario { name: "connections are reset", resets_connections: true, ..BASELINE };
     let cases = [
-        ends,
-        Schedule { what: "the same, 64 at once, one in 200", slots: 64, one_in: 200, ..ends },
-        Schedule { what: "a failure domain is lost twice", loses_domain: true, ..CALM },
-        Schedule { one_in: 0, ..resets },
-        Schedule { what: "connections are reset and causes come", one_in: 200, ..resets },
+        crashes,
+        Scenario { name: "the same, 64 at once, one in 200", slots: 64, one_in: 200, ..crashes },
+        Scenario { name: "a failure domain is lost twice", loses_domain: true, ..BASELINE },
+        Scenario { one_in: 0, ..resets },
+        Scenario { name: "connections are reset while causes arrive", one_in: 200, ..resets },
     ];
     cases.into_iter().for_each(check);
 }
 
 #[test]
-fn many_gateways_and_some_that_stand_still_know_in_time() {
+fn many_or_paused_gateways_learn_of_holds_in_time() {
     let cases = [
-        Schedule { what: "a gateway stands still", freezes: true, one_in: 200, ..CALM },
-        Schedule { what: "95 gateways", gateways: 95, one_in: 200, freezes: true, ..CALM },
-        Schedule { what: "300 gateways", gateways: 300, one_in: 200, ..CALM },
+        Scenario { name: "a gateway is paused", pauses_processes: true, one_in: 200, ..BASELINE },
+        Scenario {
+            name: "95 gateways",
+            gateways: 95,
+            one_in: 200,
+            pauses_processes: true,
+            ..BASELINE
+        },
+        Scenario { name: "300 gateways", gateways: 300, one_in: 200, ..BASELINE },
     ];
     cases.into_iter().for_each(check);
 }
 
 #[test]
-fn everything_at_once() {
-    check(Schedule {
-        what: "all at once",
-        ends_by_itself: true,
+fn all_failures_together_hold_only_causes() {
+    check(Scenario {
+        name: "all at once",
+        crashes_engines: true,
         loses_domain: true,
-        resets_links: true,
-        freezes: true,
+        resets_connections: true,
+        pauses_processes: true,
         one_in: 200,
         slots: 64,
-        ..CALM
+        ..BASELINE
     });
 }
 
-/// Callers that repeat such requests at once took down what was left while a third of the engines
-/// was lost: each engine that came back ended under the next one.
+/// Requests that crash engines, retried at once, must not take down the remaining engines while a
+/// third of them is lost and each restarted engine is hit by the next retry.
 #[test]
-fn bystanders_are_spared_while_a_third_of_the_engines_is_lost() {
-    let (mut innocents, mut wronged) = (0, 0);
-    let storm = Schedule { what: "a storm", one_in: 50, loses_domain: true, ..CALM };
+fn holds_protect_unrelated_requests_while_a_third_of_the_engines_is_lost() {
+    let (mut unrelated, mut false_holds) = (0, 0);
+    let retry_storm =
+        Scenario { name: "a retry storm", one_in: 50, loses_domain: true, ..BASELINE };
     for seed in 0..seeds() {
-        let without = World::new(Schedule { holds: false, ..storm }, seed).play(PLAYED_MS);
-        let with = World::new(storm, seed).play(PLAYED_MS);
+        let without =
+            Simulation::new(Scenario { holds: false, ..retry_storm }, seed).run(SIMULATED_MS);
+        let with = Simulation::new(retry_storm, seed).run(SIMULATED_MS);
         println!(
-            "seed {seed}: {} and {} bystanders cut off, {} and {} engines ended, {} and {} unserved",
+            "seed {seed}: {} and {} unrelated cut off, {} and {} engines crashed, {} and {} unserved",
             without.cut_off,
             with.cut_off,
-            without.ended_runs,
-            with.ended_runs,
+            without.crashed_runs,
+            with.crashed_runs,
             without.unserved,
             with.unserved
         );
-        // What is lost with the failure domain is lost either way.
+        // Requests lost with the failure domain are lost in both runs.
         assert!(with.cut_off * 2 < without.cut_off, "seed {seed}");
         assert!(with.unserved <= without.unserved, "seed {seed}");
-        innocents += with.innocents;
-        wronged += with.wronged;
+        unrelated += with.unrelated;
+        false_holds += with.false_holds;
     }
-    assert!(wronged * ONE_WRONGED_IN < innocents, "{wronged} of {innocents} were turned away");
+    assert!(false_holds * ONE_FALSE_HOLD_IN < unrelated, "{false_holds} of {unrelated} were held");
 }
--- a/crates/proxy/src/send_watch.rs
+++ b/crates/proxy/src/send_watch.rs
@@ -21,7 +21,7 @@
 impl SendWatch {
     /// Something of the answer has come.
     pub(crate) fn begin(&self) {
-        self.crashes.note_alive(&self.run, self.sent);
+        self.crashes.record_alive(&self.run, self.sent);
     }
 
     /// The backend server stated something else than before.
@@ -45,7 +45,7 @@
             WorkOutcome::Broken => self.cut_off(now),
             WorkOutcome::Answered | WorkOutcome::Failed if !self.crashes.is_empty() => {
                 let answer = score(self.print.call().id.as_str(), "answer");
-                self.crashes.note_answer(self.print.get(), answer);
+                self.crashes.record_answer(self.print.get(), answer);
             }
             // The caller left, it did not run, or nothing came: none of these tells of the request.
             _ => {}
@@ -54,7 +54,7 @@
 
     fn cut_off(&self, now: MonotonicTime) {
         let print = self.print.get();
-        let ends = self.crashes.note_cut_off(print, self.run.clone(), self.sent);
+        let ends = self.crashes.record_cut_off(print, self.run.clone(), self.sent);
         let event = EventDraft::new("request.cut_off").field("request", &self.print.call().id);
         let event = event.field("fingerprint", print).field("ends", ends);
         let event = event.field("backend", &self.run.backend);
