--- a/crates/experiment/src/deployment.rs
+++ b/crates/experiment/src/deployment.rs
@@ -134,7 +134,7 @@
 
     /// Whether its document weighs tail latency most.
     pub fn weighs_latency(&self) -> bool {
-        self.weights.latency > self.weights.away
+        self.weights.latency > self.weights.forwarding
     }
 
     /// Mean seconds that a request keeps a slot, with a warm cache.
@@ -165,7 +165,7 @@
         domain_link: Duration::from_micros(500),
         region_link: Duration::from_millis(55),
         target: Duration::from_millis(1_200),
-        weights: RouteWeights { latency: 4.0, away: 1.0 },
+        weights: RouteWeights { latency: 4.0, forwarding: 1.0 },
         workspaces: 60,
         home_bound: 0.12,
         template_tokens: (600, 2_400),
@@ -185,7 +185,7 @@
             region("okanagan", 1, 2),
         ],
         domain_link: Duration::from_millis(1),
-        weights: RouteWeights { latency: 1.0, away: 4.0 },
+        weights: RouteWeights { latency: 1.0, forwarding: 4.0 },
         workspaces: 40,
         template_tokens: (1_000, 3_000),
         turn_tokens: 500.0,
@@ -214,7 +214,7 @@
             token_time: 0.028,
             cache_tokens: 600_000,
         },
-        weights: RouteWeights { latency: 1.0, away: 1.0 },
+        weights: RouteWeights { latency: 1.0, forwarding: 1.0 },
         workspaces: 445,
         answer_tokens: 267.0,
         seconds: 90.0,
--- a/crates/fleet/examples/sync_bytes.rs
+++ b/crates/fleet/examples/sync_bytes.rs
@@ -1,6 +1,5 @@
-//! The bytes that gateways and control processes exchange to follow the fleet.
-//!
-//! Prints encoded sizes of the messages, without the framing of sessions.
+//! Prints the encoded sizes of the messages between gateways and control processes, without the
+//! framing of sessions.
 
 use {
     gullglade_fleet::{
@@ -54,11 +53,11 @@
         incarnation: Incarnation(1_764_720_000_000),
         sequence: 100_000,
     };
-    let standing = BackendObservation { record, is_silent: false, is_recalled: false };
+    let observation = BackendObservation { record, is_silent: false, is_recalled: false };
     let reply = |backends, regions| SyncReply {
         run: u64::MAX,
         cursor: 100_000,
-        backends: vec![standing.clone(); backends],
+        backends: vec![observation.clone(); backends],
         departed: Vec::new(),
         gateways: Vec::new(),
         gateway_total: 370,
@@ -70,18 +69,15 @@
         controls: vec![address; 5],
     };
     let bytes = |message: Vec<u8>| message.len();
-    println!("request, no offer: {}", bytes(encode(&request(0))));
+    println!("request without offers: {}", bytes(encode(&request(0))));
+    println!("request, per offer: {}", bytes(encode(&request(1))) - bytes(encode(&request(0))));
+    println!("reply without changes: {}", bytes(encode(&reply(0, 0))));
     println!(
-        "request, each offer more: {}",
-        bytes(encode(&request(1))) - bytes(encode(&request(0)))
-    );
-    println!("reply without news: {}", bytes(encode(&reply(0, 0))));
-    println!(
-        "reply, each offer of a region more: {}",
+        "reply, per offer of a region: {}",
         bytes(encode(&reply(0, 1))) - bytes(encode(&reply(0, 0)))
     );
     println!(
-        "reply, each backend server more: {}",
+        "reply, per backend server: {}",
         bytes(encode(&reply(1, 0))) - bytes(encode(&reply(0, 0)))
     );
     Ok(())
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -1,4 +1,4 @@
-//! Which gateways callers should use.
+//! Resolution of the gateways that callers should connect to.
 
 use {
     crate::FleetServer,
@@ -8,30 +8,30 @@
     std::{cell::RefCell, net::SocketAddr, rc::Rc},
 };
 
-/// Answers callers that ask where to connect, from what one control process hears.
+/// Resolves the gateways for callers from the gateways that one control process observes.
 pub struct EntryResolver {
     fleet: Rc<FleetServer>,
     format: Rc<dyn TrafficFormat>,
     events: Rc<dyn EventSink>,
-    held: RefCell<Option<Rc<TrafficConfig>>>,
+    cached: RefCell<Option<Rc<TrafficConfig>>>,
 }
 
 impl EntryResolver {
-    /// A guide over what `fleet` hears.
+    /// Creates a resolver over the gateways that `fleet` observes.
     pub fn new(
         fleet: Rc<FleetServer>,
         format: Rc<dyn TrafficFormat>,
         events: Rc<dyn EventSink>,
     ) -> Self {
-        Self { fleet, format, events, held: RefCell::default() }
+        Self { fleet, format, events, cached: RefCell::default() }
     }
 
-    /// The callers' addresses of the gateways that callers of `host` in `region` should use;
-    /// `None` while this process may not have heard all gateways.
+    /// Returns the caller addresses of the gateways that callers of `host` in `region` should use;
+    /// `None` while this process may not have observed all gateways.
     ///
-    /// A caller sends its body to the gateway that it connects to. So where its own region has no
-    /// gateway, it is sent to regions in which all routes of its host may be served, if there
-    /// are any.
+    /// A caller sends its body to the gateway that it connects to. If its own region has no
+    /// gateway, it is therefore directed to regions in which all routes of its host may be served,
+    /// if there are any.
     pub fn addresses(&self, host: &str, region: &RegionName) -> Option<Vec<SocketAddr>> {
         let config = self.config();
         let is_home = |candidate: &RegionName| {
@@ -41,23 +41,23 @@
         self.fleet.entry_addresses(region, is_home)
     }
 
-    /// The configuration applied here; it may be older than the newest one.
+    /// Returns the configuration applied here, which may be older than the newest one.
     fn config(&self) -> Option<Rc<TrafficConfig>> {
-        let held = self.held.borrow().clone();
-        let version = held.as_ref().map(|config| config.version());
+        let cached = self.cached.borrow().clone();
+        let version = cached.as_ref().map(|config| config.version());
         let newer = self.fleet.source().newer(0, version).and_then(|snapshot| snapshot.text);
-        let Some(text) = newer else { return held };
+        let Some(text) = newer else { return cached };
         let read = self.format.read(&text).and_then(TrafficConfig::try_from);
         match read {
             Ok(config) => {
                 let config = Rc::new(config);
-                self.held.replace(Some(Rc::clone(&config)));
+                self.cached.replace(Some(Rc::clone(&config)));
                 Some(config)
             }
             Err(error) => {
                 let event = EventDraft::new("traffic.unreadable").level(Level::Error);
                 self.events.emit(event.error("reason", &error));
-                held
+                cached
             }
         }
     }
--- a/crates/fleet/src/follower.rs
+++ b/crates/fleet/src/follower.rs
@@ -1,4 +1,4 @@
-//! Keeps a gateway's view up to date: one task for each control process that it follows.
+//! Keeps a gateway's view up to date, with one task per followed control process.
 
 use {
     crate::{
@@ -25,51 +25,51 @@
     },
 };
 
-/// The limit on one call. A control process holds it for up to 600 ms; the rest is two round
-/// trips between regions and the pauses of a batch-scheduled process.
-const CALL_LIMIT: Duration = Duration::from_millis(1_800);
+/// Timeout of a call. A control process holds it for up to 600 ms; the rest covers two round trips
+/// between regions and the pauses of a batch-scheduled process.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// The wait after a failed call.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Mean delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How often the list of control processes to follow is looked over.
-const LOOK_OVER: Duration = Duration::from_millis(500);
+/// Interval at which the list of followed control processes is reconciled.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A control process that has not answered for this long is no longer a witness for anybody.
-const VOICE_EXPIRY: Duration = Duration::from_secs(6);
+/// Time without an answer after which the observations of a control process no longer count.
+const CONTROL_EXPIRY: Duration = Duration::from_secs(6);
 
-/// What a follower works with.
+/// Dependencies of a follower.
 pub struct FollowerParts {
-    /// Calls control processes.
+    /// Transport for calls to control processes.
     pub transport: Rc<dyn PeerTransport>,
-    /// Clock, random source, tasks.
+    /// Clock, random source and task spawner.
     pub context: ProcessContext,
-    /// Where changes of belief are told.
+    /// Sink for events about changes of the view.
     pub events: Rc<dyn EventSink>,
-    /// Reads the configuration.
+    /// Parser of the traffic configuration.
     pub format: Rc<dyn TrafficFormat>,
-    /// What is known of requests that end backend servers.
+    /// Tracker of requests that crash backend servers.
     pub crashes: Rc<SharedCrashTracker>,
 }
 
-/// How one control process is doing.
+/// State of the connection to one control process.
 #[derive(Default)]
 struct ControlLink {
     run: u64,
     cursor: u64,
-    /// Of what is known there of requests that end backend servers, the last change told here.
+    /// Last crash change of the control process that was merged here.
     crash_cursor: u64,
-    /// Of what is known here of them, the last change told there.
-    crashes_told: u64,
-    answered: Option<MonotonicTime>,
+    /// Last crash change of this gateway that was sent to the control process.
+    crash_sent_cursor: u64,
+    last_answer: Option<MonotonicTime>,
     is_lost: bool,
 }
 
-/// Called after each reply of a control process, with whether more may have changed than what
-/// regions offer.
+/// Callback after each reply of a control process; the argument is false if nothing but the
+/// regions' offers can have changed.
 pub type ViewWatcher = Rc<dyn Fn(bool)>;
 
-/// Follows the control processes for a gateway.
+/// Follows the control processes on behalf of a gateway.
 pub struct FleetFollower {
     parts: FollowerParts,
     profile: GatewayProfile,
@@ -77,15 +77,16 @@
     seeds: RefCell<BTreeSet<SocketAddr>>,
     followed: RefCell<BTreeMap<SocketAddr, ControlLink>>,
     view: RefCell<FleetView>,
-    /// Dropped to end the calls in progress, so that a new phase is told at once.
+    /// Dropping these senders ends the calls in progress, so that a new phase is announced at once.
     phase_changed: RefCell<Vec<oneshot::Sender<()>>>,
-    /// What this gateway's region offers, as it told last.
+    /// The offers of this gateway's region, as last set.
     offers: RefCell<Vec<ServiceOffer>>,
     watchers: RefCell<Vec<ViewWatcher>>,
 }
 
 impl FleetFollower {
-    /// A follower for the gateway of `profile` that begins with the control processes at `seeds`.
+    /// Creates a follower for the gateway of `profile` that starts with the control processes at
+    /// `seeds`.
     pub fn new(
         profile: GatewayProfile,
         seeds: impl IntoIterator<Item = SocketAddr>,
@@ -105,28 +106,28 @@
         })
     }
 
-    /// Starts to follow.
+    /// Starts the tasks of the follower.
     pub fn start(self: &Rc<Self>) {
         let follower = Rc::clone(self);
         self.parts.context.spawner.spawn(Box::pin(async move {
             loop {
-                follower.look_over();
-                follower.parts.context.clock.sleep(LOOK_OVER).await;
+                follower.reconcile();
+                follower.parts.context.clock.sleep(RECONCILE_INTERVAL).await;
             }
         }));
     }
 
-    /// What this gateway is.
+    /// Returns the profile of this gateway.
     pub fn profile(&self) -> &GatewayProfile {
         &self.profile
     }
 
-    /// What this gateway says it is about to do.
+    /// Returns the announced phase of this gateway.
     pub fn phase(&self) -> GatewayPhase {
         self.phase.get()
     }
 
-    /// Says what this gateway is about to do, at once.
+    /// Sets the phase of this gateway and announces it at once.
     pub fn set_phase(&self, phase: GatewayPhase) {
         if self.phase.replace(phase) == phase {
             return;
@@ -135,12 +136,12 @@
         self.phase_changed.take();
     }
 
-    /// Takes what this gateway's region offers, to be told with the next call.
+    /// Sets the offers of this gateway's region, which are sent with the next call.
     pub fn set_offers(&self, offers: Vec<ServiceOffer>) {
         self.offers.replace(offers);
     }
 
-    /// Takes other seeds, for a deployment whose control processes have moved.
+    /// Replaces the seeds, for a deployment whose control processes have moved.
     pub fn set_seeds(self: &Rc<Self>, seeds: impl IntoIterator<Item = SocketAddr>) {
         let seeds: BTreeSet<_> = seeds.into_iter().collect();
         if *self.seeds.borrow() == seeds {
@@ -148,54 +149,58 @@
         }
         self.parts.events.emit(EventDraft::new("control.seeds").field("seeds", seeds.len()));
         self.seeds.replace(seeds);
-        self.look_over();
+        self.reconcile();
     }
 
-    /// Calls `watcher` after each reply of a control process. It need not take in everything again
-    /// where nothing but offers changed: there are ten replies a second.
+    /// Registers a callback that runs after each reply of a control process. There are ten replies
+    /// per second, so the callback should skip its work if only offers changed.
     pub fn watch(&self, watcher: ViewWatcher) {
         self.watchers.borrow_mut().push(watcher);
     }
 
-    /// Reads the view.
+    /// Calls `read` with the view.
     pub fn read<T>(&self, read: impl FnOnce(&FleetView) -> T) -> T {
         read(&self.view.borrow())
     }
 
-    /// The configuration in force.
+    /// Returns the active traffic configuration.
     pub fn traffic(&self) -> Option<ActiveTraffic> {
         self.view.borrow().traffic().cloned()
     }
 
-    /// How long ago the configuration in force is known to have been the newest; `None` where it
-    /// never was in this run. Counts the time for which the VM was suspended.
+    /// Returns the time since the active configuration was known to be the newest; `None` if it
+    /// never was in this run. Includes the time for which the VM was suspended.
     pub fn confirmed_ago(&self) -> Option<Duration> {
         let confirmed = self.view.borrow().confirmed()?;
         Some(self.parts.context.clock.boot().since(confirmed))
     }
 
-    /// How many of the followed control processes answer, and how many are followed.
+    /// Returns how many of the followed control processes answer, and how many are followed.
     pub fn links(&self) -> (usize, usize) {
         let followed = self.followed.borrow();
-        (followed.values().filter(|l| l.answered.is_some() && !l.is_lost).count(), followed.len())
+        (
+            followed.values().filter(|l| l.last_answer.is_some() && !l.is_lost).count(),
+            followed.len(),
+        )
     }
 
-    /// Begins to follow who is new, and drops the word of who has long been unheard.
-    fn look_over(self: &Rc<Self>) {
+    /// Starts to follow new control processes, and discards the observations of those that have not
+    /// answered for [`CONTROL_EXPIRY`].
+    fn reconcile(self: &Rc<Self>) {
         let mut wanted = self.seeds.borrow().clone();
         wanted.extend(self.view.borrow().controls());
         let mut followed = self.followed.borrow_mut();
         followed.retain(|address, _| wanted.contains(address));
         for address in wanted {
-            if let Entry::Vacant(place) = followed.entry(address) {
-                place.insert(ControlLink::default());
+            if let Entry::Vacant(vacant) = followed.entry(address) {
+                vacant.insert(ControlLink::default());
                 self.parts.context.spawner.spawn(Box::pin(Rc::clone(self).follow(address)));
             }
         }
         let now = self.parts.context.clock.now();
         for (address, link) in followed.iter_mut() {
-            let is_unheard = link.answered.is_some_and(|at| now.since(at) > VOICE_EXPIRY);
-            if is_unheard && !link.is_lost {
+            let is_expired = link.last_answer.is_some_and(|at| now.since(at) > CONTROL_EXPIRY);
+            if is_expired && !link.is_lost {
                 link.is_lost = true;
                 self.view.borrow_mut().remove_control(*address, now);
                 let event = EventDraft::new("control.lost").level(Level::Warn);
@@ -209,30 +214,30 @@
             let asked = self.parts.context.clock.boot();
             match self.call(control, &request).await {
                 None => {}
-                Some(Ok(reply)) => self.take(control, &request, asked, reply),
-                // The transport tells of sessions that are lost and regained.
+                Some(Ok(reply)) => self.handle_reply(control, &request, asked, reply),
+                // The transport logs lost and restored sessions.
                 Some(Err(_)) => {
-                    let pause = RETRY_PAUSE.mul_f64(0.5 + self.parts.context.random.unit());
-                    self.parts.context.clock.sleep(pause).await;
+                    let delay = RETRY_DELAY.mul_f64(0.5 + self.parts.context.random.unit());
+                    self.parts.context.clock.sleep(delay).await;
                 }
             }
         }
     }
 
-    /// `None` once the control process is no longer followed.
+    /// Builds the next request; `None` if the control process is no longer followed.
     fn request(&self, control: SocketAddr) -> Option<SyncRequest> {
         let followed = self.followed.borrow();
         let link = followed.get(&control)?;
         let view = self.view.borrow();
         let traffic = view.traffic();
         let run = if link.is_lost { 0 } else { link.run };
-        // A run that knows nothing is told everything, also what others saw: where all control
-        // processes start again, what they knew stands with the gateways alone.
-        let told = if run == 0 { 0 } else { link.crashes_told };
+        // A run that knows nothing is sent all crashes, including those observed by others: if all
+        // control processes restart, only the gateways still know them.
+        let sent_cursor = if run == 0 { 0 } else { link.crash_sent_cursor };
         Some(SyncRequest {
             pulse: GatewayAnnouncement { profile: self.profile.clone(), phase: self.phase.get() },
             offers: self.offers.borrow().clone(),
-            crashes: self.parts.crashes.updates_after(told, UpdateScope::Own),
+            crashes: self.parts.crashes.updates_after(sent_cursor, UpdateScope::Own),
             crash_cursor: link.crash_cursor,
             run,
             cursor: link.cursor,
@@ -241,20 +246,20 @@
         })
     }
 
-    /// One call; `None` where this gateway's phase changed meanwhile.
+    /// Makes one call; `None` if the phase of this gateway changed meanwhile.
     async fn call(
         &self,
         control: SocketAddr,
         request: &SyncRequest,
     ) -> Option<Result<SyncReply, PeerError>> {
-        let (keep, changed) = oneshot::channel::<()>();
+        let (cancel, changed) = oneshot::channel::<()>();
         {
             let mut waiting = self.phase_changed.borrow_mut();
             waiting.retain(|other| !other.is_canceled());
-            waiting.push(keep);
+            waiting.push(cancel);
         }
         let body = Bytes::from(encode(request));
-        let calling = self.parts.transport.call(control, SYNC, body, CALL_LIMIT);
+        let calling = self.parts.transport.call(control, SYNC, body, CALL_TIMEOUT);
         match select(calling, pin!(changed)).await {
             Either::Left((Ok(reply), _)) => {
                 Some(decode(&reply).map_err(|e| PeerFault::malformed(e).into()))
@@ -264,25 +269,37 @@
         }
     }
 
-    fn take(&self, control: SocketAddr, request: &SyncRequest, asked: BootTime, reply: SyncReply) {
+    fn handle_reply(
+        &self,
+        control: SocketAddr,
+        request: &SyncRequest,
+        asked: BootTime,
+        reply: SyncReply,
+    ) {
         let now = self.parts.context.clock.now();
-        let whole = reply.run != request.run;
+        let is_complete = reply.run != request.run;
         let (run, cursor) = (reply.run, reply.cursor);
         let crash_cursor = reply.crashes.cursor;
-        let is_told = !whole || request.run == 0;
-        let crashes_told = if is_told { request.crashes.cursor } else { 0 };
+        let has_all_crashes = !is_complete || request.run == 0;
+        let crash_sent_cursor = if has_all_crashes { request.crashes.cursor } else { 0 };
         self.parts.crashes.merge(reply.crashes.clone());
-        let change = self.view.borrow_mut().merge(control, whole, reply, asked, now);
+        let change = self.view.borrow_mut().merge(control, is_complete, reply, asked, now);
         if let Some(link) = self.followed.borrow_mut().get_mut(&control) {
-            if link.is_lost || link.answered.is_none() {
+            if link.is_lost || link.last_answer.is_none() {
                 self.parts.events.emit(EventDraft::new("control.heard").field("control", control));
             }
-            let answered = Some(now);
-            *link =
-                ControlLink { run, cursor, crash_cursor, crashes_told, answered, is_lost: false };
+            let last_answer = Some(now);
+            *link = ControlLink {
+                run,
+                cursor,
+                crash_cursor,
+                crash_sent_cursor,
+                last_answer,
+                is_lost: false,
+            };
         }
         match change {
-            Ok(change) => self.tell(control, &change, now),
+            Ok(change) => self.notify(control, &change, now),
             Err(error) => {
                 let event = EventDraft::new("traffic.unreadable").level(Level::Error);
                 self.parts.events.emit(event.field("control", control).error("reason", &error));
@@ -290,7 +307,7 @@
         }
     }
 
-    fn tell(&self, control: SocketAddr, change: &ViewChange, now: MonotonicTime) {
+    fn notify(&self, control: SocketAddr, change: &ViewChange, now: MonotonicTime) {
         let events = &self.parts.events;
         let view = self.view.borrow();
         if let Some(traffic) = view.traffic().filter(|_| change.traffic) {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,14 @@
-//! Backend servers and gateways, as the control processes hear of them.
+//! Membership of backend servers and gateways, as observed by the control processes.
 //!
-//! Where backend servers announce themselves to control processes, each of those keeps a
-//! [`FleetRegistry`] in memory of what it heard itself. It does not share it with the other control
-//! processes. Instead every gateway follows all of them ([`FleetFollower`]) and merges what they
-//! say ([`FleetView`]): the higher sequence number wins, a departure is final, and a backend
-//! server counts as heard while any control process hears it.
+//! If backend servers announce themselves to control processes, each control process keeps a
+//! [`FleetRegistry`] in memory of what it observed itself, and does not share it with the other
+//! control processes. Instead every gateway follows all of them ([`FleetFollower`]) and merges
+//! their observations ([`FleetView`]): the higher sequence number wins, a departure is final, and a
+//! backend server is live while any control process observes it.
 //!
-//! This has no step that waits for agreement, so an announcement that one control process
-//! acknowledged reaches every gateway that this process reaches, whoever else is cut off. The
-//! price is one session from each gateway to each control process, which carries a call that is
-//! held until there is news.
+//! No step waits for agreement, so an announcement acknowledged by one control process reaches
+//! every gateway that this process reaches, regardless of other network partitions. The cost is one
+//! session from each gateway to each control process, with a long-polling call.
 
 mod entry;
 mod follower;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! Who takes part: backend servers and gateways.
+//! Records of backend servers and gateways.
 
 use {
     gullglade_event::FieldValue,
@@ -7,12 +7,12 @@
     std::{fmt, net::SocketAddr, time::Duration},
 };
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServingState {
-    /// It does.
+    /// It accepts new work.
     Serving,
-    /// It finishes what it has and takes no more.
+    /// It finishes its running work and accepts no more.
     Leaving,
 }
 
@@ -27,66 +27,68 @@
 
 impl FieldValue for ServingState {}
 
-/// What one run of a backend server says about itself.
+/// State that one run of a backend server announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRecord {
-    /// Its name. A run that starts again may have the name of the one before.
+    /// Name of the backend server. A restarted run may have the name of its predecessor.
     pub name: BackendName,
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes requests. After its end another backend server may get the address.
+    /// Address that takes requests. After the end of the run, another backend server may get it.
     pub address: SocketAddr,
     /// Its region.
     pub region: RegionName,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// The requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: ServingState,
-    /// How much longer it stays cold, from when the record was made or passed on.
+    /// Remaining cold time as of when the record was created or sent.
     pub cold_for: Duration,
-    /// Which run of that name it is. A later run holds and knows nothing of those before.
+    /// Incarnation of the run. A later run of the same name has none of the state of the earlier
+    /// ones.
     pub incarnation: Incarnation,
-    /// Grows with each announcement of this run, so that a late one is recognized.
+    /// Sequence number of the announcement within the run, to detect late announcements.
     pub sequence: u64,
 }
 
 impl BackendRecord {
-    /// Whether this was said after `other`, of the same name: by a later run, or later by the same.
+    /// Returns whether this record is newer than `other` of the same name: of a later run, or
+    /// announced later by the same run.
     pub(crate) fn is_after(&self, other: &Self) -> bool {
         (self.incarnation, self.sequence) > (other.incarnation, other.sequence)
     }
 }
 
-/// A goodbye, with the runs of the name that it ends.
+/// Departure of a backend server, with the runs of its name that it ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartedRun {
     /// The name.
     pub name: BackendName,
-    /// The latest run that is over, and all before it.
+    /// Latest run that ended; all earlier runs ended too.
     pub last: Incarnation,
 }
 
-/// A backend server as one control process knows it.
+/// Observation of a backend server by one control process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendObservation {
-    /// What it said last.
+    /// Its last announced state.
     pub record: BackendRecord,
-    /// Whether announcements are overdue.
+    /// Whether its announcements are overdue.
     pub is_silent: bool,
-    /// Whether it was only heard in a run of the control process before this one.
+    /// Whether it was only observed by an earlier run of the control process.
     pub is_recalled: bool,
 }
 
-/// What a gateway is about to do.
+/// Lifecycle phase of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayPhase {
     /// It has no confirmed configuration yet.
     Starting,
-    /// It takes callers.
+    /// It accepts callers.
     Ready,
-    /// It serves the callers that it has and should get no others.
+    /// It serves its current callers and should get no others.
     Stopping,
 }
 
@@ -102,30 +104,30 @@
 
 impl FieldValue for GatewayPhase {}
 
-/// What one run of a gateway says about itself.
+/// State that one run of a gateway announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayProfile {
     /// Its VM.
     pub vm: VmName,
-    /// Drawn at its start, so that another run is told apart.
+    /// Random number that identifies the run.
     pub run: u64,
     /// Its region.
     pub region: RegionName,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Where it takes callers.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where it takes peer sessions.
+    /// Address for peer sessions.
     pub peer_address: SocketAddr,
 }
 
-/// A gateway as one control process knows it.
+/// Observation of a gateway by one control process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayObservation {
-    /// What it is.
+    /// Its profile.
     pub profile: GatewayProfile,
-    /// What it said last.
+    /// Its last announced phase.
     pub phase: GatewayPhase,
-    /// Whether it has not been heard in time.
+    /// Whether its calls are overdue.
     pub is_silent: bool,
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways and control processes, peer methods "fleet.*".
+//! Messages between gateways and control processes (peer methods "fleet.*").
 
 use {
     crate::{BackendObservation, DepartedRun, GatewayObservation, GatewayPhase, GatewayProfile},
@@ -9,102 +9,102 @@
     std::{collections::BTreeSet, net::SocketAddr, time::Duration},
 };
 
-/// The prefix of the methods that control processes serve to gateways.
+/// Prefix of the methods that control processes serve to gateways.
 pub(crate) const FLEET_PREFIX: &str = "fleet";
 
-/// Tells of the gateway, and waits for news.
+/// Announces the gateway and waits for updates (long polling).
 pub(crate) const SYNC: &str = "fleet.sync";
 
-/// A sign of life of a gateway.
+/// Announcement of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayAnnouncement {
-    /// What it is.
+    /// Profile of the gateway.
     pub profile: GatewayProfile,
-    /// What it is about to do.
+    /// Phase of the gateway.
     pub phase: GatewayPhase,
 }
 
-/// What a region offers of one service, as one of its gateways or all of them together see it.
+/// Capacity of one service in a region, as observed by one of its gateways or averaged over them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceOffer {
     /// The service.
     pub service: ServiceName,
-    /// Its backend servers that serve.
+    /// Number of its backend servers that serve.
     pub backends: u32,
-    /// Milliseconds until a first byte, by priority, the most urgent first.
+    /// Expected milliseconds until the first byte by priority, highest priority first.
     pub first_byte_ms: Vec<u32>,
 }
 
-/// What another region offers.
+/// Offer of one region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionOffer {
     /// The region.
     pub region: RegionName,
-    /// What it offers.
+    /// The offer.
     pub offer: ServiceOffer,
 }
 
-/// "Here I am; what is new since?"
+/// Request for the changes since the cursors, with the state of the gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Who asks.
+    /// Announcement of the calling gateway.
     pub pulse: GatewayAnnouncement,
-    /// What its region offers, as it sees it.
+    /// Offers of its region, as it observes them.
     pub offers: Vec<ServiceOffer>,
-    /// The run of the control process that `cursor` is of; 0 for none.
+    /// Run of the control process that `cursor` belongs to; 0 for none.
     pub run: u64,
-    /// The last change of its book that the gateway has.
+    /// Last change of the process's registry that the gateway has.
     pub cursor: u64,
-    /// What it saw of requests that end backend servers and has not told this process.
+    /// Crashes that the gateway observed and has not sent to this process yet.
     pub crashes: CrashUpdate,
-    /// The last change that it has of what this process knows of them.
+    /// Last crash change of this process that the gateway has.
     pub crash_cursor: u64,
-    /// The index of the last change of the traffic configuration that the gateway has.
+    /// Log index of the last change of the traffic configuration that the gateway has.
     pub traffic_index: u64,
-    /// The version of the configuration that the gateway holds.
+    /// Version of the configuration that the gateway has.
     pub version: Option<u64>,
 }
 
-/// The traffic configuration as a control process has it applied.
+/// Traffic configuration as applied by a control process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficSnapshot {
-    /// The index of its last change in the log.
+    /// Log index of its last change.
     pub index: u64,
     /// Its version; `None` before the first configuration.
     pub version: Option<u64>,
-    /// Its text, where the gateway does not hold this version.
+    /// Its text, unless the gateway already has this version.
     pub text: Option<Bytes>,
-    /// The failure domains that are evacuated.
+    /// Failure domains that are evacuated.
     pub evacuated: BTreeSet<FailureDomain>,
 }
 
-/// What is new.
+/// Changes since the cursors of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// The run of the control process. Where it is not the one asked about, the reply holds all
-    /// of its book.
+    /// Run of the control process. If it differs from the run in the request, the reply contains
+    /// the complete registry.
     pub run: u64,
-    /// The last change that the reply holds.
+    /// Last change contained in the reply.
     pub cursor: u64,
-    /// Backend servers of the gateway's region that changed.
+    /// Changed backend servers of the gateway's region.
     pub backends: Vec<BackendObservation>,
-    /// Runs of backend servers that said goodbye. Final for them and all earlier ones.
+    /// Departures of backend servers; each is final for the run and all earlier ones.
     pub departed: Vec<DepartedRun>,
-    /// Gateways that changed: those of its region, and some of each other one.
+    /// Changed gateways: those of its region, and some of each other region.
     pub gateways: Vec<GatewayObservation>,
-    /// How many gateways of all regions are heard.
+    /// Number of live gateways in all regions.
     pub gateway_total: u32,
-    /// What is known of requests that end backend servers and the gateway may lack.
+    /// Crashes that the gateway may not know yet.
     pub crashes: CrashUpdate,
-    /// What all regions offer, as their gateways said last.
+    /// Offers of all regions, as last sent by their gateways.
     pub regions: Vec<RegionOffer>,
-    /// The traffic configuration, where the gateway's is older.
+    /// Traffic configuration, if the gateway's is older.
     pub traffic: Option<TrafficSnapshot>,
-    /// How long ago the configuration applied at the control process was known to be everything
-    /// that had been accepted; `None` where it never was.
+    /// Time since the configuration applied at the control process was known to include every
+    /// accepted change; `None` if it never was.
     pub confirmed_ago: Option<Duration>,
-    /// For how long the call was held before this reply was made.
+    /// Time for which the call was held before this reply was made.
     pub held: Duration,
-    /// Peer addresses of the control processes, where they are known.
+    /// Peer addresses of the control processes, if they are known.
     pub controls: Vec<SocketAddr>,
 }
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -1,4 +1,4 @@
-//! What one control process has heard itself.
+//! Backend servers and gateways observed by one control process.
 
 use {
     crate::{
@@ -12,31 +12,31 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// A cold time that moves by less than this is the same one, told again.
-const COLD_SLACK: Duration = Duration::from_millis(300);
+/// Smaller differences between announced cold times are ignored.
+const COLD_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// How long a departed or silent backend server, or a silent gateway, is remembered. A goodbye
-/// must be remembered for longer than an announcement can be delayed by a network partition: one
-/// that comes later would bring the run back. Ten times the longest partition that is planned for.
-const MEMORY: Duration = Duration::from_secs(120);
+/// Retention of departed and silent backend servers and of silent gateways. A departure must be
+/// kept for longer than a network partition can delay an announcement, because a later announcement
+/// would bring the run back. This is ten times the longest expected partition.
+const RETENTION: Duration = Duration::from_secs(120);
 
 /// Settings of a [`FleetRegistry`].
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// The time between two announcements of a backend server.
+    /// Interval between announcements of a backend server.
     pub announce_interval: Duration,
-    /// Announcements are overdue after this. Backend servers announce late by seconds at times, so
-    /// several intervals.
+    /// Time after which announcements of a backend server are overdue. Announcements can be late by
+    /// seconds, so this is several intervals.
     pub backend_silence: Duration,
-    /// A gateway is silent after this without a call; it calls at least every
+    /// Time without a call after which a gateway is silent; it calls at least every
     /// [`sync_hold`](Self::sync_hold).
     pub gateway_silence: Duration,
-    /// How long a gateway's call waits for news.
+    /// Maximum time that a gateway's call waits for updates.
     pub sync_hold: Duration,
 }
 
 impl FleetSettings {
-    /// The settings for backend servers that announce themselves every `interval`.
+    /// Creates the settings for backend servers that announce themselves every `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             announce_interval: interval,
@@ -49,50 +49,51 @@
 
 struct BackendEntry {
     record: BackendRecord,
-    /// When it stops being cold.
+    /// Time when it stops being cold.
     cold_until: MonotonicTime,
-    heard: MonotonicTime,
+    last_heard: MonotonicTime,
     is_silent: bool,
-    /// Whether it was only heard in the run before this one.
+    /// Whether it was only observed by the previous run of this process.
     is_recalled: bool,
     changed: u64,
 }
 
-/// A gateway, as one control process hears it.
+/// A gateway observed by one control process.
 pub(crate) struct GatewayEntry {
-    pub(crate) pulse: GatewayAnnouncement,
+    pub(crate) announcement: GatewayAnnouncement,
     offers: Vec<ServiceOffer>,
-    heard: MonotonicTime,
+    last_heard: MonotonicTime,
     is_silent: bool,
-    /// The number of its last change.
+    /// Number of its last change.
     pub(crate) changed: u64,
 }
 
-/// A goodbye. Final for the run that said it and those before.
+/// Departure of a run, final for it and all earlier runs.
 struct Departure {
     last: Incarnation,
-    /// Where the run was, if it was heard here.
+    /// Region of the run, if the run was observed here.
     region: Option<RegionName>,
-    heard: MonotonicTime,
+    last_heard: MonotonicTime,
     changed: u64,
 }
 
-/// The backend servers and gateways that one control process hears. Numbers its changes, so that
-/// a gateway is told only what it lacks.
+/// Registry of the backend servers and gateways that one control process observes. Changes are
+/// numbered, so that a gateway is sent only what it lacks.
 pub struct FleetRegistry {
     settings: FleetSettings,
     started: MonotonicTime,
     backends: BTreeMap<BackendName, BackendEntry>,
     departed: BTreeMap<BackendName, Departure>,
     gateways: BTreeMap<VmName, GatewayEntry>,
-    last: u64,
-    /// The last change that concerns only one region's gateways, and the last one of all others.
-    last_of_region: BTreeMap<RegionName, u64>,
-    last_common: u64,
+    last_change: u64,
+    /// Last change that concerns the gateways of one region only, and last change that concerns all
+    /// gateways.
+    last_region_changes: BTreeMap<RegionName, u64>,
+    last_common_change: u64,
 }
 
 impl FleetRegistry {
-    /// An empty book of a process that starts `now`.
+    /// Creates an empty registry for a process that starts at `now`.
     pub fn new(settings: FleetSettings, now: MonotonicTime) -> Self {
         Self {
             settings,
@@ -100,47 +101,49 @@
             backends: BTreeMap::new(),
             departed: BTreeMap::new(),
             gateways: BTreeMap::new(),
-            last: 0,
-            last_of_region: BTreeMap::new(),
-            last_common: 0,
+            last_change: 0,
+            last_region_changes: BTreeMap::new(),
+            last_common_change: 0,
         }
     }
 
-    /// Its settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &FleetSettings {
         &self.settings
     }
 
-    /// The number of the last change.
+    /// Returns the number of the last change.
     pub fn last_change(&self) -> u64 {
-        self.last
+        self.last_change
     }
 
-    /// The number of the last change that concerns gateways of `region`.
+    /// Returns the number of the last change that concerns gateways of `region`.
     pub fn last_change_for(&self, region: &RegionName) -> u64 {
-        let of_region = self.last_of_region.get(region).copied().unwrap_or_default();
-        of_region.max(self.last_common)
+        let of_region = self.last_region_changes.get(region).copied().unwrap_or_default();
+        of_region.max(self.last_common_change)
     }
 
-    /// Numbers a change; `region`: the one whose gateways alone it concerns.
+    /// Numbers a change that concerns the gateways of `region` only, or all gateways if it is
+    /// `None`.
     fn number_change(&mut self, region: Option<&RegionName>) -> u64 {
-        self.last += 1;
+        self.last_change += 1;
         match region {
             Some(region) => {
-                self.last_of_region.insert(region.clone(), self.last);
+                self.last_region_changes.insert(region.clone(), self.last_change);
             }
-            None => self.last_common = self.last,
+            None => self.last_common_change = self.last_change,
         }
-        self.last
+        self.last_change
     }
 
-    /// Whether this process has run for long enough to have heard every gateway that runs. Before
-    /// that its list of gateways is cut short, and callers would all be sent to the first ones.
-    pub fn has_heard_gateways(&self, now: MonotonicTime) -> bool {
+    /// Returns whether this process has run for long enough to observe every running gateway.
+    /// Before that its list of gateways is incomplete, and all callers would be sent to the first
+    /// ones.
+    pub fn has_complete_gateways(&self, now: MonotonicTime) -> bool {
         now.since(self.started) > self.settings.gateway_silence
     }
 
-    /// Takes note of an announcement. Returns the standing where it changed.
+    /// Records an announcement. Returns the observation if it changed.
     pub fn announce(
         &mut self,
         record: BackendRecord,
@@ -155,53 +158,55 @@
         {
             return None;
         }
-        let is_news =
-            self.backends.get(&record.name).is_none_or(|entry| entry.is_news(&record, cold_until));
+        let is_change = self
+            .backends
+            .get(&record.name)
+            .is_none_or(|entry| entry.is_change(&record, cold_until));
         let region = record.region.clone();
-        let next = if is_news { self.number_change(Some(&region)) } else { self.last };
+        let next = if is_change { self.number_change(Some(&region)) } else { self.last_change };
         if let Some(entry) = self.backends.get_mut(&record.name) {
             entry.record = record;
             entry.cold_until = cold_until;
-            entry.heard = now;
+            entry.last_heard = now;
             entry.is_silent = false;
             entry.is_recalled = false;
-            if !is_news {
+            if !is_change {
                 return None;
             }
             entry.changed = next;
-            return Some(entry.standing(now));
+            return Some(entry.observation(now));
         }
         let entry = BackendEntry {
             record,
             cold_until,
-            heard: now,
+            last_heard: now,
             is_silent: false,
             is_recalled: false,
             changed: next,
         };
-        let standing = entry.standing(now);
+        let observation = entry.observation(now);
         self.backends.insert(entry.record.name.clone(), entry);
-        Some(standing)
+        Some(observation)
     }
 
-    /// What is worth keeping for the next run.
+    /// Returns the state to persist for the next run.
     pub fn snapshot(&self, now: MonotonicTime) -> FleetSnapshot {
-        let heard = self.backends.values().filter(|entry| !entry.is_silent);
+        let live = self.backends.values().filter(|entry| !entry.is_silent);
         FleetSnapshot {
-            backends: heard.map(|entry| entry.standing(now).record).collect(),
+            backends: live.map(|entry| entry.observation(now).record).collect(),
             departed: self.departed_after(0),
             crashes: CrashUpdate::default(),
         }
     }
 
-    /// Takes in what the run before kept, where nothing newer was heard.
-    pub fn restore(&mut self, memory: FleetSnapshot, now: MonotonicTime) {
-        for DepartedRun { name, last } in memory.departed {
+    /// Restores the state persisted by the previous run, except where newer state was observed.
+    pub fn restore(&mut self, snapshot: FleetSnapshot, now: MonotonicTime) {
+        for DepartedRun { name, last } in snapshot.departed {
             let changed = self.number_change(None);
-            let departure = Departure { last, region: None, heard: now, changed };
+            let departure = Departure { last, region: None, last_heard: now, changed };
             self.departed.entry(name).or_insert(departure);
         }
-        for record in memory.backends {
+        for record in snapshot.backends {
             if self.backends.contains_key(&record.name) {
                 continue;
             }
@@ -212,96 +217,98 @@
         }
     }
 
-    /// Takes note of a goodbye, also of a run that was never heard here: it said so once, to this
-    /// process. A goodbye does not say which run it is of, so it is of every one that had started
-    /// by then, `wall`. Returns whether it is news.
+    /// Records a departure, including that of a run never observed here: it is announced only once,
+    /// to one process. A departure does not name the run, so it applies to every run that had
+    /// started by the time `wall`. Returns whether it is new.
     pub fn leave(&mut self, name: &BackendName, wall: WallMillis, now: MonotonicTime) -> bool {
         let known = self.backends.get(name).map(|entry| entry.record.incarnation);
-        let told = self.departed.get(name).map(|departure| departure.last);
-        if told.is_some() && known <= told {
+        let departed = self.departed.get(name).map(|departure| departure.last);
+        if departed.is_some() && known <= departed {
             return false;
         }
         let region = self.backends.remove(name).map(|entry| entry.record.region);
         let changed = self.number_change(region.as_ref());
-        // The clock of a backend server may be ahead of this one.
+        // The clock of the backend server may be ahead of this one.
         let last = Incarnation(wall.0).max(known.unwrap_or_default());
-        self.departed.insert(name.clone(), Departure { last, region, heard: now, changed });
+        self.departed.insert(name.clone(), Departure { last, region, last_heard: now, changed });
         true
     }
 
-    /// The runs whose goodbyes came after `cursor`.
+    /// Returns the departures after `cursor`.
     pub fn departed_after(&self, cursor: u64) -> Vec<DepartedRun> {
         let changed = self.departed.iter().filter(|(_, d)| d.changed > cursor);
         changed.map(|(name, d)| DepartedRun { name: name.clone(), last: d.last }).collect()
     }
 
-    /// Takes note of a gateway's sign of life. Returns its standing where it changed.
+    /// Records an announcement of a gateway. Returns the observation if it changed.
     pub fn announce_gateway(
         &mut self,
-        pulse: &GatewayAnnouncement,
+        announcement: &GatewayAnnouncement,
         now: MonotonicTime,
     ) -> Option<GatewayObservation> {
-        if let Some(entry) = self.gateways.get_mut(&pulse.profile.vm) {
-            entry.heard = now;
-            if entry.pulse == *pulse && !entry.is_silent {
+        if let Some(entry) = self.gateways.get_mut(&announcement.profile.vm) {
+            entry.last_heard = now;
+            if entry.announcement == *announcement && !entry.is_silent {
                 return None;
             }
         }
         let changed = self.number_change(None);
         let entry = GatewayEntry {
-            pulse: pulse.clone(),
+            announcement: announcement.clone(),
             offers: Vec::new(),
-            heard: now,
+            last_heard: now,
             is_silent: false,
             changed,
         };
-        let standing = entry.standing();
-        self.gateways.insert(pulse.profile.vm.clone(), entry);
-        Some(standing)
+        let observation = entry.observation();
+        self.gateways.insert(announcement.profile.vm.clone(), entry);
+        Some(observation)
     }
 
-    /// Takes note of what a gateway's region offers. No change in the sense of
-    /// [`last_change`](Self::last_change): offers change all the time, and each reply has them.
-    pub fn note_offers(&mut self, vm: &VmName, offers: Vec<ServiceOffer>) {
+    /// Records the offers of a gateway's region. This does not count for
+    /// [`last_change`](Self::last_change): offers change continuously and are part of each reply.
+    pub fn record_offers(&mut self, vm: &VmName, offers: Vec<ServiceOffer>) {
         if let Some(entry) = self.gateways.get_mut(vm) {
             entry.offers = offers;
         }
     }
 
-    /// What each region offers: the mean over its gateways that are ready, since each of them
-    /// sees the load only in part.
+    /// Returns the offers of each region, averaged over its ready gateways because each of them
+    /// observes only a part of the load.
     pub fn region_offers(&self) -> Vec<RegionOffer> {
-        let mut told: BTreeMap<(&RegionName, &ServiceName), Vec<&ServiceOffer>> = BTreeMap::new();
+        let mut grouped: BTreeMap<(&RegionName, &ServiceName), Vec<&ServiceOffer>> =
+            BTreeMap::new();
         for entry in self.gateways.values().filter(|e| e.is_ready()) {
             for offer in &entry.offers {
-                let key = (&entry.pulse.profile.region, &offer.service);
-                told.entry(key).or_default().push(offer);
+                let key = (&entry.announcement.profile.region, &offer.service);
+                grouped.entry(key).or_default().push(offer);
             }
         }
         let offer = |((region, service), offers): ((&RegionName, &ServiceName), Vec<_>)| {
             let region = region.clone();
             RegionOffer { region, offer: mean_offer(service.clone(), &offers) }
         };
-        told.into_iter().map(offer).collect()
+        grouped.into_iter().map(offer).collect()
     }
 
-    /// Notices who has fallen silent, and forgets who has long been. Returns what changed.
+    /// Marks silent backend servers and gateways, and removes those past their retention. Returns
+    /// the observations that changed.
     pub fn tick(
         &mut self,
         now: MonotonicTime,
     ) -> (Vec<BackendObservation>, Vec<GatewayObservation>) {
         let settings = self.settings;
         let silence = settings.backend_silence;
-        let is_kept = |e: &BackendEntry| !e.is_recalled || now.since(e.heard) < silence;
-        self.backends.retain(|_, e| now.since(e.heard) < MEMORY && is_kept(e));
-        self.departed.retain(|_, d| now.since(d.heard) < MEMORY);
-        self.gateways.retain(|_, e| now.since(e.heard) < MEMORY);
-        (self.silence_backends(now), self.silence_gateways(now))
+        let is_retained = |e: &BackendEntry| !e.is_recalled || now.since(e.last_heard) < silence;
+        self.backends.retain(|_, e| now.since(e.last_heard) < RETENTION && is_retained(e));
+        self.departed.retain(|_, d| now.since(d.last_heard) < RETENTION);
+        self.gateways.retain(|_, e| now.since(e.last_heard) < RETENTION);
+        (self.mark_silent_backends(now), self.mark_silent_gateways(now))
     }
 
-    fn silence_backends(&mut self, now: MonotonicTime) -> Vec<BackendObservation> {
+    fn mark_silent_backends(&mut self, now: MonotonicTime) -> Vec<BackendObservation> {
         let silence = self.settings.backend_silence;
-        let is_due = |e: &BackendEntry| now.since(e.heard) > silence && !e.is_silent;
+        let is_due = |e: &BackendEntry| now.since(e.last_heard) > silence && !e.is_silent;
         let due = self.backends.values().filter(|e| is_due(e)).map(|e| e.record.name.clone());
         let due: Vec<BackendName> = due.collect();
         let mut silent = Vec::new();
@@ -313,14 +320,14 @@
             let Some(entry) = self.backends.get_mut(&name) else { continue };
             entry.is_silent = true;
             entry.changed = changed;
-            silent.push(entry.standing(now));
+            silent.push(entry.observation(now));
         }
         silent
     }
 
-    fn silence_gateways(&mut self, now: MonotonicTime) -> Vec<GatewayObservation> {
+    fn mark_silent_gateways(&mut self, now: MonotonicTime) -> Vec<GatewayObservation> {
         let silence = self.settings.gateway_silence;
-        let is_due = |e: &GatewayEntry| now.since(e.heard) > silence && !e.is_silent;
+        let is_due = |e: &GatewayEntry| now.since(e.last_heard) > silence && !e.is_silent;
         let due = self.gateways.iter().filter(|(_, e)| is_due(e)).map(|(vm, _)| vm.clone());
         let due: Vec<VmName> = due.collect();
         let mut silent = Vec::new();
@@ -329,18 +336,18 @@
             let Some(entry) = self.gateways.get_mut(&vm) else { continue };
             entry.is_silent = true;
             entry.changed = changed;
-            silent.push(entry.standing());
+            silent.push(entry.observation());
         }
         silent
     }
 
-    /// The backend servers that changed after `cursor`.
+    /// Returns the backend servers that changed after `cursor`.
     pub fn backends_after(&self, cursor: u64, now: MonotonicTime) -> Vec<BackendObservation> {
         let changed = self.backends.values().filter(|e| e.changed > cursor);
-        changed.map(|e| e.standing(now)).collect()
+        changed.map(|e| e.observation(now)).collect()
     }
 
-    /// The backend servers of `region` that changed after `cursor`.
+    /// Returns the backend servers of `region` that changed after `cursor`.
     pub(crate) fn region_backends_after(
         &self,
         region: &RegionName,
@@ -348,10 +355,10 @@
         now: MonotonicTime,
     ) -> Vec<BackendObservation> {
         let changed = self.backends.values().filter(|e| e.changed > cursor);
-        changed.filter(|e| e.record.region == *region).map(|e| e.standing(now)).collect()
+        changed.filter(|e| e.record.region == *region).map(|e| e.observation(now)).collect()
     }
 
-    /// The runs whose goodbyes came after `cursor`, of `region` or of an unknown one.
+    /// Returns the departures after `cursor` in `region` or in an unknown region.
     pub(crate) fn region_departed_after(
         &self,
         region: &RegionName,
@@ -362,33 +369,33 @@
         changed.map(|(name, d)| DepartedRun { name: name.clone(), last: d.last }).collect()
     }
 
-    /// All gateways, heard or silent.
+    /// Returns all gateways, live or silent.
     pub(crate) fn gateways(&self) -> impl Iterator<Item = &GatewayEntry> {
         self.gateways.values()
     }
 
-    /// The gateways that are heard, also those that are starting or stopping: they share common
-    /// limits. Counted when they are ready, the first ones after a loss of power everywhere would
-    /// each take the parts of many.
+    /// Returns the number of live gateways, including those that are starting or stopping, because
+    /// they share common limits. If only ready gateways were counted, the first ones after a
+    /// complete restart would each take the shares of many.
     pub fn gateway_total(&self) -> usize {
         self.gateways.values().filter(|e| !e.is_silent).count()
     }
 
-    /// The callers' addresses of the gateways that callers in `region` should use.
+    /// Returns the caller addresses of the gateways that callers in `region` should use.
     ///
-    /// Those of the region that are ready; where it has none, those of other regions that
-    /// `is_home` allows; then those of either that are stopping, as they still serve for a while.
-    /// A region that is no home comes last, and only where every region is one: a caller sends its
-    /// body to whom it is told to connect to.
+    /// These are the ready gateways of the region; if there are none, the ready ones of other
+    /// regions that `is_home` allows; then those of either that are stopping, as they still serve
+    /// for a while. Other regions that `is_home` does not allow are never used, because a caller
+    /// sends its body to the gateway that it is directed to.
     pub fn entry_addresses(
         &self,
         region: &RegionName,
         is_home: impl Fn(&RegionName) -> bool,
     ) -> Vec<SocketAddr> {
-        let is_near = |e: &GatewayEntry| e.pulse.profile.region == *region;
-        let is_allowed = |e: &GatewayEntry| is_home(&e.pulse.profile.region);
+        let is_near = |e: &GatewayEntry| e.announcement.profile.region == *region;
+        let is_allowed = |e: &GatewayEntry| is_home(&e.announcement.profile.region);
         let is_stopping =
-            |e: &GatewayEntry| e.pulse.phase == GatewayPhase::Stopping && !e.is_silent;
+            |e: &GatewayEntry| e.announcement.phase == GatewayPhase::Stopping && !e.is_silent;
         let choices: [&dyn Fn(&GatewayEntry) -> bool; 4] = [
             &|e| e.is_ready() && is_near(e),
             &|e| e.is_ready() && is_allowed(e),
@@ -397,7 +404,7 @@
         ];
         for choice in choices {
             let chosen = self.gateways.values().filter(|e| choice(e));
-            let found: Vec<_> = chosen.map(|e| e.pulse.profile.caller_address).collect();
+            let found: Vec<_> = chosen.map(|e| e.announcement.profile.caller_address).collect();
             if !found.is_empty() {
                 return found;
             }
@@ -405,8 +412,8 @@
         Vec::new()
     }
 
-    /// How many backend servers and gateways are heard.
-    pub fn heard(&self) -> (usize, usize) {
+    /// Returns the numbers of live backend servers and live gateways.
+    pub fn live_counts(&self) -> (usize, usize) {
         let backends = self.backends.values().filter(|e| !e.is_silent).count();
         let gateways = self.gateways.values().filter(|e| !e.is_silent).count();
         (backends, gateways)
@@ -414,14 +421,14 @@
 }
 
 impl BackendEntry {
-    /// Whether an announcement says anything that gateways do not know.
-    fn is_news(&self, record: &BackendRecord, cold_until: MonotonicTime) -> bool {
+    /// Returns whether an announcement contains anything that gateways do not know.
+    fn is_change(&self, record: &BackendRecord, cold_until: MonotonicTime) -> bool {
         let moved = cold_until.since(self.cold_until).max(self.cold_until.since(cold_until));
-        let is_cold_news = !record.cold_for.is_zero() && moved > COLD_SLACK;
+        let is_cold_change = !record.cold_for.is_zero() && moved > COLD_TOLERANCE;
         let known = &self.record;
         self.is_silent
             || self.is_recalled
-            || is_cold_news
+            || is_cold_change
             || known.incarnation != record.incarnation
             || known.state != record.state
             || known.address != record.address
@@ -430,7 +437,7 @@
             || known.slots != record.slots
     }
 
-    fn standing(&self, now: MonotonicTime) -> BackendObservation {
+    fn observation(&self, now: MonotonicTime) -> BackendObservation {
         let mut record = self.record.clone();
         record.cold_for = self.cold_until.since(now);
         BackendObservation { record, is_silent: self.is_silent, is_recalled: self.is_recalled }
@@ -439,19 +446,19 @@
 
 impl GatewayEntry {
     pub(crate) fn is_ready(&self) -> bool {
-        self.pulse.phase == GatewayPhase::Ready && !self.is_silent
+        self.announcement.phase == GatewayPhase::Ready && !self.is_silent
     }
 
-    pub(crate) fn standing(&self) -> GatewayObservation {
+    pub(crate) fn observation(&self) -> GatewayObservation {
         GatewayObservation {
-            profile: self.pulse.profile.clone(),
-            phase: self.pulse.phase,
+            profile: self.announcement.profile.clone(),
+            phase: self.announcement.phase,
             is_silent: self.is_silent,
         }
     }
 }
 
-/// The mean of what some gateways offer of one service.
+/// Averages the offers of several gateways for one service.
 fn mean_offer(service: ServiceName, offers: &[&ServiceOffer]) -> ServiceOffer {
     let priorities = offers.iter().map(|o| o.first_byte_ms.len()).max().unwrap_or_default();
     let mean = |priority: usize| {
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,4 +1,4 @@
-//! A control process's side: its book, and the gateways that follow it.
+//! Fleet server of a control process: its registry, and the calls of the gateways that follow it.
 
 use {
     crate::{
@@ -29,51 +29,52 @@
     },
 };
 
-/// How often what changed is kept on the disk: backend servers come and go by seconds.
+/// Interval between saves of a changed snapshot; backend servers come and go at intervals of
+/// seconds.
 const SAVE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often silences are looked for.
-const TICK: Duration = Duration::from_millis(300);
+/// Interval between checks for silent members.
+const TICK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// News is gathered for this long for each gateway that is told. When a deployment starts,
-/// hundreds of gateways and backend servers are heard within a moment; told one by one, each of
-/// them would cost as many replies as there are gateways.
-const GATHER_PER_GATEWAY: Duration = Duration::from_micros(250);
+/// Batching delay per live gateway. When a deployment starts, hundreds of gateways and backend
+/// servers announce themselves at about the same time; without batching, each of them would cost as
+/// many replies as there are gateways.
+const BATCH_DELAY_PER_GATEWAY: Duration = Duration::from_micros(250);
 
-/// The longest that news is gathered: short against the second in which a departure must be known.
-const MOST_GATHER: Duration = Duration::from_millis(80);
+/// Maximum batching delay, which is short compared with the second within which a departure must be
+/// known.
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(80);
 
-/// What regions offer is worked out anew after this. It is a mean over what gateways tell every
-/// half second.
-const OFFERS_AGE: Duration = Duration::from_millis(100);
+/// Maximum age of the cached offers, which are averages of what gateways send every half second.
+const MAX_OFFERS_AGE: Duration = Duration::from_millis(100);
 
 /// A call that waits for the next change that concerns its gateway.
 struct WaitingCall {
     region: RegionName,
-    /// The last change that its gateway has.
+    /// Last change that its gateway has.
     cursor: u64,
     wake: oneshot::Sender<()>,
 }
 
-/// The fleet as one control process hears it.
+/// Serves one control process's observations of the fleet to gateways.
 pub struct FleetServer {
-    book: RefCell<FleetRegistry>,
+    registry: RefCell<FleetRegistry>,
     /// Calls that wait for the next change.
     waiting: RefCell<Vec<WaitingCall>>,
-    /// What regions offer, and when it was worked out.
+    /// Cached offers of the regions, with the time of their computation.
     offers: RefCell<Option<(Vec<RegionOffer>, MonotonicTime)>>,
-    /// Requests that end backend servers, as all gateways tell.
+    /// Requests that crash backend servers, as reported by all gateways.
     crashes: Rc<SharedCrashTracker>,
     source: Rc<dyn TrafficSource>,
     context: ProcessContext,
     events: Rc<dyn EventSink>,
     run: u64,
-    /// Whether backend servers changed since what is known of them was last kept.
+    /// Whether backend servers or crashes changed since the last save.
     is_unsaved: Cell<bool>,
 }
 
 impl FleetServer {
-    /// The fleet of a process that has heard nobody yet.
+    /// Creates a server with an empty registry.
     pub fn new(
         settings: FleetSettings,
         source: Rc<dyn TrafficSource>,
@@ -83,7 +84,7 @@
     ) -> Rc<Self> {
         let run = context.random.next_u64() | 1;
         Rc::new(Self {
-            book: RefCell::new(FleetRegistry::new(settings, context.clock.now())),
+            registry: RefCell::new(FleetRegistry::new(settings, context.clock.now())),
             waiting: RefCell::default(),
             offers: RefCell::default(),
             crashes,
@@ -95,27 +96,28 @@
         })
     }
 
-    /// Serves gateways, and looks for silences, for as long as the process runs.
+    /// Serves gateways and checks for silent members for the rest of the process's lifetime.
     pub fn start(self: &Rc<Self>, handlers: &HandlerTable) {
         handlers.register(FLEET_PREFIX, Rc::new(SyncHandler(Rc::clone(self))));
         let server = Rc::clone(self);
         self.context.spawner.spawn(Box::pin(async move {
             loop {
-                server.context.clock.sleep(TICK).await;
+                server.context.clock.sleep(TICK_INTERVAL).await;
                 server.tick();
             }
         }));
     }
 
-    /// Takes in what the run before kept in `folder`, and keeps there what this one hears.
-    pub async fn remember(self: &Rc<Self>, folder: Rc<dyn DataFolder>) {
+    /// Restores the snapshot that the previous run saved in `folder`, and saves the changes of this
+    /// run there.
+    pub async fn restore_and_persist(self: &Rc<Self>, folder: Rc<dyn DataFolder>) {
         match FleetSnapshot::load(&*folder).await {
-            Ok(memory) => {
+            Ok(snapshot) => {
                 let event = EventDraft::new("fleet.recalled");
-                let event = event.field("backends", memory.backends.len());
-                self.events.emit(event.field("departed", memory.departed.len()));
-                self.crashes.merge(memory.crashes.clone());
-                self.book.borrow_mut().restore(memory, self.context.clock.now());
+                let event = event.field("backends", snapshot.backends.len());
+                self.events.emit(event.field("departed", snapshot.departed.len()));
+                self.crashes.merge(snapshot.crashes.clone());
+                self.registry.borrow_mut().restore(snapshot, self.context.clock.now());
             }
             Err(error) => {
                 let event = EventDraft::new("fleet.not_recalled").level(Level::Warn);
@@ -135,65 +137,65 @@
         if !self.is_unsaved.replace(false) {
             return;
         }
-        let mut memory = self.book.borrow().snapshot(self.context.clock.now());
-        memory.crashes = self.crashes.updates_after(0, UpdateScope::Suspects);
-        if let Err(error) = memory.save(folder).await {
-            // It is a hint: the next change writes it again.
+        let mut snapshot = self.registry.borrow().snapshot(self.context.clock.now());
+        snapshot.crashes = self.crashes.updates_after(0, UpdateScope::Suspects);
+        if let Err(error) = snapshot.save(folder).await {
+            // The snapshot is only a hint: the next change writes it again.
             let event = EventDraft::new("fleet.unsaved").level(Level::Warn);
             self.events.emit(event.error("reason", &error));
         }
     }
 
-    /// Takes note of an announcement.
+    /// Records an announcement of a backend server.
     pub fn announce(&self, record: BackendRecord) {
-        let change = self.book.borrow_mut().announce(record, self.context.clock.now());
-        if let Some(standing) = change {
-            self.events.emit(backend_event("backend.announced", &standing));
+        let change = self.registry.borrow_mut().announce(record, self.context.clock.now());
+        if let Some(observation) = change {
+            self.events.emit(backend_event("backend.announced", &observation));
             self.is_unsaved.set(true);
             self.wake();
         }
     }
 
-    /// Takes note of a goodbye.
+    /// Records the departure of a backend server.
     pub fn leave(&self, name: &BackendName) {
         let clock = &self.context.clock;
-        let is_news = self.book.borrow_mut().leave(name, clock.wall(), clock.now());
-        if is_news {
+        let is_new = self.registry.borrow_mut().leave(name, clock.wall(), clock.now());
+        if is_new {
             self.events.emit(EventDraft::new("backend.left").field("backend", name));
             self.is_unsaved.set(true);
             self.wake();
         }
     }
 
-    /// The callers' addresses of the gateways that callers in `region` should use; `None` while
-    /// this process may not have heard all of them.
+    /// Returns the caller addresses of the gateways that callers in `region` should use; `None`
+    /// while this process may not have observed all gateways.
     pub(crate) fn entry_addresses(
         &self,
         region: &RegionName,
         is_home: impl Fn(&RegionName) -> bool,
     ) -> Option<Vec<SocketAddr>> {
-        let book = self.book.borrow();
-        let has_heard = book.has_heard_gateways(self.context.clock.now());
-        has_heard.then(|| book.entry_addresses(region, is_home))
+        let registry = self.registry.borrow();
+        let is_complete = registry.has_complete_gateways(self.context.clock.now());
+        is_complete.then(|| registry.entry_addresses(region, is_home))
     }
 
-    /// The configuration that this process follows.
+    /// Returns the source of the traffic configuration.
     pub(crate) fn source(&self) -> &dyn TrafficSource {
         &*self.source
     }
 
-    /// How many backend servers and gateways are heard.
-    pub fn heard(&self) -> (usize, usize) {
-        self.book.borrow().heard()
+    /// Returns the numbers of live backend servers and live gateways.
+    pub fn live_counts(&self) -> (usize, usize) {
+        self.registry.borrow().live_counts()
     }
 
     fn tick(&self) {
-        let (backends, gateways) = self.book.borrow_mut().tick(self.context.clock.now());
-        for standing in &backends {
-            self.events.emit(backend_event("backend.silent", standing).level(Level::Warn));
+        let (backends, gateways) = self.registry.borrow_mut().tick(self.context.clock.now());
+        for observation in &backends {
+            self.events.emit(backend_event("backend.silent", observation).level(Level::Warn));
         }
-        for standing in &gateways {
-            self.events.emit(gateway_event("gateway.silent", standing).level(Level::Warn));
+        for observation in &gateways {
+            self.events.emit(gateway_event("gateway.silent", observation).level(Level::Warn));
         }
         if !backends.is_empty() {
             self.is_unsaved.set(true);
@@ -205,12 +207,12 @@
 
     /// Wakes the calls that a change concerns.
     fn wake(&self) {
-        let book = self.book.borrow();
+        let registry = self.registry.borrow();
         let is_concerned =
-            |call: &mut WaitingCall| book.last_change_for(&call.region) > call.cursor;
+            |call: &mut WaitingCall| registry.last_change_for(&call.region) > call.cursor;
         let woken: Vec<_> = self.waiting.borrow_mut().extract_if(.., is_concerned).collect();
         for call in woken {
-            // Whoever waited may be gone, which takes nothing from the others.
+            // A waiting call may have been dropped, which does not affect the others.
             let _: Result<(), ()> = call.wake.send(());
         }
     }
@@ -218,63 +220,63 @@
     async fn sync(&self, request: SyncRequest) -> SyncReply {
         let arrived = self.context.clock.boot();
         let change =
-            self.book.borrow_mut().announce_gateway(&request.pulse, self.context.clock.now());
-        if let Some(standing) = change {
-            self.events.emit(gateway_event("gateway.heard", &standing));
+            self.registry.borrow_mut().announce_gateway(&request.pulse, self.context.clock.now());
+        if let Some(observation) = change {
+            self.events.emit(gateway_event("gateway.heard", &observation));
             self.wake();
         }
         let vm = &request.pulse.profile.vm;
-        self.book.borrow_mut().note_offers(vm, request.offers.clone());
+        self.registry.borrow_mut().record_offers(vm, request.offers.clone());
         if self.crashes.merge(request.crashes.clone()) {
             self.is_unsaved.set(true);
         }
         if request.run == self.run {
-            self.wait_for_news(&request).await;
+            self.wait_for_updates(&request).await;
         }
         self.reply(&request, arrived)
     }
 
-    async fn wait_for_news(&self, request: &SyncRequest) {
+    async fn wait_for_updates(&self, request: &SyncRequest) {
         let (wake, woken) = oneshot::channel();
         {
-            let book = self.book.borrow();
+            let registry = self.registry.borrow();
             let region = request.pulse.profile.region.clone();
-            let has_news = book.last_change_for(&region) > request.cursor;
+            let has_updates = registry.last_change_for(&region) > request.cursor;
             let mut waiting = self.waiting.borrow_mut();
             waiting.retain(|other| !other.wake.is_canceled());
-            if !has_news {
+            if !has_updates {
                 waiting.push(WaitingCall { region, cursor: request.cursor, wake });
             }
-            // Where there is news already the dropped sender wakes the call at once.
+            // If there are updates already, the dropped sender wakes the call at once.
         }
-        let hold = self.book.borrow().settings().sync_hold;
+        let hold = self.registry.borrow().settings().sync_hold;
         let changed = self.source.changed(request.traffic_index);
-        let news = async {
+        let update = async {
             if let Either::Left((_, changed)) = select(pin!(woken), pin!(changed)).await {
-                let gather = pin!(self.context.clock.sleep(self.gather()));
-                select(gather, changed).await;
+                let batch_delay = pin!(self.context.clock.sleep(self.batch_delay()));
+                select(batch_delay, changed).await;
             }
         };
-        let _: Option<()> = timeout(&*self.context.clock, hold, news).await;
+        let _: Option<()> = timeout(&*self.context.clock, hold, update).await;
     }
 
-    /// How long news is gathered before it is told.
-    fn gather(&self) -> Duration {
-        let (_, gateways) = self.heard();
+    /// Returns the batching delay for the current number of gateways.
+    fn batch_delay(&self) -> Duration {
+        let (_, gateways) = self.live_counts();
         let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
-        GATHER_PER_GATEWAY.saturating_mul(gateways).min(MOST_GATHER)
+        BATCH_DELAY_PER_GATEWAY.saturating_mul(gateways).min(MAX_BATCH_DELAY)
     }
 
     fn region_offers(&self) -> Vec<RegionOffer> {
         let now = self.context.clock.now();
-        let mut held = self.offers.borrow_mut();
-        if let Some((offers, at)) = &*held
-            && now.since(*at) < OFFERS_AGE
+        let mut cached = self.offers.borrow_mut();
+        if let Some((offers, at)) = &*cached
+            && now.since(*at) < MAX_OFFERS_AGE
         {
             return offers.clone();
         }
-        let offers = self.book.borrow().region_offers();
-        *held = Some((offers.clone(), now));
+        let offers = self.registry.borrow().region_offers();
+        *cached = Some((offers.clone(), now));
         offers
     }
 
@@ -282,18 +284,18 @@
         let is_known = request.run == self.run;
         let cursor = if is_known { request.cursor } else { 0 };
         let crash_cursor = if is_known { request.crash_cursor } else { 0 };
-        let book = self.book.borrow();
+        let registry = self.registry.borrow();
         let profile = &request.pulse.profile;
-        let audience = UpdateFilter { vm: &profile.vm, region: &profile.region };
+        let filter = UpdateFilter { vm: &profile.vm, region: &profile.region };
         let FleetUpdate { backends, departed, gateways } =
-            audience.updates(&book, cursor, self.context.clock.now());
+            filter.updates(&registry, cursor, self.context.clock.now());
         SyncReply {
             run: self.run,
-            cursor: book.last_change(),
+            cursor: registry.last_change(),
             backends,
             departed,
             gateways,
-            gateway_total: u32::try_from(book.gateway_total()).unwrap_or(u32::MAX),
+            gateway_total: u32::try_from(registry.gateway_total()).unwrap_or(u32::MAX),
             crashes: self.crashes.updates_after(crash_cursor, UpdateScope::Suspects),
             regions: self.region_offers(),
             traffic: self.source.newer(request.traffic_index, request.version),
@@ -304,8 +306,8 @@
     }
 }
 
-fn backend_event(kind: &'static str, standing: &BackendObservation) -> EventDraft {
-    let record = &standing.record;
+fn backend_event(kind: &'static str, observation: &BackendObservation) -> EventDraft {
+    let record = &observation.record;
     EventDraft::new(kind)
         .field("backend", &record.name)
         .field("service", &record.service)
@@ -317,14 +319,14 @@
         .millis("cold_ms", record.cold_for)
 }
 
-fn gateway_event(kind: &'static str, standing: &GatewayObservation) -> EventDraft {
+fn gateway_event(kind: &'static str, observation: &GatewayObservation) -> EventDraft {
     EventDraft::new(kind)
-        .field("gateway", &standing.profile.vm)
-        .field("run", standing.profile.run)
-        .field("phase", standing.phase)
+        .field("gateway", &observation.profile.vm)
+        .field("run", observation.profile.run)
+        .field("phase", observation.phase)
 }
 
-/// Serves the methods "fleet.*".
+/// Handler of the methods "fleet.*".
 struct SyncHandler(Rc<FleetServer>);
 
 impl PeerHandler for SyncHandler {
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,14 +1,15 @@
-//! What a control process heard of backend servers and of requests that end them, kept on its disk
-//! for its next run.
+//! Snapshot of the backend servers and crashes that a control process observed, persisted for its
+//! next run.
 //!
-//! The load pattern: all control processes are restarted at once, after a loss of power, and with
-//! them all gateways. Backend servers run on and announce themselves every second or so, each to
-//! one control process. Until then gateways knew some of them and gave these everything that came;
-//! the rest stood idle, and shared parts of prompts were read again where they were not held.
+//! Failure scenario: all control processes and gateways restart at once, after a loss of power.
+//! Backend servers keep running and announce themselves every second or so, each to one control
+//! process. Until then, gateways would know only some of them and send those all requests, while
+//! the others stay idle and shared prompt prefixes are prefilled again on servers that do not cache
+//! them.
 //!
-//! It is a hint and no more: the file is written behind the changes, and what it names may be gone.
-//! A gateway takes it only for backend servers of which nobody has told it anything, and for no
-//! longer than a silence lasts; each request says which run it is for.
+//! The snapshot is only a hint: it is written after the changes, and its members may be gone. A
+//! gateway uses it only for backend servers that no control process has reported otherwise, and for
+//! no longer than the silence timeout; each request names the run that it is meant for.
 
 use {
     crate::{BackendRecord, DepartedRun},
@@ -19,60 +20,61 @@
     snafu::Snafu,
 };
 
-/// The file in the data folder.
+/// Name of the file in the data folder.
 const FILE_NAME: &str = "fleet";
 
-/// The format of the file. Another version's is not read: it is only a hint.
-const FORMAT: u32 = 2;
+/// Format version of the file. Files of other versions are ignored, because the content is only a
+/// hint.
+const FORMAT_VERSION: u32 = 2;
 
-/// Why the file is of no use.
+/// Reading or writing the snapshot failed.
 #[derive(Debug, Snafu)]
-pub(crate) enum MemoryError {
+pub(crate) enum SnapshotError {
     /// The disk failed.
     #[snafu(display("{source}"), context(false))]
     Disk {
-        /// How.
+        /// The disk error.
         source: DiskError,
     },
-    /// It does not decode.
+    /// The file cannot be decoded.
     #[snafu(display(
         "{FILE_NAME} in the data folder does not decode ({source}); it is replaced with the next \
          announcement"
     ))]
     Unreadable {
-        /// The decoder's words.
+        /// The decoder error.
         source: CodecError,
     },
 }
 
-/// What is kept.
+/// Content of the snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSnapshot {
-    /// The backend servers, with how much longer they were cold.
+    /// The backend servers, with their remaining cold time.
     pub backends: Vec<BackendRecord>,
-    /// The goodbyes.
+    /// Departures of backend servers.
     pub departed: Vec<DepartedRun>,
-    /// Requests under which two or more backend servers ended. After a loss of power everywhere
-    /// nobody else knows of them, and each would end three more before it is held back again.
+    /// Requests with two or more crashes. After a complete restart no other process knows them, and
+    /// each would crash three more backend servers before it is held again.
     pub crashes: CrashUpdate,
 }
 
 impl FleetSnapshot {
-    /// Replaces the file.
-    pub(crate) async fn save(&self, folder: &dyn DataFolder) -> Result<(), MemoryError> {
-        let bytes = encode(&(FORMAT, self));
+    /// Writes the snapshot, replacing the file.
+    pub(crate) async fn save(&self, folder: &dyn DataFolder) -> Result<(), SnapshotError> {
+        let bytes = encode(&(FORMAT_VERSION, self));
         Ok(write_atomic(folder, FILE_NAME, vec![bytes]).await?)
     }
 
-    /// What the file holds; nothing where there is none, or one of another format.
-    pub(crate) async fn load(folder: &dyn DataFolder) -> Result<Self, MemoryError> {
+    /// Reads the snapshot; empty if there is no file, or one of another format version.
+    pub(crate) async fn load(folder: &dyn DataFolder) -> Result<Self, SnapshotError> {
         let files = folder.list().await?;
         let Some(stat) = files.iter().find(|file| file.name == FILE_NAME) else {
             return Ok(Self::default());
         };
         let bytes = read_checked(folder, stat).await?;
-        let unreadable = |source| MemoryError::Unreadable { source };
-        let (format, memory) = decode::<(u32, Self)>(&bytes).map_err(unreadable)?;
-        Ok(if format == FORMAT { memory } else { Self::default() })
+        let unreadable = |source| SnapshotError::Unreadable { source };
+        let (format, snapshot) = decode::<(u32, Self)>(&bytes).map_err(unreadable)?;
+        Ok(if format == FORMAT_VERSION { snapshot } else { Self::default() })
     }
 }
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -1,4 +1,4 @@
-//! Where a control process takes the traffic configuration from.
+//! Source of the traffic configuration of a control process.
 
 use {
     crate::TrafficSnapshot,
@@ -7,19 +7,19 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The replicated log, as far as the fleet needs it.
+/// The parts of the replicated log that the fleet needs.
 pub trait TrafficSource {
-    /// The configuration, where it is newer than `index`; without its text for a gateway that
-    /// holds `version`.
+    /// Returns the configuration if it is newer than `index`; without its text if the gateway
+    /// already has `version`.
     fn newer(&self, index: u64, version: Option<u64>) -> Option<TrafficSnapshot>;
 
-    /// Completes once the configuration is newer than `index`.
+    /// Completes when the configuration is newer than `index`.
     fn changed<'a>(&'a self, index: u64) -> LocalFuture<'a, ()>;
 
-    /// How long ago the state here was known to be everything that had been accepted.
+    /// Returns the time since the local state was known to include every accepted change.
     fn confirmed_ago(&self) -> Option<Duration>;
 
-    /// Peer addresses of the control processes.
+    /// Returns the peer addresses of the control processes.
     fn controls(&self) -> Vec<SocketAddr>;
 }
 
--- a/crates/fleet/src/update_filter.rs
+++ b/crates/fleet/src/update_filter.rs
@@ -1,10 +1,10 @@
-//! What of a book a gateway is told.
+//! Selects the changes of a registry that concern one gateway.
 //!
-//! The load pattern: hundreds of gateways follow every control process, and everything changes at
-//! once when a deployment starts or comes back after a loss of power. Told of everything, each
-//! gateway merges the backend servers and gateways of all regions, at a cost that grows with the
-//! square of the VMs. It places work in its own region only, and hands work to a few gateways of
-//! each other region, so that is what it is told of.
+//! Load scenario: hundreds of gateways follow every control process, and everything changes at once
+//! when a deployment starts or recovers from a loss of power. If each gateway merged the backend
+//! servers and gateways of all regions, the cost would grow with the square of the number of VMs. A
+//! gateway places work only in its own region and forwards work to a few gateways of each other
+//! region, so it is sent only those.
 
 use {
     crate::{BackendObservation, DepartedRun, FleetRegistry, GatewayObservation},
@@ -12,71 +12,77 @@
     std::{cmp::Reverse, collections::BTreeMap},
 };
 
-/// The ready gateways of each other region that a gateway is told of. It hands work to three of
-/// them; the others take their place when they stop or fall silent.
-const AWAY_GATEWAYS: usize = 8;
+/// Number of ready gateways of each other region that are sent to a gateway. It forwards work to
+/// three of them; the others replace those that stop or become silent.
+const REMOTE_GATEWAYS: usize = 8;
 
-/// A gateway that follows a control process.
+/// Selects the changes for one gateway that follows a control process.
 #[derive(Clone, Copy, Debug)]
 pub struct UpdateFilter<'a> {
-    /// Its VM.
+    /// VM of the gateway.
     pub vm: &'a VmName,
-    /// Its region.
+    /// Region of the gateway.
     pub region: &'a RegionName,
 }
 
-/// What changed in a book, as far as it concerns one gateway.
+/// Changes of a registry that concern one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetUpdate {
     /// Backend servers of its region.
     pub backends: Vec<BackendObservation>,
-    /// Runs that said goodbye, of its region or of an unknown one.
+    /// Departures in its region or in an unknown region.
     pub departed: Vec<DepartedRun>,
-    /// Gateways of its region, and some of the others.
+    /// Gateways of its region, and some of the other regions.
     pub gateways: Vec<GatewayObservation>,
 }
 
 impl UpdateFilter<'_> {
-    /// What changed in `book` after `cursor`.
-    pub fn updates(&self, book: &FleetRegistry, cursor: u64, now: MonotonicTime) -> FleetUpdate {
+    /// Returns the changes of `registry` after `cursor`.
+    pub fn updates(
+        &self,
+        registry: &FleetRegistry,
+        cursor: u64,
+        now: MonotonicTime,
+    ) -> FleetUpdate {
         FleetUpdate {
-            backends: book.region_backends_after(self.region, cursor, now),
-            departed: book.region_departed_after(self.region, cursor),
-            gateways: self.gateways(book, cursor),
+            backends: registry.region_backends_after(self.region, cursor, now),
+            departed: registry.region_departed_after(self.region, cursor),
+            gateways: self.gateways(registry, cursor),
         }
     }
 
-    fn gateways(&self, book: &FleetRegistry, cursor: u64) -> Vec<GatewayObservation> {
-        let mut told = Vec::new();
-        let mut away: BTreeMap<&RegionName, (bool, Vec<_>)> = BTreeMap::new();
-        for entry in book.gateways() {
-            let is_news = entry.changed > cursor;
-            let region = &entry.pulse.profile.region;
+    fn gateways(&self, registry: &FleetRegistry, cursor: u64) -> Vec<GatewayObservation> {
+        let mut selected = Vec::new();
+        let mut remote: BTreeMap<&RegionName, (bool, Vec<_>)> = BTreeMap::new();
+        for entry in registry.gateways() {
+            let is_changed = entry.changed > cursor;
+            let region = &entry.announcement.profile.region;
             if region == self.region {
-                told.extend(is_news.then(|| entry.standing()));
+                selected.extend(is_changed.then(|| entry.observation()));
                 continue;
             }
-            let (has_news, entries) = away.entry(region).or_default();
-            *has_news |= is_news;
+            let (has_changes, entries) = remote.entry(region).or_default();
+            *has_changes |= is_changed;
             entries.push(entry);
         }
-        for (has_news, mut entries) in away.into_values() {
-            if !has_news {
+        for (has_changes, mut entries) in remote.into_values() {
+            if !has_changes {
                 continue;
             }
             entries.sort_by_cached_key(|entry| {
-                Reverse(score(self.vm.as_str(), entry.pulse.profile.vm.as_str()))
+                Reverse(score(self.vm.as_str(), entry.announcement.profile.vm.as_str()))
             });
-            // Those that are not ready any more are told too: the gateway may still count on them.
+            // Gateways that are no longer ready are included, because the receiver may still rely
+            // on them.
             let mut ready = 0;
             for entry in entries {
                 ready += usize::from(entry.is_ready());
-                told.push(entry.standing());
-                if ready == AWAY_GATEWAYS {
+                selected.push(entry.observation());
+                if ready == REMOTE_GATEWAYS {
                     break;
                 }
             }
         }
-        told
+        selected
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes, merged from all control processes that it follows.
+//! A gateway's view of the fleet, merged from all control processes that it follows.
 
 use {
     crate::{
@@ -20,137 +20,137 @@
     },
 };
 
-/// A backend server or gateway that no control process hears is believed to be there for this
-/// long more. After a restart of all control processes each of them knows nobody, and backend
-/// servers take a few intervals to announce themselves again.
-const BELIEF: Duration = Duration::from_secs(8);
+/// Time for which a member that no control process observes is still considered live. After a
+/// restart of all control processes none of them knows any members, and backend servers take a few
+/// intervals to announce themselves again.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// One that a control process only recalls from its run before is believed to be there for this
-/// long: it announces itself every interval, and that is late by a second at times.
-const RECALLED_BELIEF: Duration = Duration::from_secs(3);
+/// Time for which a member is considered live that a control process only restored from its
+/// snapshot. A live one announces itself every interval, with up to a second of delay.
+const RESTORED_LIVENESS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a departure, or a member nobody speaks of, is remembered; as long as the control
-/// processes remember it.
-const MEMORY: Duration = Duration::from_secs(120);
+/// Retention of departures and of members that no control process observes, equal to that of the
+/// control processes.
+const RETENTION: Duration = Duration::from_secs(120);
 
-/// A configuration counts as the newest where a control process had it confirmed this lately.
-/// Leaders confirm with every heartbeat, so this bears a few lost ones.
-const CONFIRMATION: Duration = Duration::from_secs(2);
+/// Maximum age of a confirmation for the configuration to count as the newest. Leaders confirm with
+/// every heartbeat, so this tolerates a few lost ones.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(2);
 
-/// The traffic configuration in force at this gateway.
+/// The traffic configuration in use at this gateway.
 #[derive(Clone)]
 pub struct ActiveTraffic {
     /// The configuration.
     pub config: Rc<TrafficConfig>,
     /// Its text.
     pub text: Bytes,
-    /// The failure domains that are evacuated.
+    /// Failure domains that are evacuated.
     pub evacuated: Rc<BTreeSet<FailureDomain>>,
-    /// The index of its last change in the log; never goes down in one run of the process.
+    /// Log index of its last change; never decreases in one run of the process.
     pub index: u64,
-    /// When that change was learned.
+    /// Time when that change was received.
     pub since: MonotonicTime,
 }
 
-/// A backend server as this gateway believes it to be.
+/// A backend server as seen by this gateway.
 #[derive(Clone, Debug)]
 pub struct BackendRow {
-    /// What it said last.
+    /// Its last announced state.
     pub record: BackendRecord,
-    /// When it stops being cold.
+    /// Time when it stops being cold.
     pub cold_until: MonotonicTime,
-    /// Whether no control process hears it.
+    /// Whether no control process observes it.
     pub is_silent: bool,
-    /// When this gateway learned of what it said last.
-    pub learned: MonotonicTime,
+    /// Time when this gateway received its last announced state.
+    pub received: MonotonicTime,
 }
 
-/// Another gateway, or this one, as this gateway believes it to be.
+/// A gateway, possibly this one, as seen by this gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayRow {
-    /// What it is.
+    /// Its profile.
     pub profile: GatewayProfile,
-    /// What it said last.
+    /// Its last announced phase.
     pub phase: GatewayPhase,
-    /// Whether no control process hears it.
+    /// Whether no control process observes it.
     pub is_silent: bool,
 }
 
-/// One member, and which control processes hear it.
-struct Believed<T> {
+/// A member, with the control processes that observe it.
+struct Observed<T> {
     last: T,
-    learned: MonotonicTime,
-    /// When a control process was last known to hear it.
-    heard: MonotonicTime,
-    /// By control process: whether that one calls it silent.
-    voices: BTreeMap<SocketAddr, bool>,
+    received: MonotonicTime,
+    /// Last time that a control process was known to observe it.
+    last_heard: MonotonicTime,
+    /// For each control process that reported on it: whether it is silent there.
+    reporters: BTreeMap<SocketAddr, bool>,
 }
 
-impl<T> Believed<T> {
+impl<T> Observed<T> {
     fn new(last: T, now: MonotonicTime) -> Self {
-        Self { last, learned: now, heard: now, voices: BTreeMap::new() }
+        Self { last, received: now, last_heard: now, reporters: BTreeMap::new() }
     }
 
-    fn is_heard(&self) -> bool {
-        self.voices.values().any(|is_silent| !is_silent)
+    fn is_observed(&self) -> bool {
+        self.reporters.values().any(|is_silent| !is_silent)
     }
 
     fn is_silent(&self, now: MonotonicTime) -> bool {
-        if self.is_heard() {
+        if self.is_observed() {
             return false;
         }
-        // Where the control processes that know it agree that it is silent, it is. Where none of
-        // them speaks of it, they may just have been restarted.
-        !self.voices.is_empty() || now.since(self.heard) > BELIEF
+        // The member is silent if all control processes that know it agree. If none of them reports
+        // on it, they may just have been restarted.
+        !self.reporters.is_empty() || now.since(self.last_heard) > LIVENESS_TIMEOUT
     }
 
-    fn note_voice(&mut self, control: SocketAddr, is_silent: bool, now: MonotonicTime) {
-        self.voices.insert(control, is_silent);
+    fn record_report(&mut self, control: SocketAddr, is_silent: bool, now: MonotonicTime) {
+        self.reporters.insert(control, is_silent);
         if !is_silent {
-            self.heard = now;
+            self.last_heard = now;
         }
     }
 
-    fn drop_voice(&mut self, control: SocketAddr, now: MonotonicTime) {
-        if self.voices.remove(&control) == Some(false) {
-            self.heard = now;
+    fn remove_reporter(&mut self, control: SocketAddr, now: MonotonicTime) {
+        if self.reporters.remove(&control) == Some(false) {
+            self.last_heard = now;
         }
     }
 }
 
-/// What changed with a reply, for whoever acts on it and for the log.
+/// Changes made by a reply, for watchers and for the log.
 #[derive(Debug, Default)]
 pub struct ViewChange {
-    /// A configuration or evacuation came into force.
+    /// Whether a configuration or evacuation took effect.
     pub traffic: bool,
-    /// Backend servers that are new, or said something new.
+    /// Backend servers that are new or announced a change.
     pub backends: Vec<BackendName>,
-    /// Backend servers that are gone.
+    /// Backend servers that departed.
     pub departed: Vec<BackendName>,
-    /// Gateways that are new, or said something new.
+    /// Gateways that are new or announced a change.
     pub gateways: Vec<VmName>,
-    /// Whether anything may have changed beside what regions offer.
+    /// Whether anything but the regions' offers can have changed.
     pub is_structural: bool,
 }
 
-/// The view of one gateway.
+/// Merged view of one gateway.
 pub struct FleetView {
     format: Rc<dyn TrafficFormat>,
     traffic: Option<ActiveTraffic>,
-    /// A time at which the configuration in force is known to have been the newest.
+    /// Latest time when the active configuration was known to be the newest.
     confirmed: Option<BootTime>,
-    backends: BTreeMap<BackendName, Believed<BackendRow>>,
-    /// The latest run of each name that said goodbye, and when this gateway learned of it.
+    backends: BTreeMap<BackendName, Observed<BackendRow>>,
+    /// Latest departed run of each name, and the time when this gateway received the departure.
     departed: BTreeMap<BackendName, (Incarnation, MonotonicTime)>,
-    gateways: BTreeMap<VmName, Believed<GatewayRow>>,
+    gateways: BTreeMap<VmName, Observed<GatewayRow>>,
     controls: BTreeSet<SocketAddr>,
-    /// How many gateways of all regions are heard, by control process.
+    /// Number of live gateways in all regions, per control process.
     gateway_totals: BTreeMap<SocketAddr, u32>,
     regions: Vec<RegionOffer>,
 }
 
 impl FleetView {
-    /// The view of a gateway that has heard nothing yet.
+    /// Creates an empty view.
     pub fn new(format: Rc<dyn TrafficFormat>) -> Self {
         Self {
             format,
@@ -165,27 +165,27 @@
         }
     }
 
-    /// The configuration in force; `None` before the first.
+    /// Returns the active configuration; `None` before the first.
     pub fn traffic(&self) -> Option<&ActiveTraffic> {
         self.traffic.as_ref()
     }
 
-    /// The latest time at which the configuration in force is known to have been the newest.
+    /// Returns the latest time when the active configuration was known to be the newest.
     pub fn confirmed(&self) -> Option<BootTime> {
         self.confirmed
     }
 
-    /// The control processes, as one of them named them last.
+    /// Returns the control processes, as last reported by one of them.
     pub fn controls(&self) -> &BTreeSet<SocketAddr> {
         &self.controls
     }
 
-    /// What all regions offer, as a control process said last.
+    /// Returns the offers of all regions, as last reported by a control process.
     pub fn regions(&self) -> &[RegionOffer] {
         &self.regions
     }
 
-    /// All backend servers believed to be there.
+    /// Returns all backend servers that have not departed.
     pub fn backends(&self, now: MonotonicTime) -> impl Iterator<Item = BackendRow> {
         self.backends.values().map(move |b| {
             let mut row = b.last.clone();
@@ -194,13 +194,13 @@
         })
     }
 
-    /// How many gateways of all regions are heard, by the control process that hears most of
-    /// them: one that was just restarted has heard few.
+    /// Returns the number of live gateways in all regions: the maximum over the control processes,
+    /// because one that just restarted has observed few.
     pub fn gateway_total(&self) -> usize {
         self.gateway_totals.values().max().map_or(0, |total| *total as usize)
     }
 
-    /// The gateways known: those of the own region, and some of each other one.
+    /// Returns the known gateways: those of the local region, and some of each other region.
     pub fn gateways(&self, now: MonotonicTime) -> impl Iterator<Item = GatewayRow> {
         self.gateways.values().map(move |g| {
             let mut row = g.last.clone();
@@ -209,33 +209,33 @@
         })
     }
 
-    /// The gateways of `region` that take callers.
+    /// Returns the gateways of `region` that accept callers.
     pub fn ready_gateways(&self, region: &RegionName, now: MonotonicTime) -> Vec<GatewayRow> {
         let is_ready = |g: &GatewayRow| g.phase == GatewayPhase::Ready && !g.is_silent;
         self.gateways(now).filter(|g| is_ready(g) && g.profile.region == *region).collect()
     }
 
-    /// Up to `most` other ready gateways of the region of `own`: in a large region the first by a
-    /// hash, which stay the same ones as long as they are ready. Who is told that a request was sent
-    /// has to be told of its first byte, too.
+    /// Returns up to `limit` other ready gateways of the region of `own`. In a large region they
+    /// are selected by rendezvous hashing, so the selection is stable while they are ready: a
+    /// gateway that is notified of a sent request must also be notified of its first byte.
     pub fn neighbours(
         &self,
         own: &GatewayProfile,
-        most: usize,
+        limit: usize,
         now: MonotonicTime,
     ) -> Vec<SocketAddr> {
         let mut rows = self.ready_gateways(&own.region, now);
         rows.retain(|row| row.profile.vm != own.vm);
-        if rows.len() > most {
+        if rows.len() > limit {
             let by_hash = |row: &GatewayRow| score(own.vm.as_str(), row.profile.vm.as_str());
             rows.sort_by_cached_key(|row| Reverse(by_hash(row)));
-            rows.truncate(most);
+            rows.truncate(limit);
         }
         rows.into_iter().map(|row| row.profile.peer_address).collect()
     }
 
-    /// The gateways of `region` that take work from other gateways: those that take callers, or
-    /// where there are none, those that are stopping, as they still serve for a while.
+    /// Returns the gateways of `region` that take work from other gateways: the ready ones, or if
+    /// there are none, those that are stopping, as they still serve for a while.
     pub fn serving_gateways(&self, region: &RegionName, now: MonotonicTime) -> Vec<GatewayRow> {
         let ready = self.ready_gateways(region, now);
         if !ready.is_empty() {
@@ -245,82 +245,85 @@
         self.gateways(now).filter(|g| is_stopping(g) && g.profile.region == *region).collect()
     }
 
-    /// Takes in what `control` says. `whole`: it is all that this control process knows, and what
-    /// it said before no longer counts. `asked`: when the call that it answers was sent.
+    /// Merges a reply of `control`. If `is_complete`, it contains everything that this control
+    /// process knows and replaces its earlier replies. `asked` is the send time of the call.
     pub fn merge(
         &mut self,
         control: SocketAddr,
-        whole: bool,
+        is_complete: bool,
         reply: SyncReply,
         asked: BootTime,
         now: MonotonicTime,
     ) -> Result<ViewChange, TrafficError> {
-        if whole {
+        if is_complete {
             self.remove_control(control, now);
         }
         let has_rows =
             !(reply.departed.is_empty() && reply.backends.is_empty() && reply.gateways.is_empty());
         let is_structural =
-            whole || has_rows || reply.traffic.is_some() || self.confirmed.is_none();
+            is_complete || has_rows || reply.traffic.is_some() || self.confirmed.is_none();
         let mut change = ViewChange { is_structural, ..ViewChange::default() };
         for run in reply.departed {
             self.merge_departure(run, now, &mut change);
         }
-        for standing in reply.backends {
-            self.merge_backend(control, standing, now, &mut change);
+        for observation in reply.backends {
+            self.merge_backend(control, observation, now, &mut change);
         }
-        for standing in reply.gateways {
-            self.merge_gateway(control, standing, now, &mut change);
+        for observation in reply.gateways {
+            self.merge_gateway(control, observation, now, &mut change);
         }
         self.gateway_totals.insert(control, reply.gateway_total);
         if !reply.controls.is_empty() {
             self.controls = reply.controls.into_iter().collect();
         }
-        // A control process that was just restarted has heard no offers yet.
+        // A control process that just restarted has received no offers yet.
         if !reply.regions.is_empty() {
             self.regions = reply.regions;
         }
-        self.forget_old(now);
+        self.expire(now);
         let snapshot_index = reply.traffic.as_ref().map(|t| t.index);
         if let Some(snapshot) = reply.traffic {
-            change.traffic = self.adopt(snapshot, now)?;
+            change.traffic = self.apply_traffic(snapshot, now)?;
         }
-        // A control process that has nothing newer, confirmed lately, confirms what is in force.
+        // A control process with nothing newer and a recent confirmation confirms the active
+        // configuration.
         let is_newest = snapshot_index <= self.traffic.as_ref().map(|t| t.index);
-        if let Some(ago) = reply.confirmed_ago.filter(|ago| is_newest && *ago < CONFIRMATION) {
-            // The call came there no sooner than it was sent, and the reply may have been on its way
-            // for any time: only the time of the call bounds when it was made.
+        if let Some(ago) =
+            reply.confirmed_ago.filter(|ago| is_newest && *ago < MAX_CONFIRMATION_AGE)
+        {
+            // The call arrived no earlier than it was sent, and the reply may have been in transit
+            // for any time: only the send time of the call bounds the age of the confirmation.
             self.confirmed = self.confirmed.max((asked + reply.held).earlier(ago));
         }
         Ok(change)
     }
 
-    /// Notes that `control` is no longer heard: what it said last is no longer vouched for.
+    /// Removes the observations of `control`, which is no longer reachable.
     pub fn remove_control(&mut self, control: SocketAddr, now: MonotonicTime) {
         self.gateway_totals.remove(&control);
-        self.backends.values_mut().for_each(|b| b.drop_voice(control, now));
-        self.gateways.values_mut().for_each(|g| g.drop_voice(control, now));
+        self.backends.values_mut().for_each(|b| b.remove_reporter(control, now));
+        self.gateways.values_mut().for_each(|g| g.remove_reporter(control, now));
     }
 
-    fn adopt(
+    fn apply_traffic(
         &mut self,
         snapshot: crate::TrafficSnapshot,
         now: MonotonicTime,
     ) -> Result<bool, TrafficError> {
-        let held = self.traffic.as_ref();
-        if held.is_some_and(|held| held.index >= snapshot.index) {
+        let current = self.traffic.as_ref();
+        if current.is_some_and(|current| current.index >= snapshot.index) {
             return Ok(false);
         }
-        let held_version = held.map(|held| held.config.version());
-        let (config, text) = match (snapshot.text, held) {
+        let current_version = current.map(|current| current.config.version());
+        let (config, text) = match (snapshot.text, current) {
             (Some(text), _) => {
                 let raw = self.format.read(&text)?;
                 (Rc::new(TrafficConfig::try_from(raw)?), text)
             }
-            (None, Some(held)) if snapshot.version == held_version => {
-                (Rc::clone(&held.config), held.text.clone())
+            (None, Some(current)) if snapshot.version == current_version => {
+                (Rc::clone(&current.config), current.text.clone())
             }
-            // Evacuations before the first configuration: nothing is in force yet.
+            // Evacuations before the first configuration have no effect yet.
             (None, _) => return Ok(false),
         };
         let evacuated = Rc::new(snapshot.evacuated);
@@ -334,9 +337,9 @@
         if self.backends.get(&name).is_some_and(|b| b.last.record.incarnation <= last) {
             self.backends.remove(&name);
         }
-        let told = self.departed.get(&name).map(|(told, _)| *told);
-        self.departed.insert(name.clone(), (last.max(told.unwrap_or_default()), now));
-        if told.is_none_or(|told| told < last) {
+        let known = self.departed.get(&name).map(|(known, _)| *known);
+        self.departed.insert(name.clone(), (last.max(known.unwrap_or_default()), now));
+        if known.is_none_or(|known| known < last) {
             change.departed.push(name);
         }
     }
@@ -344,11 +347,11 @@
     fn merge_backend(
         &mut self,
         control: SocketAddr,
-        standing: BackendObservation,
+        observation: BackendObservation,
         now: MonotonicTime,
         change: &mut ViewChange,
     ) {
-        let BackendObservation { record, is_silent, is_recalled } = standing;
+        let BackendObservation { record, is_silent, is_recalled } = observation;
         if self.departed.get(&record.name).is_some_and(|(last, _)| record.incarnation <= *last) {
             return;
         }
@@ -357,44 +360,45 @@
             cold_until: now + record.cold_for,
             record,
             is_silent: false,
-            learned: now,
+            received: now,
         };
         let Some(known) = self.backends.get_mut(&name) else {
-            let mut believed = Believed::new(row, now);
+            let mut observed = Observed::new(row, now);
             if is_recalled {
-                // Nobody vouches for it, and it is believed for less long.
-                believed.heard = MonotonicTime(now.0.saturating_sub(BELIEF - RECALLED_BELIEF));
+                // No control process observes it, so it is considered live for a shorter time.
+                observed.last_heard = MonotonicTime(
+                    now.0.saturating_sub(LIVENESS_TIMEOUT - RESTORED_LIVENESS_TIMEOUT),
+                );
             } else {
-                believed.note_voice(control, is_silent, now);
+                observed.record_report(control, is_silent, now);
             }
-            self.backends.insert(name.clone(), believed);
+            self.backends.insert(name.clone(), observed);
             change.backends.push(name);
             return;
         };
-        // What a control process says of an earlier run, or kept from its own run before, is no word
-        // on the one that is known.
+        // Reports about an earlier run, or restored from a snapshot, do not apply to the known run.
         if is_recalled || row.record.incarnation < known.last.record.incarnation {
             return;
         }
         if row.record.incarnation > known.last.record.incarnation {
-            *known = Believed::new(row, now);
-            known.note_voice(control, is_silent, now);
+            *known = Observed::new(row, now);
+            known.record_report(control, is_silent, now);
             change.backends.push(name);
             return;
         }
-        known.note_voice(control, is_silent, now);
+        known.record_report(control, is_silent, now);
         if row.record.sequence > known.last.record.sequence {
-            let is_news = row.record.state != known.last.record.state
+            let is_change = row.record.state != known.last.record.state
                 || row.record.address != known.last.record.address
                 || row.cold_until > known.last.cold_until;
-            // A run that is leaving does not come back.
+            // A run that is leaving does not return to serving.
             let is_leaving = known.last.record.state == ServingState::Leaving;
             known.last = row;
             if is_leaving {
                 known.last.record.state = ServingState::Leaving;
             }
-            known.learned = now;
-            if is_news {
+            known.received = now;
+            if is_change {
                 change.backends.push(name);
             }
         }
@@ -403,36 +407,38 @@
     fn merge_gateway(
         &mut self,
         control: SocketAddr,
-        standing: GatewayObservation,
+        observation: GatewayObservation,
         now: MonotonicTime,
         change: &mut ViewChange,
     ) {
-        let GatewayObservation { profile, phase, is_silent } = standing;
+        let GatewayObservation { profile, phase, is_silent } = observation;
         let vm = profile.vm.clone();
         let row = GatewayRow { profile, phase, is_silent: false };
         let known = self.gateways.entry(vm.clone()).or_insert_with(|| {
             change.gateways.push(vm.clone());
-            Believed::new(row.clone(), now)
+            Observed::new(row.clone(), now)
         });
-        // Runs of one VM have no order that a clock could tell, so the voices of an earlier run
-        // end as soon as anyone hears another one.
+        // Runs of one VM cannot be ordered by a clock, so reports about the earlier run are
+        // discarded when any control process observes another run.
         if known.last.profile.run != row.profile.run {
             if is_silent {
                 return;
             }
-            known.voices.clear();
+            known.reporters.clear();
         }
-        known.note_voice(control, is_silent, now);
+        known.record_report(control, is_silent, now);
         if known.last.profile != row.profile || known.last.phase != row.phase {
             known.last = row;
-            known.learned = now;
+            known.received = now;
             change.gateways.push(vm);
         }
     }
 
-    fn forget_old(&mut self, now: MonotonicTime) {
-        self.departed.retain(|_, (_, at)| now.since(*at) < MEMORY);
-        self.backends.retain(|_, b| b.is_heard() || now.since(b.heard.max(b.learned)) < MEMORY);
-        self.gateways.retain(|_, g| g.is_heard() || now.since(g.heard.max(g.learned)) < MEMORY);
+    fn expire(&mut self, now: MonotonicTime) {
+        self.departed.retain(|_, (_, at)| now.since(*at) < RETENTION);
+        self.backends
+            .retain(|_, b| b.is_observed() || now.since(b.last_heard.max(b.received)) < RETENTION);
+        self.gateways
+            .retain(|_, g| g.is_observed() || now.since(g.last_heard.max(g.received)) < RETENTION);
     }
 }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What control processes hear, and what a gateway makes of it.
+//! Registry of a control process, and the merged view of a gateway.
 
 use {
     bytes::Bytes,
@@ -21,14 +21,14 @@
 
 const INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// The time of day of a goodbye.
+/// Wall-clock time of a departure.
 const WALL: WallMillis = WallMillis(50_000);
 
 fn at(millis: u64) -> MonotonicTime {
     MonotonicTime(Duration::from_millis(millis))
 }
 
-/// The same moment on the clock of a VM that started a minute before.
+/// The same time on the boot clock of a VM that started a minute earlier.
 fn boot(millis: u64) -> BootTime {
     BootTime(Duration::from_millis(60_000 + millis))
 }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Reads a version from its digits; anything else is no configuration.
+/// Format whose text is the version in digits; any other text is invalid.
 struct DigitFormat;
 
 impl TrafficFormat for DigitFormat {
@@ -79,7 +79,7 @@
         let text = String::from_utf8_lossy(text);
         let version = text
             .parse()
-            .map_err(|_| TrafficError::Unreadable { reason: "no digits".to_owned() })?;
+            .map_err(|_| TrafficError::Unreadable { reason: "not a number".to_owned() })?;
         let service = RawService {
             name: "pool".to_owned(),
             health_path: String::new(),
@@ -141,14 +141,14 @@
     DepartedRun { name, last: Incarnation(last) }
 }
 
-fn told(record: BackendRecord, is_silent: bool) -> SyncReply {
+fn reply_with(record: BackendRecord, is_silent: bool) -> SyncReply {
     SyncReply {
         backends: vec![BackendObservation { record, is_silent, is_recalled: false }],
         ..reply()
     }
 }
 
-fn configured(index: u64, version: u64) -> SyncReply {
+fn reply_with_configuration(index: u64, version: u64) -> SyncReply {
     let text = Some(Bytes::from(version.to_string()));
     let traffic =
         TrafficSnapshot { index, version: Some(version), text, evacuated: BTreeSet::new() };
@@ -160,10 +160,9 @@
 }
 
 #[test]
-fn late_announcements_change_nothing() {
-    // Symptom: a backend server that leaves gets work again. Sequence: an announcement is delayed
-    // by a network partition and arrives after later ones, or after the goodbye. Cause: the order
-    // of arrival is not that of sending.
+fn late_announcements_are_ignored() {
+    // Announcements may arrive out of order: one that a network partition delays until after later
+    // ones, or after the departure, must not make a leaving backend server get work again.
     struct Case {
         before: Vec<(u64, ServingState)>,
         has_left: bool,
@@ -183,56 +182,56 @@
         Case { before: Vec::new(), has_left: true, late: (1, serving), expected: None },
     ];
     for (index, case) in cases.iter().enumerate() {
-        let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
         for (sequence, state) in &case.before {
-            book.announce(record("i-1", *sequence, *state), at(10));
+            registry.announce(record("i-1", *sequence, *state), at(10));
         }
         if case.has_left {
-            assert!(book.leave(&BackendName::try_from("i-1").expect("a name"), WALL, at(20)));
+            assert!(registry.leave(&BackendName::try_from("i-1").expect("a name"), WALL, at(20)));
         }
-        book.announce(record("i-1", case.late.0, case.late.1), at(30));
-        let known = book.backends_after(0, at(40));
-        let state = known.first().map(|standing| standing.record.state);
+        registry.announce(record("i-1", case.late.0, case.late.1), at(30));
+        let known = registry.backends_after(0, at(40));
+        let state = known.first().map(|observation| observation.record.state);
         assert_eq!(state, case.expected, "case {index}");
-        assert_eq!(book.departed_after(0).len(), usize::from(case.has_left), "case {index}");
+        assert_eq!(registry.departed_after(0).len(), usize::from(case.has_left), "case {index}");
     }
 }
 
 #[test]
-fn gateways_are_told_only_what_they_lack() {
-    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
-    book.announce(record("i-1", 1, ServingState::Serving), at(10));
-    let cursor = book.last_change();
-    book.announce(record("i-1", 2, ServingState::Serving), at(1_200));
-    assert_eq!(book.last_change(), cursor, "the same again is no news");
-    book.announce(record("i-2", 1, ServingState::Serving), at(1_300));
-    let news = book.backends_after(cursor, at(1_300));
-    let names: Vec<_> = news.iter().map(|s| s.record.name.as_str()).collect();
+fn updates_contain_only_changes_after_the_cursor() {
+    let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+    registry.announce(record("i-1", 1, ServingState::Serving), at(10));
+    let cursor = registry.last_change();
+    registry.announce(record("i-1", 2, ServingState::Serving), at(1_200));
+    assert_eq!(registry.last_change(), cursor, "a repeated announcement is no change");
+    registry.announce(record("i-2", 1, ServingState::Serving), at(1_300));
+    let changed = registry.backends_after(cursor, at(1_300));
+    let names: Vec<_> = changed.iter().map(|s| s.record.name.as_str()).collect();
     assert_eq!(names, ["i-2"]);
 }
 
 #[test]
-fn silence_is_noticed_once_and_ends_with_a_word() {
-    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
-    book.announce(record("i-1", 1, ServingState::Serving), at(0));
-    book.announce_gateway(&gateway_announcement("edge-1", "puget", GatewayPhase::Ready), at(0));
-    assert_eq!(book.tick(at(1_500)), (Vec::new(), Vec::new()));
-    assert_eq!(book.tick(at(2_000)).1.len(), 1, "a gateway calls every 0.6 s");
-    assert_eq!(book.tick(at(5_000)).0.len(), 1, "four intervals");
-    assert_eq!(book.tick(at(5_300)), (Vec::new(), Vec::new()));
-    let back = book.announce(record("i-1", 2, ServingState::Serving), at(5_400));
-    assert!(back.is_some_and(|standing| !standing.is_silent));
-    assert_eq!(book.heard(), (1, 0));
+fn silence_is_reported_once_and_ends_with_an_announcement() {
+    let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+    registry.announce(record("i-1", 1, ServingState::Serving), at(0));
+    registry.announce_gateway(&gateway_announcement("edge-1", "puget", GatewayPhase::Ready), at(0));
+    assert_eq!(registry.tick(at(1_500)), (Vec::new(), Vec::new()));
+    assert_eq!(registry.tick(at(2_000)).1.len(), 1, "a gateway calls every 0.6 s");
+    assert_eq!(registry.tick(at(5_000)).0.len(), 1, "four intervals");
+    assert_eq!(registry.tick(at(5_300)), (Vec::new(), Vec::new()));
+    let observation = registry.announce(record("i-1", 2, ServingState::Serving), at(5_400));
+    assert!(observation.is_some_and(|observation| !observation.is_silent));
+    assert_eq!(registry.live_counts(), (1, 0));
 }
 
 #[test]
-fn callers_are_sent_to_ready_gateways_of_their_region_then_to_homes() {
+fn callers_get_ready_gateways_of_their_region_or_else_of_home_regions() {
     struct Case {
         place: &'static str,
         homes: &'static [&'static str],
         expected: &'static [u8],
     }
-    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+    let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     let (ready, starting) = (GatewayPhase::Ready, GatewayPhase::Starting);
     for (vm, place, phase) in [
         ("a", "puget", ready),
@@ -242,7 +241,7 @@
         ("e", "south", starting),
         ("f", "north", GatewayPhase::Stopping),
     ] {
-        book.announce_gateway(&gateway_announcement(vm, place, phase), at(0));
+        registry.announce_gateway(&gateway_announcement(vm, place, phase), at(0));
     }
     let cases = [
         Case { place: "puget", homes: &["columbia"], expected: b"a" },
@@ -254,15 +253,15 @@
     ];
     for case in cases {
         let is_home = |region: &RegionName| case.homes.contains(&region.as_str());
-        let found = book.entry_addresses(&region(case.place), is_home);
+        let found = registry.entry_addresses(&region(case.place), is_home);
         let expected: Vec<_> = case.expected.iter().map(|host| address(*host)).collect();
         assert_eq!(found, expected, "{} {:?}", case.place, case.homes);
     }
 }
 
 #[test]
-fn what_a_region_offers_is_the_mean_of_its_ready_gateways() {
-    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+fn the_offer_of_a_region_is_the_mean_of_its_ready_gateways() {
+    let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
     let offer = |first_byte_ms: [u32; 2]| ServiceOffer {
         service: ServiceName::try_from("pool").expect("a name"),
         backends: 4,
@@ -273,33 +272,36 @@
         ("b", GatewayPhase::Ready, [300, 800]),
         ("c", GatewayPhase::Stopping, [9_000, 9_000]),
     ] {
-        let pulse = gateway_announcement(vm, "puget", phase);
-        book.announce_gateway(&pulse, at(0));
-        book.note_offers(&pulse.profile.vm, vec![offer(wait)]);
+        let announcement = gateway_announcement(vm, "puget", phase);
+        registry.announce_gateway(&announcement, at(0));
+        registry.record_offers(&announcement.profile.vm, vec![offer(wait)]);
     }
-    let offers = book.region_offers();
+    let offers = registry.region_offers();
     assert_eq!(offers.len(), 1);
     assert_eq!(offers[0].offer, offer([200, 600]));
 }
 
 #[test]
-fn the_configuration_in_force_never_gets_older() {
-    // Symptom: a gateway obeys an older configuration after a newer one. Sequence: it hears of the
-    // newer one from one control process, and then from one that is behind. Cause: control
-    // processes apply the log at their own pace.
+fn the_active_configuration_never_gets_older() {
+    // Control processes apply the log at different speeds. A gateway that has a newer configuration
+    // from one of them must not return to an older one from another.
     let mut view = view();
-    let newer = view.merge(address(1), true, configured(9, 5), boot(0), at(0)).expect("readable");
+    let newer = view
+        .merge(address(1), true, reply_with_configuration(9, 5), boot(0), at(0))
+        .expect("readable");
     assert!(newer.traffic);
-    let older = view.merge(address(2), true, configured(7, 4), boot(10), at(10)).expect("readable");
+    let older = view
+        .merge(address(2), true, reply_with_configuration(7, 4), boot(10), at(10))
+        .expect("readable");
     assert!(!older.traffic);
     assert_eq!(view.traffic().map(|t| (t.index, t.config.version())), Some((9, 5)));
 }
 
 #[test]
-fn an_unreadable_configuration_leaves_the_one_in_force() {
+fn an_unreadable_configuration_is_ignored() {
     let mut view = view();
-    view.merge(address(1), true, configured(9, 5), boot(0), at(0)).expect("readable");
-    let mut broken = configured(10, 6);
+    view.merge(address(1), true, reply_with_configuration(9, 5), boot(0), at(0)).expect("readable");
+    let mut broken = reply_with_configuration(10, 6);
     if let Some(traffic) = &mut broken.traffic {
         traffic.text = Some(Bytes::from_static(b"{"));
     }
@@ -307,66 +309,76 @@
     assert_eq!(view.traffic().map(|t| t.config.version()), Some(5));
 }
 
-/// A gateway without contact served keys that had been taken away for longer than promised: the time
-/// that a confirmation was held or on its way did not count.
+/// The time that a confirmation was held or in transit must count towards its age. Otherwise a
+/// gateway without contact serves revoked keys for longer than allowed.
 #[test]
-fn a_confirmation_is_not_younger_than_its_call() {
+fn a_confirmation_is_at_least_as_old_as_its_call() {
     struct Case {
-        what: &'static str,
+        description: &'static str,
         ago: u64,
         held: u64,
         arrived: u64,
         confirmed: u64,
     }
     let cases = [
-        Case { what: "at once", ago: 0, held: 0, arrived: 1_001, confirmed: 1_000 },
+        Case { description: "immediate", ago: 0, held: 0, arrived: 1_001, confirmed: 1_000 },
         Case {
-            what: "old at the control process",
+            description: "old at the control process",
             ago: 700,
             held: 0,
             arrived: 1_001,
             confirmed: 300,
         },
-        Case { what: "held there", ago: 100, held: 600, arrived: 1_601, confirmed: 1_500 },
-        Case { what: "late on its way", ago: 0, held: 0, arrived: 9_000, confirmed: 1_000 },
+        Case { description: "held there", ago: 100, held: 600, arrived: 1_601, confirmed: 1_500 },
+        Case {
+            description: "delayed in transit",
+            ago: 0,
+            held: 0,
+            arrived: 9_000,
+            confirmed: 1_000,
+        },
     ];
     for case in cases {
         let mut view = view();
         let reply = SyncReply {
             confirmed_ago: Some(Duration::from_millis(case.ago)),
             held: Duration::from_millis(case.held),
-            ..configured(3, 1)
+            ..reply_with_configuration(3, 1)
         };
         view.merge(address(1), true, reply, boot(1_000), at(case.arrived)).expect("readable");
-        assert_eq!(view.confirmed(), Some(boot(case.confirmed)), "{}", case.what);
+        assert_eq!(view.confirmed(), Some(boot(case.confirmed)), "{}", case.description);
     }
 }
 
 #[test]
-fn a_configuration_is_confirmed_by_who_has_nothing_newer() {
+fn a_configuration_is_confirmed_by_replies_with_nothing_newer() {
     struct Case {
-        what: &'static str,
-        told: SyncReply,
+        description: &'static str,
+        reply_with: SyncReply,
         is_confirmed: bool,
     }
     let confirmed = |reply: SyncReply| SyncReply { confirmed_ago: Some(Duration::ZERO), ..reply };
     let newer =
         TrafficSnapshot { index: 9, version: Some(4), text: None, evacuated: BTreeSet::new() };
     let cases = [
-        Case { what: "nothing newer", told: confirmed(reply()), is_confirmed: true },
-        Case { what: "an older one, late", told: configured(2, 1), is_confirmed: true },
+        Case { description: "nothing newer", reply_with: confirmed(reply()), is_confirmed: true },
         Case {
-            what: "a newer one that cannot be taken",
-            told: confirmed(SyncReply { traffic: Some(newer), ..reply() }),
+            description: "an older one, late",
+            reply_with: reply_with_configuration(2, 1),
+            is_confirmed: true,
+        },
+        Case {
+            description: "a newer one that cannot be applied",
+            reply_with: confirmed(SyncReply { traffic: Some(newer), ..reply() }),
             is_confirmed: false,
         },
     ];
     for case in cases {
         let mut view = view();
-        let held = SyncReply { confirmed_ago: None, ..configured(3, 2) };
+        let held = SyncReply { confirmed_ago: None, ..reply_with_configuration(3, 2) };
         view.merge(address(1), true, held, boot(0), at(0)).expect("readable");
-        view.merge(address(2), true, case.told, boot(100), at(100)).expect("readable");
-        assert_eq!(view.confirmed().is_some(), case.is_confirmed, "{}", case.what);
+        view.merge(address(2), true, case.reply_with, boot(100), at(100)).expect("readable");
+        assert_eq!(view.confirmed().is_some(), case.is_confirmed, "{}", case.description);
     }
 }
 
@@ -383,33 +395,35 @@
     ];
     for case in cases {
         let mut view = view();
-        let reply = SyncReply { confirmed_ago: case.ago, ..configured(3, 1) };
+        let reply = SyncReply { confirmed_ago: case.ago, ..reply_with_configuration(3, 1) };
         view.merge(address(1), true, reply, boot(0), at(0)).expect("readable");
         assert_eq!(view.confirmed().is_some(), case.is_confirmed, "{:?}", case.ago);
     }
 }
 
 #[test]
-fn a_backend_server_is_heard_while_any_control_process_hears_it() {
+fn a_backend_server_is_live_while_any_control_process_observes_it() {
     let mut view = view();
     let is_silent = |view: &FleetView, now| view.backends(now).next().map(|row| row.is_silent);
     let serving = |sequence| record("i-1", sequence, ServingState::Serving);
-    view.merge(address(1), true, told(serving(1), false), boot(0), at(0)).expect("merged");
-    view.merge(address(2), true, told(serving(2), false), boot(10), at(10)).expect("merged");
-    view.merge(address(1), false, told(serving(1), true), boot(5_000), at(5_000)).expect("merged");
+    view.merge(address(1), true, reply_with(serving(1), false), boot(0), at(0)).expect("merged");
+    view.merge(address(2), true, reply_with(serving(2), false), boot(10), at(10)).expect("merged");
+    view.merge(address(1), false, reply_with(serving(1), true), boot(5_000), at(5_000))
+        .expect("merged");
     assert_eq!(is_silent(&view, at(5_000)), Some(false));
-    view.merge(address(2), false, told(serving(2), true), boot(9_000), at(9_000)).expect("merged");
+    view.merge(address(2), false, reply_with(serving(2), true), boot(9_000), at(9_000))
+        .expect("merged");
     assert_eq!(is_silent(&view, at(9_000)), Some(true));
 }
 
 #[test]
 fn restarted_control_processes_do_not_empty_the_view() {
-    // Symptom: gateways know no backend server for seconds after all control processes were
-    // restarted at once. Sequence: each comes back with an empty book and says so. Cause: silence
-    // of somebody who knows nothing is not news.
+    // Restarted control processes report empty registries. Their lack of observations must not
+    // remove members, or gateways would know no backend server for seconds after all control
+    // processes restart at once.
     let mut view = view();
     let serving = record("i-1", 1, ServingState::Serving);
-    view.merge(address(1), true, told(serving, false), boot(0), at(0)).expect("merged");
+    view.merge(address(1), true, reply_with(serving, false), boot(0), at(0)).expect("merged");
     view.merge(address(1), true, SyncReply { run: 2, ..reply() }, boot(1_000), at(1_000))
         .expect("merged");
     let rows: Vec<_> = view.backends(at(3_000)).collect();
@@ -418,97 +432,98 @@
 }
 
 #[test]
-fn a_departure_heard_anywhere_is_final() {
+fn a_departure_reported_by_any_control_process_is_final() {
     let mut view = view();
-    let gone = SyncReply { departed: vec![departed("i-1", 0)], ..reply() };
-    view.merge(address(1), true, gone, boot(0), at(0)).expect("merged");
+    let departure = SyncReply { departed: vec![departed("i-1", 0)], ..reply() };
+    view.merge(address(1), true, departure, boot(0), at(0)).expect("merged");
     let late = record("i-1", 9, ServingState::Serving);
-    view.merge(address(2), true, told(late, false), boot(10), at(10)).expect("merged");
+    view.merge(address(2), true, reply_with(late, false), boot(10), at(10)).expect("merged");
     assert_eq!(view.backends(at(10)).count(), 0);
 }
 
 #[test]
-fn another_run_of_a_gateway_ends_the_word_on_the_one_before() {
+fn reports_about_a_new_gateway_run_replace_those_about_the_previous_one() {
     let mut view = view();
-    let standing = |run, phase, is_silent| {
+    let observation = |run, phase, is_silent| {
         let mut profile = gateway_announcement("a", "puget", phase).profile;
         profile.run = run;
         SyncReply { gateways: vec![GatewayObservation { profile, phase, is_silent }], ..reply() }
     };
     let ready = GatewayPhase::Ready;
-    view.merge(address(1), true, standing(1, ready, false), boot(0), at(0)).expect("merged");
-    view.merge(address(2), true, standing(2, GatewayPhase::Starting, false), boot(10), at(10))
+    view.merge(address(1), true, observation(1, ready, false), boot(0), at(0)).expect("merged");
+    view.merge(address(2), true, observation(2, GatewayPhase::Starting, false), boot(10), at(10))
         .expect("merged");
     assert_eq!(view.ready_gateways(&region("puget"), at(10)).len(), 0);
-    view.merge(address(1), false, standing(1, ready, true), boot(2_000), at(2_000))
+    view.merge(address(1), false, observation(1, ready, true), boot(2_000), at(2_000))
         .expect("merged");
-    view.merge(address(2), false, standing(2, ready, false), boot(2_100), at(2_100))
+    view.merge(address(2), false, observation(2, ready, false), boot(2_100), at(2_100))
         .expect("merged");
     assert_eq!(view.ready_gateways(&region("puget"), at(2_100)).len(), 1);
 }
 
-/// What a backend server said, and who heard it.
-enum Word {
+/// A report of a control process on a backend server.
+enum Report {
     Announced { control: u8, incarnation: u64, sequence: u64, state: ServingState },
     Departed { control: u8, last: u64 },
     Silent { control: u8, incarnation: u64, sequence: u64 },
 }
 
 #[test]
-fn a_run_that_starts_again_under_its_name_replaces_the_one_before() {
-    // Symptom: a backend server that crashed and started again under its name is never used, or
-    // the earlier run's goodbye, silence or leaving is held against it. Sequence: as in each case.
-    // Cause: runs were told apart by name alone, and counts of the new one start anew.
+fn a_restarted_run_replaces_the_previous_one_of_its_name() {
+    // Runs must be told apart by incarnation, not by name alone. Otherwise a backend server that
+    // crashed and restarted under its name is never used, because the sequence numbers of the new
+    // run start over, or because a departure, silence or leaving state of the earlier run is
+    // applied to it.
     struct Case {
-        what: &'static str,
-        words: Vec<Word>,
-        /// Incarnation, state and silence of what is known in the end.
+        description: &'static str,
+        reports: Vec<Report>,
+        /// Incarnation, state and silence of the member at the end.
         expected: Option<(u64, ServingState, bool)>,
     }
-    use Word::{Announced, Departed, Silent};
+    use Report::{Announced, Departed, Silent};
     let (serving, leaving) = (ServingState::Serving, ServingState::Leaving);
-    let said =
+    let announced =
         |control, incarnation, sequence, state| Announced { control, incarnation, sequence, state };
     let cases = [
         Case {
-            what: "its counts start anew",
-            words: vec![said(1, 10, 90, serving), said(1, 20, 1, serving)],
+            description: "its sequence numbers start over",
+            reports: vec![announced(1, 10, 90, serving), announced(1, 20, 1, serving)],
             expected: Some((20, serving, false)),
         },
         Case {
-            what: "a late word of the earlier run changes nothing",
-            words: vec![said(1, 20, 1, serving), said(2, 10, 90, leaving)],
+            description: "a late report of the earlier run changes nothing",
+            reports: vec![announced(1, 20, 1, serving), announced(2, 10, 90, leaving)],
             expected: Some((20, serving, false)),
         },
         Case {
-            what: "the earlier run was leaving",
-            words: vec![said(1, 10, 5, leaving), said(1, 20, 1, serving)],
+            description: "the earlier run was leaving",
+            reports: vec![announced(1, 10, 5, leaving), announced(1, 20, 1, serving)],
             expected: Some((20, serving, false)),
         },
         Case {
-            what: "the earlier run said goodbye",
-            words: vec![
-                said(1, 10, 5, serving),
+            description: "the earlier run departed",
+            reports: vec![
+                announced(1, 10, 5, serving),
                 Departed { control: 1, last: 15 },
-                said(2, 20, 1, serving),
+                announced(2, 20, 1, serving),
             ],
             expected: Some((20, serving, false)),
         },
         Case {
-            what: "its goodbye is told again, after the later run is known",
-            words: vec![said(2, 20, 1, serving), Departed { control: 1, last: 15 }],
+            description: "its departure is reported again after the later run is known",
+            reports: vec![announced(2, 20, 1, serving), Departed { control: 1, last: 15 }],
             expected: Some((20, serving, false)),
         },
         Case {
-            what: "a goodbye ends the run that it names",
-            words: vec![said(2, 20, 1, serving), Departed { control: 1, last: 25 }],
+            description: "a departure ends the run that it names",
+            reports: vec![announced(2, 20, 1, serving), Departed { control: 1, last: 25 }],
             expected: None,
         },
         Case {
-            what: "a control process that only knows the earlier run calls it silent",
-            words: vec![
-                said(1, 10, 5, serving),
-                said(2, 20, 1, serving),
+            description: "a control process that only knows the earlier run calls it silent",
+            reports: vec![
+                announced(1, 10, 5, serving),
+                announced(2, 20, 1, serving),
                 Silent { control: 1, incarnation: 10, sequence: 5 },
             ],
             expected: Some((20, serving, false)),
@@ -516,20 +531,20 @@
     ];
     for case in cases {
         let mut view = view();
-        for (index, word) in case.words.into_iter().enumerate() {
+        for (index, report) in case.reports.into_iter().enumerate() {
             let run = |incarnation, sequence, state| BackendRecord {
                 incarnation: Incarnation(incarnation),
                 ..record("i-1", sequence, state)
             };
-            let (control, reply) = match word {
+            let (control, reply) = match report {
                 Announced { control, incarnation, sequence, state } => {
-                    (control, told(run(incarnation, sequence, state), false))
+                    (control, reply_with(run(incarnation, sequence, state), false))
                 }
                 Departed { control, last } => {
                     (control, SyncReply { departed: vec![departed("i-1", last)], ..reply() })
                 }
                 Silent { control, incarnation, sequence } => {
-                    (control, told(run(incarnation, sequence, serving), true))
+                    (control, reply_with(run(incarnation, sequence, serving), true))
                 }
             };
             view.merge(address(control), false, reply, boot(index as u64), at(index as u64))
@@ -537,63 +552,81 @@
         }
         let row = view.backends(at(100)).next();
         let found = row.map(|r| (r.record.incarnation.0, r.record.state, r.is_silent));
-        assert_eq!(found, case.expected, "{}", case.what);
+        assert_eq!(found, case.expected, "{}", case.description);
     }
 }
 
 #[test]
-fn a_control_process_tells_runs_of_one_name_apart() {
-    // Symptom and cause as above, in what one control process hears itself.
+fn a_registry_distinguishes_runs_of_one_name() {
+    // As above, for the registry of one control process.
     struct Case {
-        what: &'static str,
+        description: &'static str,
         before: Option<u64>,
         has_left: bool,
         after: u64,
         expected: Option<u64>,
     }
     let cases = [
-        Case { what: "later", before: Some(10), has_left: false, after: 20, expected: Some(20) },
-        Case { what: "earlier", before: Some(20), has_left: false, after: 10, expected: Some(20) },
-        Case { what: "gone", before: Some(10), has_left: true, after: 10, expected: None },
         Case {
-            what: "started after the goodbye",
+            description: "later",
+            before: Some(10),
+            has_left: false,
+            after: 20,
+            expected: Some(20),
+        },
+        Case {
+            description: "earlier",
+            before: Some(20),
+            has_left: false,
+            after: 10,
+            expected: Some(20),
+        },
+        Case {
+            description: "departed",
+            before: Some(10),
+            has_left: true,
+            after: 10,
+            expected: None,
+        },
+        Case {
+            description: "started after the departure",
             before: Some(10),
             has_left: true,
             after: WALL.0 + 1,
             expected: Some(WALL.0 + 1),
         },
         Case {
-            what: "late word of a run that was heard elsewhere, after its goodbye here",
+            description: "late report of a run observed elsewhere, after its departure here",
             before: None,
             has_left: true,
             after: 10,
             expected: None,
         },
         Case {
-            what: "its clock is ahead of this process's",
+            description: "its clock is ahead of this process's",
             before: Some(WALL.0 + 900),
             has_left: true,
             after: WALL.0 + 900,
             expected: None,
         },
     ];
-    let said = |incarnation, sequence| BackendRecord {
+    let announced = |incarnation, sequence| BackendRecord {
         incarnation: Incarnation(incarnation),
         ..record("i-1", sequence, ServingState::Serving)
     };
     for case in cases {
-        let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
         if let Some(incarnation) = case.before {
-            book.announce(said(incarnation, 40), at(10));
+            registry.announce(announced(incarnation, 40), at(10));
         }
         if case.has_left {
-            assert!(book.leave(&BackendName::try_from("i-1").expect("a name"), WALL, at(20)));
+            assert!(registry.leave(&BackendName::try_from("i-1").expect("a name"), WALL, at(20)));
         }
-        // Of one run the counts go on; another one begins anew.
+        // The sequence numbers continue within a run and start over in another one.
         let sequence = if case.before == Some(case.after) { 41 } else { 1 };
-        book.announce(said(case.after, sequence), at(30));
-        let known = book.backends_after(0, at(40));
-        let found = known.first().map(|standing| standing.record.incarnation.0);
-        assert_eq!(found, case.expected, "{}", case.what);
+        registry.announce(announced(case.after, sequence), at(30));
+        let known = registry.backends_after(0, at(40));
+        let found = known.first().map(|observation| observation.record.incarnation.0);
+        assert_eq!(found, case.expected, "{}", case.description);
     }
 }
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -57,7 +57,7 @@
 
 impl TrafficFormat for NoFormat {
     fn read(&self, _text: &[u8]) -> Result<RawTraffic, TrafficError> {
-        Err(TrafficError::Unreadable { reason: "there is none".to_owned() })
+        Err(TrafficError::Unreadable { reason: "there is no configuration".to_owned() })
     }
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-fn ledger(context: &ProcessContext) -> Rc<SharedCrashTracker> {
+fn crash_tracker(context: &ProcessContext) -> Rc<SharedCrashTracker> {
     SharedCrashTracker::new(
         CrashTrackerSettings::default(),
         Rc::clone(&context.clock),
@@ -150,31 +150,31 @@
 /// The crashes must survive a complete restart. Otherwise no process would know the requests, and
 /// each would crash three more backend servers.
 #[test]
-fn requests_that_end_backend_servers_are_recalled() {
+fn requests_that_crash_backend_servers_are_restored() {
     let (world, _) = FakeWorld::new(1);
     let folder: Rc<MemoryFolder> = Rc::default();
-    let view = RequestContent {
+    let request = RequestContent {
         method: "POST",
         host: "h",
         target: "/",
         credentials: b"",
         body: b"question",
     };
-    let print = FingerprintKey::from([1; 32]).fingerprint(&view);
+    let fingerprint = FingerprintKey::from([1; 32]).fingerprint(&request);
     let start = || {
         let process = world.process();
         let (context, events) = (process.context().clone(), Rc::<MemorySink>::default());
-        let crashes = ledger(&context);
+        let crashes = crash_tracker(&context);
         let settings = FleetSettings::new(INTERVAL);
         let server =
             FleetServer::new(settings, Rc::new(NoSource), Rc::clone(&crashes), context, events);
-        world.run_until(server.remember(Rc::clone(&folder) as _));
+        world.run_until(server.restore_and_persist(Rc::clone(&folder) as _));
         (process, server, crashes)
     };
     let (process, server, crashes) = start();
     for number in 1..=3 {
         let (backend, incarnation) = (name(&format!("i-{number}")), Incarnation(1));
-        crashes.record_cut_off(print, BackendRun { backend, incarnation }, world.now());
+        crashes.record_cut_off(fingerprint, BackendRun { backend, incarnation }, world.now());
         world.run_for(Duration::from_secs(1));
     }
     // Any change of the backend servers saves the crashes as well.
@@ -183,54 +183,58 @@
     process.kill();
     world.run_for(Duration::from_secs(30));
     let (_process, _server, crashes) = start();
-    let hold = crashes.hold(&print).expect("it is held back");
+    let hold = crashes.hold(&fingerprint).expect("the request is held");
     assert_eq!(hold.ends, 3);
 }
 
 /// Runs a control process over `folder` that observes `announced` and `left`, and returns the
 /// number of backend servers that its next run restores.
-fn heard_after_restart(folder: &Rc<MemoryFolder>, said: &[BackendRecord], left: &[&str]) -> usize {
+fn restored_after_restart(
+    folder: &Rc<MemoryFolder>,
+    announced: &[BackendRecord],
+    left: &[&str],
+) -> usize {
     let (world, _) = FakeWorld::new(1);
     let start = |folder: &Rc<MemoryFolder>| {
         let process = world.process();
         let (context, events) = (process.context().clone(), Rc::<MemorySink>::default());
         let settings = FleetSettings::new(INTERVAL);
-        let crashes = ledger(&context);
+        let crashes = crash_tracker(&context);
         let server = FleetServer::new(settings, Rc::new(NoSource), crashes, context, events);
-        world.run_until(server.remember(Rc::clone(folder) as _));
+        world.run_until(server.restore_and_persist(Rc::clone(folder) as _));
         (process, server)
     };
     let (process, server) = start(folder);
-    said.iter().for_each(|record| server.announce(record.clone()));
+    announced.iter().for_each(|record| server.announce(record.clone()));
     left.iter().for_each(|text| server.leave(&name(text)));
     world.run_for(Duration::from_secs(1));
     process.kill();
     let (_process, server) = start(folder);
-    server.heard().0
+    server.live_counts().0
 }
 
 #[test]
-fn a_control_process_recalls_whom_it_heard() {
+fn a_control_process_restores_its_observations() {
     // After a complete restart, backend servers announce themselves one after the other. With an
     // empty registry, gateways would send everything to the first ones while the others stay idle
     // for a second.
     struct Case {
-        what: &'static str,
-        said: Vec<BackendRecord>,
+        description: &'static str,
+        announced: Vec<BackendRecord>,
         left: Vec<&'static str>,
         is_full: bool,
         /// Initial content of the file, if it was not written by a process.
         file: Option<Vec<u8>>,
-        recalled: usize,
+        restored: usize,
     }
-    let said = || vec![record("i-1", 3), record("i-2", 1)];
-    let case = |what, left, is_full, file, recalled| Case {
-        what,
-        said: said(),
+    let announced = || vec![record("i-1", 3), record("i-2", 1)];
+    let case = |description, left, is_full, file, restored| Case {
+        description,
+        announced: announced(),
         left,
         is_full,
         file,
-        recalled,
+        restored,
     };
     let cases = [
         case("both", vec![], false, None, 2),
@@ -244,40 +248,45 @@
         if let Some(bytes) = case.file {
             folder.files.borrow_mut().insert("fleet".to_owned(), bytes);
         }
-        let found = heard_after_restart(&folder, &case.said, &case.left);
-        assert_eq!(found, case.recalled, "{}", case.what);
+        let found = restored_after_restart(&folder, &case.announced, &case.left);
+        assert_eq!(found, case.restored, "{}", case.description);
     }
 }
 
 #[test]
-fn what_is_recalled_is_a_hint() {
+fn restored_observations_are_hints() {
     // A control process that was down must not report its restored observations as current, or a
     // backend server that crashed or left meanwhile gets work again.
     struct Case {
-        what: &'static str,
+        description: &'static str,
         /// Earlier report of another control process: silent or not, or `None` for no report.
-        told: Option<bool>,
+        reported: Option<bool>,
         has_left: bool,
         /// Time of the query, in milliseconds after the hint.
-        asked: u64,
+        queried_after_ms: u64,
         /// Whether the member is silent; `None` if it is unknown.
         expected: Option<bool>,
     }
-    let case =
-        |what, told, has_left, asked, expected| Case { what, told, has_left, asked, expected };
+    let case = |description, reported, has_left, queried_after_ms, expected| Case {
+        description,
+        reported,
+        has_left,
+        queried_after_ms,
+        expected,
+    };
     let cases = [
         case("nothing else is known", None, false, 100, Some(false)),
         case("it has not announced itself since", None, false, 3_100, Some(true)),
-        case("others call it silent", Some(true), false, 100, Some(true)),
-        case("others hear it", Some(false), false, 100, Some(false)),
+        case("another process reports it as silent", Some(true), false, 100, Some(true)),
+        case("another process observes it", Some(false), false, 100, Some(false)),
         case("it has left", Some(false), true, 100, None),
     ];
     for case in cases {
-        let mut before = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
-        before.announce(record("i-1", 5), at(10));
-        let memory: FleetSnapshot = before.snapshot(at(20));
-        let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
-        book.restore(memory, at(10_000));
+        let mut previous = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        previous.announce(record("i-1", 5), at(10));
+        let snapshot: FleetSnapshot = previous.snapshot(at(20));
+        let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        registry.restore(snapshot, at(10_000));
 
         let mut view = FleetView::new(Rc::new(NoFormat));
         let reply = |backends, departed| SyncReply {
@@ -294,10 +303,10 @@
             held: Duration::ZERO,
             controls: Vec::new(),
         };
-        if let Some(is_silent) = case.told {
+        if let Some(is_silent) = case.reported {
             let record = record("i-1", 7);
-            let told = BackendObservation { record, is_silent, is_recalled: false };
-            view.merge(control(2), true, reply(vec![told], Vec::new()), boot(9_000), at(9_000))
+            let reported = BackendObservation { record, is_silent, is_recalled: false };
+            view.merge(control(2), true, reply(vec![reported], Vec::new()), boot(9_000), at(9_000))
                 .expect("merged");
         }
         if case.has_left {
@@ -306,15 +315,15 @@
             let departed = reply(Vec::new(), other.departed_after(0));
             view.merge(control(2), false, departed, boot(9_500), at(9_500)).expect("merged");
         }
-        let hint = reply(book.backends_after(0, at(10_000)), book.departed_after(0));
+        let hint = reply(registry.backends_after(0, at(10_000)), registry.departed_after(0));
         view.merge(control(1), true, hint, boot(10_000), at(10_000)).expect("merged");
-        let row = view.backends(at(10_000 + case.asked)).next();
-        assert_eq!(row.map(|row| row.is_silent), case.expected, "{}", case.what);
+        let row = view.backends(at(10_000 + case.queried_after_ms)).next();
+        assert_eq!(row.map(|row| row.is_silent), case.expected, "{}", case.description);
     }
 
     // An announcement turns the hint into an observation, whatever its sequence number.
-    let mut book = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
-    book.restore(
+    let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+    registry.restore(
         FleetSnapshot {
             backends: vec![record("i-1", 5)],
             departed: Vec::new(),
@@ -322,8 +331,9 @@
         },
         at(0),
     );
-    let standing = book.announce(record("i-1", 6), at(900)).expect("it is news");
-    assert!(!standing.is_recalled);
-    book.tick(at(4_000));
-    assert_eq!(book.backends_after(0, at(4_000)).len(), 1);
+    let observation =
+        registry.announce(record("i-1", 6), at(900)).expect("the observation changed");
+    assert!(!observation.is_recalled);
+    registry.tick(at(4_000));
+    assert_eq!(registry.backends_after(0, at(4_000)).len(), 1);
 }
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -107,7 +107,7 @@
             waited: now.since(plan.received),
             queue_wait,
             within_share: !self.is_over_share(plan),
-            weights: RouteWeights { latency: weight, away: 1.0 - weight },
+            weights: RouteWeights { latency: weight, forwarding: 1.0 - weight },
         }
     }
 
--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -372,7 +372,7 @@
 }
 
 fn backend_facts(row: BackendRow) -> BackendInfo {
-    let BackendRow { record, cold_until, is_silent, learned: _ } = row;
+    let BackendRow { record, cold_until, is_silent, received: _ } = row;
     BackendInfo {
         is_serving: record.state == ServingState::Serving,
         name: record.name,
--- a/crates/node/src/seeded_control.rs
+++ b/crates/node/src/seeded_control.rs
@@ -72,7 +72,7 @@
             context.clone(),
             Rc::clone(&events),
         );
-        fleet.remember(folder).await;
+        fleet.restore_and_persist(folder).await;
         fleet.start(&core.handlers);
         let node =
             Rc::new(Self { control, fleet, crashes, events, metrics: core.metrics, context });
--- a/crates/route/src/forwarding.rs
+++ b/crates/route/src/forwarding.rs
@@ -66,7 +66,7 @@
         target: Duration,
         share: f64,
     ) -> ForwardingThresholds {
-        let scale = weights.away_ratio().powf(self.weight_exponent) * target.as_secs_f64();
+        let scale = weights.forwarding_ratio().powf(self.weight_exponent) * target.as_secs_f64();
         let relaxation = (share / self.relaxed_share.max(1e-6)).min(1.0);
         let interpolate = |base: f64, relaxed: f64| scale * (base + (relaxed - base) * relaxation);
         ForwardingThresholds {
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -32,13 +32,13 @@
     /// Weight of tail latency.
     pub latency: f64,
     /// Weight of the forwarded share.
-    pub away: f64,
+    pub forwarding: f64,
 }
 
 impl Default for RouteWeights {
     /// Equal weights.
     fn default() -> Self {
-        Self { latency: 1.0, away: 1.0 }
+        Self { latency: 1.0, forwarding: 1.0 }
     }
 }
 
@@ -48,8 +48,8 @@
 
     /// Returns the latency that forwarding one request must save, as a multiple of the target; 1 if
     /// the weights give no valid ratio.
-    pub fn away_ratio(&self) -> f64 {
-        let ratio = self.away / self.latency;
+    pub fn forwarding_ratio(&self) -> f64 {
+        let ratio = self.forwarding / self.latency;
         let usable = if ratio.is_nan() { 1.0 } else { ratio };
         usable.clamp(Self::RATIO_RANGE.0, Self::RATIO_RANGE.1)
     }
--- a/crates/route/tests/filters.rs
+++ b/crates/route/tests/filters.rs
@@ -205,7 +205,7 @@
         waited: Duration::ZERO,
         queue_wait: time(4),
         within_share: input.within_share,
-        weights: RouteWeights { latency: input.weights.0, away: input.weights.1 },
+        weights: RouteWeights { latency: input.weights.0, forwarding: input.weights.1 },
     };
     let candidates: Vec<Candidate<'_>> = input
         .candidates
@@ -269,7 +269,7 @@
     offers: &[RegionOffer<'_>],
     decision: RouteDecision,
 ) -> Result<(), String> {
-    let (region, away) = match decision {
+    let (region, is_forwarded) = match decision {
         RouteDecision::Local { backend } => {
             let row = candidates.get(backend).ok_or("no such candidate")?;
             ensure(!row.leaving, "a leaving backend server")?;
@@ -292,8 +292,8 @@
         ensure(list.contains(region), "outside its allowed regions")?;
     }
     ensure(request.home.is_none_or(|home| home == region), "outside its home region")?;
-    ensure(!(away && request.origin.is_some()), "a second hop")?;
-    ensure(!(away && request.stale_config), "forwarded under a stale configuration")?;
+    ensure(!(is_forwarded && request.origin.is_some()), "a second hop between regions")?;
+    ensure(!(is_forwarded && request.stale_config), "forwarded under a stale configuration")?;
     ensure(request.origin != Some(request.local_region), "a looped request accepted")
 }
 
