--- a/crates/poison/src/record.rs
+++ b/crates/poison/src/record.rs
@@ -77,8 +77,8 @@
         })
     }
 
-    /// Returns the number of crashes accepted by `counts`, less the number of answers. Coincident
-    /// crashes are counted separately.
+    /// Returns the number of crashes accepted by `is_evidence`, less the number of answers.
+    /// Coincident crashes are counted separately.
     pub(crate) fn net_crashes(
         &self,
         is_evidence: impl Fn(&BackendRun, SignedTime) -> bool,
@@ -87,9 +87,9 @@
         ends.saturating_sub(self.sends.len() - self.crashes().count())
     }
 
-    /// Returns the evidence against the request: the number of crashes accepted by `counts`, where
-    /// crashes of overlapping sends that end close together count as one and each answer cancels
-    /// one.
+    /// Returns the evidence against the request: the number of crashes accepted by `is_evidence`,
+    /// where crashes of overlapping sends that end close together count as one and each answer
+    /// cancels one.
     pub(crate) fn evidence(
         &self,
         settings: &CrashTrackerSettings,
