--- a/crates/poison/tests/schedules/main.rs
+++ b/crates/poison/tests/schedules/main.rs
@@ -113,7 +113,7 @@
             Simulation::new(Scenario { holds: false, ..retry_storm }, seed).run(SIMULATED_MS);
         let with = Simulation::new(retry_storm, seed).run(SIMULATED_MS);
         println!(
-            "seed {seed}: {} and {} unrelated cut off, {} and {} engines crashed, {} and {} unserved",
+            "seed {seed}: {} and {} cut off, {} and {} engines crashed, {} and {} unserved",
             without.cut_off,
             with.cut_off,
             without.crashed_runs,
