--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -1,13 +1,15 @@
-//! What a control process recalls of its run before, and what a gateway makes of it.
+//! Snapshot of a control process's previous run, and its use by a gateway.
 
 use {
     gullglade_control::{DataFolder, DiskError, FileStat},
     gullglade_event::{MemorySink, MetricSet},
     gullglade_fleet::{
-        BackendRecord, BackendStanding, FleetBook, FleetMemory, FleetServer, FleetSettings,
-        FleetView, ServingState, SyncReply, TrafficSnapshot, TrafficSource,
+        BackendObservation, BackendRecord, FleetRegistry, FleetServer, FleetSettings,
+        FleetSnapshot, FleetView, ServingState, SyncReply, TrafficSnapshot, TrafficSource,
+    },
+    gullglade_poison::{
+        CrashTrackerSettings, CrashUpdate, FingerprintKey, RequestContent, SharedCrashTracker,
     },
-    gullglade_poison::{AccountSettings, CrashLedger, CrashNews, PrintKey, RequestView},
     gullglade_traffic::{RawTraffic, TrafficError, TrafficFormat},
     gullglade_units::{
         BackendName, BackendRun, BootTime, FailureDomain, Incarnation, LocalFuture, MonotonicTime,
@@ -22,7 +24,7 @@
     MonotonicTime(Duration::from_millis(millis))
 }
 
-/// The same moment on the clock of a VM that started a minute before.
+/// The same time on the boot clock of a VM that started a minute earlier.
 fn boot(millis: u64) -> BootTime {
     BootTime(Duration::from_millis(60_000 + millis))
 }
@@ -50,12 +52,12 @@
     }
 }
 
-/// No configuration: these tests are about backend servers alone.
+/// Format for tests without configurations.
 struct NoFormat;
 
 impl TrafficFormat for NoFormat {
     fn read(&self, _text: &[u8]) -> Result<RawTraffic, TrafficError> {
-        Err(TrafficError::Unreadable { reason: "there is none".to_owned() })
+        Err(TrafficError::Unreadable { reason: "there is no configuration".to_owned() })
     }
 }
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// A disk that outlives the processes that use it.
+/// Disk that outlives the processes that use it.
 #[derive(Default)]
 struct MemoryFolder {
     files: RefCell<BTreeMap<String, Vec<u8>>>,
@@ -136,94 +138,103 @@
     }
 }
 
-fn ledger(context: &ProcessContext) -> Rc<CrashLedger> {
-    CrashLedger::new(
-        AccountSettings::default(),
+fn crash_tracker(context: &ProcessContext) -> Rc<SharedCrashTracker> {
+    SharedCrashTracker::new(
+        CrashTrackerSettings::default(),
         Rc::clone(&context.clock),
         Rc::<MemorySink>::default(),
         Rc::new(MetricSet::new().expect("metrics")),
     )
 }
 
-/// After a loss of power everywhere no process knew any more under which requests backend servers
-/// had ended, and each of them ended three more.
+/// The crashes must survive a complete restart. Otherwise no process would know the requests, and
+/// each would crash three more backend servers.
 #[test]
-fn requests_that_end_backend_servers_are_recalled() {
+fn requests_that_crash_backend_servers_are_restored() {
     let (world, _) = FakeWorld::new(1);
     let folder: Rc<MemoryFolder> = Rc::default();
-    let view =
-        RequestView { method: "POST", host: "h", target: "/", credentials: b"", body: b"question" };
-    let print = PrintKey::from([1; 32]).print(&view);
+    let request = RequestContent {
+        method: "POST",
+        host: "h",
+        target: "/",
+        credentials: b"",
+        body: b"question",
+    };
+    let fingerprint = FingerprintKey::from([1; 32]).fingerprint(&request);
     let start = || {
         let process = world.process();
         let (context, events) = (process.context().clone(), Rc::<MemorySink>::default());
-        let crashes = ledger(&context);
+        let crashes = crash_tracker(&context);
         let settings = FleetSettings::new(INTERVAL);
         let server =
             FleetServer::new(settings, Rc::new(NoSource), Rc::clone(&crashes), context, events);
-        world.run_until(server.remember(Rc::clone(&folder) as _));
+        world.run_until(server.restore_and_persist(Rc::clone(&folder) as _));
         (process, server, crashes)
     };
     let (process, server, crashes) = start();
     for number in 1..=3 {
         let (backend, incarnation) = (name(&format!("i-{number}")), Incarnation(1));
-        crashes.note_cut_off(print, BackendRun { backend, incarnation }, world.now());
+        crashes.record_cut_off(fingerprint, BackendRun { backend, incarnation }, world.now());
         world.run_for(Duration::from_secs(1));
     }
-    // Anything that is kept is kept with all of it.
+    // Any change of the backend servers saves the crashes as well.
     server.announce(record("i-4", 1));
     world.run_for(Duration::from_secs(1));
     process.kill();
     world.run_for(Duration::from_secs(30));
     let (_process, _server, crashes) = start();
-    let hold = crashes.hold(&print).expect("it is held back");
+    let hold = crashes.hold(&fingerprint).expect("the request is held");
     assert_eq!(hold.ends, 3);
 }
 
-/// A control process over `folder` that hears `said` and ends; what it then recalls at its start.
-fn heard_after_restart(folder: &Rc<MemoryFolder>, said: &[BackendRecord], left: &[&str]) -> usize {
+/// Runs a control process over `folder` that observes `announced` and `left`, and returns the
+/// number of backend servers that its next run restores.
+fn restored_after_restart(
+    folder: &Rc<MemoryFolder>,
+    announced: &[BackendRecord],
+    left: &[&str],
+) -> usize {
     let (world, _) = FakeWorld::new(1);
     let start = |folder: &Rc<MemoryFolder>| {
         let process = world.process();
         let (context, events) = (process.context().clone(), Rc::<MemorySink>::default());
         let settings = FleetSettings::new(INTERVAL);
-        let crashes = ledger(&context);
+        let crashes = crash_tracker(&context);
         let server = FleetServer::new(settings, Rc::new(NoSource), crashes, context, events);
-        world.run_until(server.remember(Rc::clone(folder) as _));
+        world.run_until(server.restore_and_persist(Rc::clone(folder) as _));
         (process, server)
     };
     let (process, server) = start(folder);
-    said.iter().for_each(|record| server.announce(record.clone()));
+    announced.iter().for_each(|record| server.announce(record.clone()));
     left.iter().for_each(|text| server.leave(&name(text)));
     world.run_for(Duration::from_secs(1));
     process.kill();
     let (_process, server) = start(folder);
-    server.heard().0
+    server.live_counts().0
 }
 
 #[test]
-fn a_control_process_recalls_whom_it_heard() {
-    // Symptom: after a loss of power everywhere, gateways know some backend servers and give these
-    // everything; the others stand idle for a second. Sequence: control processes and gateways are
-    // restarted, backend servers announce themselves one after the other. Cause: a control process
-    // began with an empty book.
+fn a_control_process_restores_its_observations() {
+    // After a complete restart, backend servers announce themselves one after the other. With an
+    // empty registry, gateways would send everything to the first ones while the others stay idle
+    // for a second.
     struct Case {
-        what: &'static str,
-        said: Vec<BackendRecord>,
+        description: &'static str,
+        announced: Vec<BackendRecord>,
         left: Vec<&'static str>,
         is_full: bool,
-        /// What the file holds before, where it is not what a process wrote.
+        /// Initial content of the file, if it was not written by a process.
         file: Option<Vec<u8>>,
-        recalled: usize,
+        restored: usize,
     }
-    let said = || vec![record("i-1", 3), record("i-2", 1)];
-    let case = |what, left, is_full, file, recalled| Case {
-        what,
-        said: said(),
+    let announced = || vec![record("i-1", 3), record("i-2", 1)];
+    let case = |description, left, is_full, file, restored| Case {
+        description,
+        announced: announced(),
         left,
         is_full,
         file,
-        recalled,
+        restored,
     };
     let cases = [
         case("both", vec![], false, None, 2),
@@ -237,41 +248,45 @@
         if let Some(bytes) = case.file {
             folder.files.borrow_mut().insert("fleet".to_owned(), bytes);
         }
-        let found = heard_after_restart(&folder, &case.said, &case.left);
-        assert_eq!(found, case.recalled, "{}", case.what);
+        let found = restored_after_restart(&folder, &case.announced, &case.left);
+        assert_eq!(found, case.restored, "{}", case.description);
     }
 }
 
 #[test]
-fn what_is_recalled_is_a_hint() {
-    // Symptom: a backend server that crashed or left gets work again. Sequence: a control process
-    // that was down meanwhile is back and recalls it. Cause: what was heard long ago was told as
-    // if it were heard now.
+fn restored_observations_are_hints() {
+    // A control process that was down must not report its restored observations as current, or a
+    // backend server that crashed or left meanwhile gets work again.
     struct Case {
-        what: &'static str,
-        /// What another control process has said before: silence or not, `None` for nothing.
-        told: Option<bool>,
+        description: &'static str,
+        /// Earlier report of another control process: silent or not, or `None` for no report.
+        reported: Option<bool>,
         has_left: bool,
-        /// When the view is asked, milliseconds after the hint.
-        asked: u64,
-        /// Whether it is known, and as silent.
+        /// Time of the query, in milliseconds after the hint.
+        queried_after_ms: u64,
+        /// Whether the member is silent; `None` if it is unknown.
         expected: Option<bool>,
     }
-    let case =
-        |what, told, has_left, asked, expected| Case { what, told, has_left, asked, expected };
+    let case = |description, reported, has_left, queried_after_ms, expected| Case {
+        description,
+        reported,
+        has_left,
+        queried_after_ms,
+        expected,
+    };
     let cases = [
         case("nothing else is known", None, false, 100, Some(false)),
         case("it has not announced itself since", None, false, 3_100, Some(true)),
-        case("others call it silent", Some(true), false, 100, Some(true)),
-        case("others hear it", Some(false), false, 100, Some(false)),
+        case("another process reports it as silent", Some(true), false, 100, Some(true)),
+        case("another process observes it", Some(false), false, 100, Some(false)),
         case("it has left", Some(false), true, 100, None),
     ];
     for case in cases {
-        let mut before = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
-        before.announce(record("i-1", 5), at(10));
-        let memory: FleetMemory = before.memory(at(20));
-        let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
-        book.recall(memory, at(10_000));
+        let mut previous = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        previous.announce(record("i-1", 5), at(10));
+        let snapshot: FleetSnapshot = previous.snapshot(at(20));
+        let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+        registry.restore(snapshot, at(10_000));
 
         let mut view = FleetView::new(Rc::new(NoFormat));
         let reply = |backends, departed| SyncReply {
@@ -281,43 +296,44 @@
             departed,
             gateways: Vec::new(),
             gateway_total: 0,
-            crashes: CrashNews::default(),
+            crashes: CrashUpdate::default(),
             regions: Vec::new(),
             traffic: None,
             confirmed_ago: None,
             held: Duration::ZERO,
             controls: Vec::new(),
         };
-        if let Some(is_silent) = case.told {
+        if let Some(is_silent) = case.reported {
             let record = record("i-1", 7);
-            let told = BackendStanding { record, is_silent, is_recalled: false };
-            view.merge(control(2), true, reply(vec![told], Vec::new()), boot(9_000), at(9_000))
+            let reported = BackendObservation { record, is_silent, is_recalled: false };
+            view.merge(control(2), true, reply(vec![reported], Vec::new()), boot(9_000), at(9_000))
                 .expect("merged");
         }
         if case.has_left {
-            let mut other = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
+            let mut other = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
             other.leave(&name("i-1"), WallMillis(50_000), at(9_500));
             let departed = reply(Vec::new(), other.departed_after(0));
             view.merge(control(2), false, departed, boot(9_500), at(9_500)).expect("merged");
         }
-        let hint = reply(book.backends_after(0, at(10_000)), book.departed_after(0));
+        let hint = reply(registry.backends_after(0, at(10_000)), registry.departed_after(0));
         view.merge(control(1), true, hint, boot(10_000), at(10_000)).expect("merged");
-        let row = view.backends(at(10_000 + case.asked)).next();
-        assert_eq!(row.map(|row| row.is_silent), case.expected, "{}", case.what);
+        let row = view.backends(at(10_000 + case.queried_after_ms)).next();
+        assert_eq!(row.map(|row| row.is_silent), case.expected, "{}", case.description);
     }
 
-    // An announcement makes a hint a fact, whatever its count.
-    let mut book = FleetBook::new(FleetSettings::new(INTERVAL), at(0));
-    book.recall(
-        FleetMemory {
+    // An announcement turns the hint into an observation, whatever its sequence number.
+    let mut registry = FleetRegistry::new(FleetSettings::new(INTERVAL), at(0));
+    registry.restore(
+        FleetSnapshot {
             backends: vec![record("i-1", 5)],
             departed: Vec::new(),
-            crashes: CrashNews::default(),
+            crashes: CrashUpdate::default(),
         },
         at(0),
     );
-    let standing = book.announce(record("i-1", 6), at(900)).expect("it is news");
-    assert!(!standing.is_recalled);
-    book.tick(at(4_000));
-    assert_eq!(book.backends_after(0, at(4_000)).len(), 1);
+    let observation =
+        registry.announce(record("i-1", 6), at(900)).expect("the observation changed");
+    assert!(!observation.is_recalled);
+    registry.tick(at(4_000));
+    assert_eq!(registry.backends_after(0, at(4_000)).len(), 1);
 }
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -12,7 +12,7 @@
     gullglade_backend::{BackendKind, BackendTarget, BackendView, PrefixHash},
     gullglade_document::ServiceTarget,
     gullglade_route::{
-        BackendRole, Candidate, EngineCapacity, GladeSettings, HealthState, LoadReport, OwnLoad,
+        BackendRole, Candidate, EngineCapacity, HealthState, LatencySettings, LoadReport, OwnLoad,
         RefuseReason, RegionOffer, Residency, RouteDecision, RoutePolicy, RouteRequest,
         RouteWeights, permit_capacity,
     },
@@ -71,7 +71,7 @@
                     let prefill = plan.prompt.tokens.saturating_sub(cached);
                     Placement::Local(SelectedBackend::new(usable[backend], prefill))
                 }
-                RouteDecision::Away { offer } => Placement::Remote(offers[offer].region.clone()),
+                RouteDecision::Forward { offer } => Placement::Remote(offers[offer].region.clone()),
                 RouteDecision::Wait { at_most } => Placement::Wait(at_most),
                 RouteDecision::Refuse { reason, retry_after } => {
                     let earliest_backoff_end =
@@ -96,7 +96,7 @@
         let weight = plan.document.latency_weight;
         RouteRequest {
             now,
-            here: &self.config.region,
+            local_region: &self.config.region,
             origin: plan.origin.as_ref(),
             residency: Residency::Only(regions),
             home: plan.home.as_ref(),
@@ -104,13 +104,13 @@
             model,
             role: if model.is_some() { BackendRole::Generate } else { BackendRole::Service },
             prompt_tokens: saturating_u32(plan.prompt.tokens),
-            hold: self.average_holding_time(&plan.target),
+            holding_time: self.average_holding_time(&plan.target),
             target: plan.document.target.first_token,
             deadline: Some(self.remaining(plan)),
             waited: now.since(plan.received),
             queue_wait,
             within_share: !self.is_over_share(plan),
-            weights: RouteWeights { latency: weight, away: 1.0 - weight },
+            weights: RouteWeights { latency: weight, forwarding: 1.0 - weight },
         }
     }
 
@@ -123,7 +123,7 @@
     pub(crate) fn refresh_capacity(&self, target: &ServiceTarget) {
         let model = target_model(target);
         let gateways = self.directory.gateway_count();
-        let GladeSettings { overcommit, reserve, .. } = GladeSettings::default();
+        let LatencySettings { overcommit, reserve, .. } = LatencySettings::default();
         let capacity = self.backends.with_candidates(backend_target(target), |views| {
             // Capacity of a backend server in back-off must not be used to admit requests to the
             // others. If all are in back-off, requests wait for the first one to become available.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_http::{ApiError, HttpClient, ReplyBody, RequestBody, RequestHandler},
     gullglade_peer::PeerTransport,
-    gullglade_route::{AwaySettings, CheckedPolicy, GladePolicy, GladeSettings},
+    gullglade_route::{CheckedPolicy, ForwardingSettings, LatencyPolicy, LatencySettings},
     gullglade_units::{LocalFuture, ModelName, ProcessContext, ServiceName},
     http::{Method, Request, Response},
     std::{
@@ -91,7 +91,7 @@
 /// A routing policy and the document's limit on the forwarded share that it was created with.
 struct PolicyEntry {
     cap: f64,
-    policy: Rc<CheckedPolicy<GladePolicy>>,
+    policy: Rc<CheckedPolicy<LatencyPolicy>>,
 }
 
 /// A retry budget and the document's retry share that it was created with.
@@ -236,7 +236,7 @@
     /// Returns the routing policy for `plan`. There is one for each service and target, since each
     /// limits the share of requests it forwards on its own. Replaced when the limit in the document
     /// changes.
-    pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<GladePolicy>> {
+    pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<LatencyPolicy>> {
         let key = (plan.service().clone(), plan.target.clone());
         let cap = plan.document.limits.away_share;
         let mut policies = self.policies.borrow_mut();
@@ -265,9 +265,9 @@
 
 impl PolicyEntry {
     fn new(cap: f64) -> Self {
-        let away = AwaySettings { cap, ..AwaySettings::default() };
-        let settings = GladeSettings { away, ..GladeSettings::default() };
-        Self { cap, policy: Rc::new(CheckedPolicy::new(GladePolicy::new(settings))) }
+        let away = ForwardingSettings { max_share: cap, ..ForwardingSettings::default() };
+        let settings = LatencySettings { forwarding: away, ..LatencySettings::default() };
+        Self { cap, policy: Rc::new(CheckedPolicy::new(LatencyPolicy::new(settings))) }
     }
 }
 
--- /dev/null
+++ b/crates/poison/src/shared.rs
@@ -0,0 +1,143 @@
+//! Crash tracker of a running process, with a clock, events and metrics.
+
+use {
+    crate::{
+        ContentFingerprint, CrashTracker, CrashTrackerSettings, CrashUpdate, RequestHold,
+        UpdateScope,
+    },
+    gullglade_event::{EventDraft, EventSink, Level, MetricSet},
+    gullglade_units::{BackendRun, Clock, MonotonicTime},
+    std::{
+        cell::{Cell, RefCell},
+        collections::BTreeSet,
+        rc::Rc,
+        time::Duration,
+    },
+};
+
+/// Interval between expiry runs.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Crash tracker of one process, shared by its requests and by the session that exchanges updates
+/// with other processes.
+pub struct SharedCrashTracker {
+    tracker: RefCell<CrashTracker>,
+    clock: Rc<dyn Clock>,
+    events: Rc<dyn EventSink>,
+    metrics: Rc<MetricSet>,
+    /// The held requests as of the last hold events.
+    reported_holds: RefCell<BTreeSet<ContentFingerprint>>,
+    last_expiry: Cell<MonotonicTime>,
+}
+
+impl SharedCrashTracker {
+    /// Creates an empty tracker.
+    pub fn new(
+        settings: CrashTrackerSettings,
+        clock: Rc<dyn Clock>,
+        events: Rc<dyn EventSink>,
+        metrics: Rc<MetricSet>,
+    ) -> Rc<Self> {
+        let last_expiry = Cell::new(clock.now());
+        Rc::new(Self {
+            tracker: RefCell::new(CrashTracker::new(settings)),
+            clock,
+            events,
+            metrics,
+            reported_holds: RefCell::default(),
+            last_expiry,
+        })
+    }
+
+    /// Returns whether no request is tracked, so that no fingerprint has to be computed.
+    pub fn is_empty(&self) -> bool {
+        self.tracker.borrow().is_empty()
+    }
+
+    /// Returns the hold on a request, if there is one.
+    pub fn hold(&self, fingerprint: &ContentFingerprint) -> Option<RequestHold> {
+        self.tracker.borrow().hold(fingerprint, self.clock.now())
+    }
+
+    /// Returns all held requests.
+    pub fn holds(&self) -> Vec<(ContentFingerprint, RequestHold)> {
+        self.tracker.borrow().holds(self.clock.now())
+    }
+
+    /// Clears the history of a request that an operator declares safe. Returns false if nothing is
+    /// known of it.
+    pub fn release(&self, fingerprint: ContentFingerprint) -> bool {
+        let is_known = self.tracker.borrow_mut().release(fingerprint, self.clock.now());
+        self.emit_hold_events();
+        is_known
+    }
+
+    /// Records that the connection to `run` broke while it had the request, which was sent there at
+    /// `sent`. Returns the number of backend servers that crashed under the request.
+    pub fn record_cut_off(
+        &self,
+        fingerprint: ContentFingerprint,
+        run: BackendRun,
+        sent: MonotonicTime,
+    ) -> usize {
+        let mut tracker = self.tracker.borrow_mut();
+        tracker.record_cut_off(fingerprint, run, sent, self.clock.now());
+        let ends = tracker.crashes(&fingerprint);
+        drop(tracker);
+        self.metrics.cut_off();
+        self.emit_hold_events();
+        ends
+    }
+
+    /// Records a complete answer to a request with a known crash.
+    pub fn record_answer(&self, fingerprint: ContentFingerprint, answer: u64) {
+        self.tracker.borrow_mut().record_answer(fingerprint, answer, self.clock.now());
+        self.emit_hold_events();
+    }
+
+    /// Records that `run` answered a request sent at `sent`.
+    pub fn record_alive(&self, run: &BackendRun, sent: MonotonicTime) {
+        if !self.is_empty() && self.tracker.borrow_mut().record_alive(run, sent) {
+            self.emit_hold_events();
+        }
+    }
+
+    /// Returns the changes after `cursor`.
+    pub fn updates_after(&self, cursor: u64, scope: UpdateScope) -> CrashUpdate {
+        self.tracker.borrow().updates_after(cursor, scope, self.clock.now())
+    }
+
+    /// Merges an update of another process. Returns whether anything changed.
+    pub fn merge(&self, update: CrashUpdate) -> bool {
+        let now = self.clock.now();
+        let is_new = self.tracker.borrow_mut().merge(update, now);
+        let is_due = now.since(self.last_expiry.get()) >= EXPIRY_INTERVAL;
+        if is_due {
+            self.last_expiry.set(now);
+            self.tracker.borrow_mut().expire(now);
+        }
+        if is_new || is_due {
+            self.emit_hold_events();
+        }
+        is_new
+    }
+
+    /// Emits events for the requests that are newly held, and for those that are no longer held.
+    fn emit_hold_events(&self) {
+        let holds = self.holds();
+        let now: BTreeSet<ContentFingerprint> =
+            holds.iter().map(|(fingerprint, _)| *fingerprint).collect();
+        let before = self.reported_holds.replace(now.clone());
+        for (fingerprint, hold) in
+            holds.iter().filter(|(fingerprint, _)| !before.contains(fingerprint))
+        {
+            let event = EventDraft::new("poison.held").level(Level::Warn);
+            let event = event.field("fingerprint", *fingerprint).field("ends", hold.ends);
+            self.events.emit(event.millis("left_ms", hold.left));
+        }
+        for fingerprint in before.difference(&now) {
+            self.events.emit(EventDraft::new("poison.let_go").field("fingerprint", *fingerprint));
+        }
+        self.metrics.fingerprints_held(now.len());
+    }
+}
--- a/crates/proxy/src/execution.rs
+++ b/crates/proxy/src/execution.rs
@@ -24,7 +24,7 @@
         send_tracker::SendTracker,
     },
     gullglade_dispatch::{AttemptTracker, UsedBackend, WorkItem, deadline_for_first_byte},
-    gullglade_poison::RequestPrint,
+    gullglade_poison::ContentFingerprint,
     gullglade_traffic::{TrafficRoute, TrafficWorkspace},
     gullglade_units::{BackendName, MonotonicTime, RegionName, ServiceName, WorkspaceName},
     std::{rc::Rc, time::Duration},
@@ -86,7 +86,7 @@
 /// Decisions of the forwarding gateway about a request.
 pub(crate) struct ForwardedRequest {
     /// Fingerprint of the request, if it was computed.
-    pub(crate) fingerprint: Option<RequestPrint>,
+    pub(crate) fingerprint: Option<ContentFingerprint>,
     pub(crate) service: ServiceName,
     pub(crate) workspace: Option<WorkspaceName>,
     /// Time since the caller sent the request.
@@ -175,7 +175,7 @@
     fn new(
         proxy: &Proxy,
         request: CallerRequest,
-        fingerprint: Option<RequestPrint>,
+        fingerprint: Option<ContentFingerprint>,
         routed: RoutedRequest,
     ) -> Self {
         let RoutedRequest { route, workspace, service, waited, left, total_limit, is_from_caller } =
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -16,7 +16,7 @@
     gullglade_fleet::{FleetFollower, GatewayRow},
     gullglade_http::BodyError,
     gullglade_peer::{PeerError, PeerFault, PeerStream, PeerTransport},
-    gullglade_poison::RequestPrint,
+    gullglade_poison::ContentFingerprint,
     gullglade_units::{
         BackendName, MonotonicTime, ProcessContext, RegionName, ServiceName, WorkspaceName, decode,
         encode, rendezvous::score, timeout,
@@ -93,7 +93,7 @@
     pub(crate) prompt: Option<PromptShape>,
     pub(crate) resume_after: Option<u64>,
     /// Fingerprint of the request, if it was computed.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) print: Option<ContentFingerprint>,
     /// Backend servers that were tried and must not be tried again.
     pub(crate) tried: Vec<BackendName>,
     /// The only backend server that may get the request, if it is sent back to one.
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -5,7 +5,7 @@
     gullglade_dispatch::RefusalReason,
     gullglade_event::FieldValue,
     gullglade_http::{ApiError, ReplyBody, RunState},
-    gullglade_poison::RequestPrint,
+    gullglade_poison::ContentFingerprint,
     gullglade_units::{BackendName, RegionName},
     http::{Response, StatusCode, header::RETRY_AFTER},
     std::{fmt, time::Duration},
@@ -217,7 +217,7 @@
     /// Backend servers ended while they ran this request, and it is not sent for some time.
     HeldBack {
         /// Fingerprint of the request.
-        print: RequestPrint,
+        print: ContentFingerprint,
         /// Number of backend servers that ended.
         ends: u32,
         /// Time for which the request is held back.
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -16,10 +16,10 @@
     },
     gullglade_dispatch::{STALL_CHECK_INTERVAL, Scheduler},
     gullglade_event::{EventDraft, EventSink, Level, MetricSet},
-    gullglade_fleet::{FleetFollower, TrafficInForce},
+    gullglade_fleet::{ActiveTraffic, FleetFollower},
     gullglade_http::{HttpClient, ReplyBody},
     gullglade_peer::{NoticeSender, PeerTransport},
-    gullglade_poison::{CrashLedger, PrintKey},
+    gullglade_poison::{FingerprintKey, SharedCrashTracker},
     gullglade_quota::QuotaTolerance,
     gullglade_units::{MonotonicTime, ProcessContext, RegionName, decode},
     http::Response,
@@ -43,9 +43,9 @@
     /// Headers of requests to and responses from backend servers.
     pub dialect: Rc<dyn BackendDialect>,
     /// Ledger of requests that ended backend servers.
-    pub crashes: Rc<CrashLedger>,
+    pub crashes: Rc<SharedCrashTracker>,
     /// Key for request fingerprints, the same in all gateways.
-    pub fingerprint_key: PrintKey,
+    pub fingerprint_key: FingerprintKey,
     /// Time within which a revoked key must be refused, even without contact to control processes;
     /// `None` if a gateway without contact may keep accepting keys.
     pub revocation: Option<Duration>,
@@ -268,7 +268,7 @@
     }
 
     /// Returns the configuration in force.
-    pub(crate) fn traffic(&self) -> Option<TrafficInForce> {
+    pub(crate) fn traffic(&self) -> Option<ActiveTraffic> {
         self.shared.parts.fleet.traffic()
     }
 
@@ -292,11 +292,11 @@
         &self.shared.parts.dispatcher
     }
 
-    pub(crate) fn crashes(&self) -> &Rc<CrashLedger> {
+    pub(crate) fn crashes(&self) -> &Rc<SharedCrashTracker> {
         &self.shared.parts.crashes
     }
 
-    pub(crate) fn fingerprint_key(&self) -> PrintKey {
+    pub(crate) fn fingerprint_key(&self) -> FingerprintKey {
         self.shared.parts.fingerprint_key
     }
 
--- a/crates/proxy/src/request_fingerprint.rs
+++ b/crates/proxy/src/request_fingerprint.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::CallerRequest,
-    gullglade_poison::{PrintKey, RequestPrint, RequestView},
+    gullglade_poison::{ContentFingerprint, FingerprintKey, RequestContent},
     gullglade_units::WorkspaceName,
     http::header::AUTHORIZATION,
     std::{cell::OnceCell, rc::Rc},
@@ -13,8 +13,8 @@
 pub(crate) struct RequestFingerprint {
     request: Rc<CallerRequest>,
     workspace: Option<WorkspaceName>,
-    key: PrintKey,
-    cached: OnceCell<RequestPrint>,
+    key: FingerprintKey,
+    cached: OnceCell<ContentFingerprint>,
 }
 
 impl RequestFingerprint {
@@ -23,8 +23,8 @@
     pub(crate) fn new(
         request: &Rc<CallerRequest>,
         workspace: Option<WorkspaceName>,
-        key: PrintKey,
-        known: Option<RequestPrint>,
+        key: FingerprintKey,
+        known: Option<ContentFingerprint>,
     ) -> Rc<Self> {
         let cached = known.map_or_else(OnceCell::new, OnceCell::from);
         Rc::new(Self { request: Rc::clone(request), workspace, key, cached })
@@ -35,10 +35,10 @@
     }
 
     /// Returns the fingerprint, computing it on the first call.
-    pub(crate) fn get(&self) -> RequestPrint {
+    pub(crate) fn get(&self) -> ContentFingerprint {
         *self.cached.get_or_init(|| {
             let request = &self.request;
-            self.key.print(&RequestView {
+            self.key.fingerprint(&RequestContent {
                 method: request.method.as_str(),
                 host: &request.host,
                 target: &request.target,
@@ -58,7 +58,7 @@
     }
 
     /// Returns the fingerprint if it has been computed.
-    pub(crate) fn cached(&self) -> Option<RequestPrint> {
+    pub(crate) fn cached(&self) -> Option<ContentFingerprint> {
         self.cached.get().copied()
     }
 }
--- a/crates/proxy/src/send_monitor.rs
+++ b/crates/proxy/src/send_monitor.rs
@@ -4,7 +4,7 @@
     crate::request_fingerprint::RequestFingerprint,
     gullglade_dispatch::{StatementChange, WorkOutcome},
     gullglade_event::{EventDraft, EventSink},
-    gullglade_poison::CrashLedger,
+    gullglade_poison::SharedCrashTracker,
     gullglade_units::{BackendRun, MonotonicTime, rendezvous::score},
     std::rc::Rc,
 };
@@ -14,14 +14,14 @@
     pub(crate) fingerprint: Rc<RequestFingerprint>,
     pub(crate) run: BackendRun,
     pub(crate) sent: MonotonicTime,
-    pub(crate) crashes: Rc<CrashLedger>,
+    pub(crate) crashes: Rc<SharedCrashTracker>,
     pub(crate) events: Rc<dyn EventSink>,
 }
 
 impl SendMonitor {
     /// Notes that the first byte of the response has arrived.
     pub(crate) fn note_first_byte(&self) {
-        self.crashes.note_life(&self.run, self.sent);
+        self.crashes.record_alive(&self.run, self.sent);
     }
 
     /// Logs a change in the statements of the backend server.
@@ -45,7 +45,7 @@
             WorkOutcome::Broken => self.cut_off(now),
             WorkOutcome::Answered | WorkOutcome::Failed if !self.crashes.is_empty() => {
                 let answer = score(self.fingerprint.request().id.as_str(), "answer");
-                self.crashes.note_answer(self.fingerprint.get(), answer);
+                self.crashes.record_answer(self.fingerprint.get(), answer);
             }
             // The caller left, the request did not run, or nothing came: no evidence about the
             // request.
@@ -55,7 +55,7 @@
 
     fn cut_off(&self, now: MonotonicTime) {
         let fingerprint = self.fingerprint.get();
-        let ends = self.crashes.note_cut_off(fingerprint, self.run.clone(), self.sent);
+        let ends = self.crashes.record_cut_off(fingerprint, self.run.clone(), self.sent);
         let event =
             EventDraft::new("request.cut_off").field("request", &self.fingerprint.request().id);
         let event = event.field("fingerprint", fingerprint).field("ends", ends);
--- a/crates/proxy/tests/poison.rs
+++ b/crates/proxy/tests/poison.rs
@@ -167,6 +167,6 @@
     end_three_backends(&bed);
     bed.restart_control();
     bed.world.run_for(Duration::from_secs(4));
-    let news = bed.control_crash_ledger().news_after(0, gullglade_poison::NewsScope::Suspects);
+    let news = bed.control_crash_ledger().updates_after(0, gullglade_poison::UpdateScope::Suspects);
     assert_eq!(news.reports.len(), 1, "{news:?}");
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -27,7 +27,7 @@
         HandlerTable, NoticeSender, PeerIdentity,
         fake::{FakeLink, FakeNetwork, FakeNode, FakeTransport},
     },
-    gullglade_poison::{AccountSettings, CrashLedger, PrintKey},
+    gullglade_poison::{CrashTrackerSettings, FingerprintKey, SharedCrashTracker},
     gullglade_proxy::{
         CallerRequest, CallerRequestId, Dispatcher, ForwardServer, Proxy, ProxyParts,
     },
@@ -157,7 +157,7 @@
     gateways: Vec<BedGateway>,
     control: FakeProcess,
     source: Rc<FixedSource>,
-    control_crash_ledger: Rc<CrashLedger>,
+    control_crash_ledger: Rc<SharedCrashTracker>,
 }
 
 fn start_control(
@@ -166,7 +166,7 @@
     source: &Rc<FixedSource>,
     events: &Rc<MemorySink>,
     after: Duration,
-) -> Rc<CrashLedger> {
+) -> Rc<SharedCrashTracker> {
     let (_, handlers) = join(network, process, 1, "west");
     let context = process.context();
     let events = Rc::clone(events) as Rc<dyn EventSink>;
@@ -316,7 +316,7 @@
             revocation: settings.revocation,
             tolerance: QuotaTolerance { window: Duration::from_secs(8), over: 0.1, slack: 30.0 },
             regions: BTreeSet::from([region("west"), region("east")]),
-            fingerprint_key: PrintKey::from([1; 32]),
+            fingerprint_key: FingerprintKey::from([1; 32]),
             events,
             metrics: Rc::new(MetricSet::new().expect("metrics")),
         });
@@ -359,7 +359,7 @@
     }
 
     /// Returns the control process's ledger of requests that end backend servers.
-    pub(crate) fn control_crash_ledger(&self) -> &CrashLedger {
+    pub(crate) fn control_crash_ledger(&self) -> &SharedCrashTracker {
         &self.control_crash_ledger
     }
 
@@ -480,10 +480,10 @@
     pub(crate) is_incomplete: bool,
 }
 
-fn new_ledger(context: &ProcessContext, events: &Rc<dyn EventSink>) -> Rc<CrashLedger> {
+fn new_ledger(context: &ProcessContext, events: &Rc<dyn EventSink>) -> Rc<SharedCrashTracker> {
     let metrics = Rc::new(MetricSet::new().expect("metrics"));
     let clock = Rc::clone(&context.clock);
-    CrashLedger::new(AccountSettings::default(), clock, Rc::clone(events), metrics)
+    SharedCrashTracker::new(CrashTrackerSettings::default(), clock, Rc::clone(events), metrics)
 }
 
 fn new_dispatcher(
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,38 +1,40 @@
-//! The decision: which backend server, in which region, now, later or not at all.
+//! Request routing: selects a backend server, a remote region, a wait or a refusal.
 //!
-//! A gateway fills borrowed rows ([`Candidate`] for each backend server of its region,
-//! [`RegionOffer`] for each other region) and asks a [`RoutePolicy`]. Nothing here does I/O, reads a
-//! clock or starts a task: the time and the random source come with the call, so the experiments and
-//! the gateway run the same code.
+//! A gateway fills borrowed rows (a [`Candidate`] for each backend server of its region, a
+//! [`RegionOffer`] for each other region) and asks a [`RoutePolicy`]. This crate does no I/O, reads
+//! no clock and spawns no tasks: the time and the random source are arguments, so the experiments
+//! and the gateway run the same code.
 //!
-//! [`CheckedPolicy`] keeps what must always hold (residency, at most one hop, no work for a leaving
-//! backend server) outside the policies: it hands them only what is allowed, and checks what they
-//! answer. [`GladePolicy`] is the policy of the product, [`baseline`] holds those it is compared with.
+//! [`CheckedPolicy`] enforces the invariants (residency, at most one hop between regions, no work
+//! for a leaving backend server) outside the policies: it passes them only the allowed rows and
+//! validates their answer. [`LatencyPolicy`] is the default policy; [`baseline`] holds the policies
+//! that it is compared with.
 //!
-//! The helpers beside the policies keep what a gateway knows of itself: [`OwnLedger`] its own work at
-//! one backend server, [`PrefixTable`] where prompt prefixes are expected in caches.
+//! Two helpers track the state of the gateway itself: [`OwnLoadTracker`] counts its requests at one
+//! backend server, and [`PrefixTable`] records which engines are expected to hold a prompt prefix
+//! in their caches.
 
-mod account;
 pub mod baseline;
 mod candidate;
 mod capacity;
 mod decision;
 mod estimate;
 mod filter;
-mod glade;
-mod ledger;
+mod forwarding;
+mod latency;
 mod offer;
+mod own_load;
 mod prefix;
 mod request;
 
-pub use account::{AwayAccount, AwayBounds, AwaySettings};
 pub use candidate::{BackendRole, Candidate, EngineCapacity, HealthState, LoadReport, OwnLoad};
 pub use capacity::{PermitCapacity, permit_capacity};
 pub use decision::{RefuseReason, RouteDecision, RoutePolicy};
-pub use estimate::{EstimateSettings, FirstToken, PoolLoad, offer_first_token};
-pub use filter::{CheckedPolicy, EligibleSet, HopFault, check_forward};
-pub use glade::{GladePolicy, GladeSettings};
-pub use ledger::OwnLedger;
+pub use estimate::{EstimateSettings, FirstTokenEstimate, PoolLoad, forwarded_first_token};
+pub use filter::{CheckedPolicy, EligibleSet, ForwardError, check_forward};
+pub use forwarding::{ForwardingSettings, ForwardingThresholds, ForwardingTracker};
+pub use latency::{LatencyPolicy, LatencySettings};
 pub use offer::RegionOffer;
-pub use prefix::{EngineIndex, PrefixMark, PrefixTable};
+pub use own_load::OwnLoadTracker;
+pub use prefix::{EngineIndex, PrefixTable, PromptPrefix};
 pub use request::{Residency, RouteRequest, RouteWeights};
