--- a/crates/backend/examples/membership_traffic.rs
+++ b/crates/backend/examples/membership_traffic.rs
@@ -22,7 +22,7 @@
     gullglade_event::NullSink,
     gullglade_peer::{
         HandlerTable, PeerError, PeerIdentity, PeerStream, PeerTransport,
-        fake::{FakeNetwork, FakeNode, FakePolicy, MessageFate, MessagePath},
+        fake::{FakeNetwork, FakeNode, FakePolicy, MessageAction, MessagePath},
     },
     gullglade_units::{
         Incarnation, LocalFuture, ProcessContext, RandomSource, RegionName, decode, encode,
@@ -212,9 +212,9 @@
 struct RegionDelay;
 
 impl FakePolicy for RegionDelay {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         let near = path.from.ip() == path.to.ip();
-        MessageFate::Deliver(Duration::from_millis(if near { 1 } else { 55 }))
+        MessageAction::Deliver(Duration::from_millis(if near { 1 } else { 55 }))
     }
 }
 
--- a/crates/backend/tests/membership/region.rs
+++ b/crates/backend/tests/membership/region.rs
@@ -9,7 +9,7 @@
     gullglade_event::MemorySink,
     gullglade_peer::{
         HandlerTable, PeerIdentity,
-        fake::{FakeLink, FakeNetwork, FakeNode, FakePolicy, MessageFate, MessagePath},
+        fake::{FakeLink, FakeNetwork, FakeNode, FakePolicy, MessageAction, MessagePath},
     },
     gullglade_units::{
         Incarnation, RandomSource, RegionName, SeededRandom,
@@ -38,24 +38,24 @@
 }
 
 impl Disorder {
-    fn fate(&self) -> MessageFate {
+    fn fate(&self) -> MessageAction {
         let delay = || Duration::from_millis(self.random.below(1_500));
         match self.random.below(10) {
-            0 | 1 => MessageFate::Drop,
-            2 => MessageFate::Refuse,
-            3 | 4 => MessageFate::Duplicate(delay(), delay()),
-            5 | 6 => MessageFate::Deliver(delay()),
-            _ => MessageFate::Deliver(LINK_DELAY),
+            0 | 1 => MessageAction::Drop,
+            2 => MessageAction::Refuse,
+            3 | 4 => MessageAction::Duplicate(delay(), delay()),
+            5 | 6 => MessageAction::Deliver(delay()),
+            _ => MessageAction::Deliver(LINK_DELAY),
         }
     }
 }
 
 impl FakePolicy for RegionLink {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        let near = self.near.fate(path);
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
+        let near = self.near.action(path);
         match near {
-            MessageFate::Deliver(_) if self.disorder.on.get() => self.disorder.fate(),
-            MessageFate::Deliver(_) if path.from.ip() != path.to.ip() => self.far.fate(path),
+            MessageAction::Deliver(_) if self.disorder.on.get() => self.disorder.fate(),
+            MessageAction::Deliver(_) if path.from.ip() != path.to.ip() => self.far.action(path),
             _ => near,
         }
     }
--- a/crates/backend/tests/membership/relay.rs
+++ b/crates/backend/tests/membership/relay.rs
@@ -57,7 +57,7 @@
         let region = Region::new(3, *size);
         region.renew(1, 1..4);
         for other in (0..*size).filter(|other| ![1, 2].contains(other)) {
-            region.link.cut(region.nodes[1].address, region.nodes[other].address);
+            region.link.partition(region.nodes[1].address, region.nodes[other].address);
         }
         let relay = region.nodes[1].relay.clone();
         let context = region.nodes[1].process.context().clone();
@@ -156,7 +156,7 @@
         region.renew(2, 1..4);
         for near in [0, 1] {
             for far in 2..*size {
-                region.link.cut(region.nodes[near].address, region.nodes[far].address);
+                region.link.partition(region.nodes[near].address, region.nodes[far].address);
             }
         }
         region.run_millis(5_000);
--- a/crates/claim/examples/claim_ways.rs
+++ b/crates/claim/examples/claim_ways.rs
@@ -13,7 +13,7 @@
     },
     gullglade_peer::{
         HandlerTable, PeerIdentity,
-        fake::{FakeNetwork, FakeNode, FakePolicy, MessageFate, MessagePath},
+        fake::{FakeNetwork, FakeNode, FakePolicy, MessageAction, MessagePath},
     },
     gullglade_units::{
         FailureDomain, HybridClock, Incarnation, OrderKey, ProcessContext, RegionName, VmName,
@@ -90,9 +90,9 @@
 }
 
 impl FakePolicy for RegionDelays {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         let near = region_of(path.from) == region_of(path.to);
-        MessageFate::Deliver(if near { self.near } else { FAR })
+        MessageAction::Deliver(if near { self.near } else { FAR })
     }
 }
 
--- a/crates/control/tests/consensus.rs
+++ b/crates/control/tests/consensus.rs
@@ -4,7 +4,7 @@
 
 use {
     gullglade_control::{ChangeError, ChangeOutcome, ControlError, MemberRole, ReplaceError},
-    gullglade_peer::fake::{FakeLink, FakePolicy, MessageFate, MessageLeg, MessagePath},
+    gullglade_peer::fake::{FakeLink, FakePolicy, MessageAction, MessageDirection, MessagePath},
     gullglade_units::SeededRandom,
     std::{cell::Cell, rc::Rc, time::Duration},
     support::cluster::{Cluster, address, change, vm},
@@ -310,9 +310,9 @@
 }
 
 impl FakePolicy for EntryLoss {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        let is_entry = path.method == "log.append" && path.leg == MessageLeg::Request;
-        if is_entry && self.is_on.get() { MessageFate::Drop } else { self.link.fate(path) }
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
+        let is_entry = path.method == "log.append" && path.direction == MessageDirection::Request;
+        if is_entry && self.is_on.get() { MessageAction::Drop } else { self.link.action(path) }
     }
 }
 
--- a/crates/control/tests/support/gateways.rs
+++ b/crates/control/tests/support/gateways.rs
@@ -3,7 +3,7 @@
 use {
     super::cluster::{Cluster, address, region, vm},
     gullglade_control::{ConfigReplica, RegionPeers, ReplicaConfig},
-    gullglade_peer::fake::{FakePolicy, MessageFate, MessagePath},
+    gullglade_peer::fake::{FakePolicy, MessageAction, MessagePath},
     gullglade_units::{MonotonicTime, fake::FakeProcess},
     std::{
         cell::{Cell, RefCell},
@@ -56,21 +56,21 @@
 }
 
 impl FakePolicy for RegionLink {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         self.messages.set(self.messages.get() + 1);
         let frozen = self.frozen.borrow();
         if frozen.contains(&path.from) || frozen.contains(&path.to) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
         let (from, to) = (region_of(path.from), region_of(path.to));
         if from == to {
-            return MessageFate::Deliver(self.near);
+            return MessageAction::Deliver(self.near);
         }
         let cut = self.cut.borrow();
         if cut.contains(&from) || cut.contains(&to) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
-        MessageFate::Deliver(self.far)
+        MessageAction::Deliver(self.far)
     }
 }
 
--- a/crates/control/tests/support/schedule.rs
+++ b/crates/control/tests/support/schedule.rs
@@ -8,7 +8,7 @@
     },
     futures::channel::oneshot,
     gullglade_control::{ChangeOutcome, ChangeRequest, ControlNode, LogIndex},
-    gullglade_peer::fake::{FakePolicy, MessageFate, MessageLeg, MessagePath},
+    gullglade_peer::fake::{FakePolicy, MessageAction, MessageDirection, MessagePath},
     gullglade_units::{MonotonicTime, ProcessContext, RandomSource, SeededRandom, timeout},
     std::{
         cell::{Cell, RefCell},
@@ -55,22 +55,22 @@
 }
 
 impl FakePolicy for TroubledLink {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         if !self.is_troubled.get() {
-            return MessageFate::Deliver(self.delay);
+            return MessageAction::Deliver(self.delay);
         }
         if self.cut.borrow().contains(&(path.from, path.to)) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
         let draw = self.random.below(1_000);
         if draw < self.losses {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
-        if draw < self.losses + self.doubles && path.leg == MessageLeg::Request {
+        if draw < self.losses + self.doubles && path.direction == MessageDirection::Request {
             let late = Duration::from_millis(self.random.below(LATEST));
-            return MessageFate::Duplicate(self.delay(), late);
+            return MessageAction::Duplicate(self.delay(), late);
         }
-        MessageFate::Deliver(self.delay())
+        MessageAction::Deliver(self.delay())
     }
 }
 
--- a/crates/demo/src/gateway_thread.rs
+++ b/crates/demo/src/gateway_thread.rs
@@ -179,7 +179,7 @@
                 answer(reply, ());
             }
             GatewayCommand::Cut(peers, cut, reply) => {
-                peers.into_iter().for_each(|peer| self.link.set_cut(peer, cut));
+                peers.into_iter().for_each(|peer| self.link.set_partitioned(peer, cut));
                 answer(reply, ());
             }
             GatewayCommand::ShutDown(limit, reply) => {
--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -13,7 +13,7 @@
         ServiceOffer, ServingState,
     },
     gullglade_http::{ClientConfig, PooledClient, RequestHandler, ServerConfig, StopHandle},
-    gullglade_peer::{NoticePort, PeerPool, PeerStopHandle},
+    gullglade_peer::{NoticeSocket, PeerPool, PeerStopHandle},
     gullglade_poison::{AccountSettings, CrashLedger},
     gullglade_proxy::{BackendDialect, Dispatcher, ForwardServer, Proxy, ProxyParts},
     gullglade_quota::QuotaTolerance,
@@ -95,7 +95,7 @@
         let core = NodeCore::open(settings.core.clone(), &context, None)?;
         let events = core.throttled_events();
         let notices =
-            NoticePort::bind(settings.core.peer_address, &settings.core.peer, context.clone())
+            NoticeSocket::bind(settings.core.peer_address, &settings.core.peer, context.clone())
                 .context(NoticeStart)?;
         let crashes = CrashLedger::new(
             settings.crashes,
--- a/crates/peer/src/fake.rs
+++ b/crates/peer/src/fake.rs
@@ -13,4 +13,4 @@
 
 pub use endpoint::FakeTransport;
 pub use network::{FakeNetwork, FakeNode};
-pub use policy::{FakeLink, FakePolicy, MessageFate, MessageLeg, MessagePath};
+pub use policy::{FakeLink, FakePolicy, MessageAction, MessageDirection, MessagePath};
--- a/crates/peer/src/fake/endpoint.rs
+++ b/crates/peer/src/fake/endpoint.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         network::{FakeNetwork, FakeNode},
-        policy::{MessageFate, MessageLeg, MessagePath},
+        policy::{MessageAction, MessageDirection, MessagePath},
         serve::{FakeCall, ReplyPipe, reply_pipe},
     },
     crate::{PeerError, PeerStream, PeerTransport, transport::within_limit, wire::CallKind},
@@ -38,17 +38,22 @@
         sent: &Cell<bool>,
     ) -> Result<ReplyPipe, PeerError> {
         let refused = || PeerError::Connect { address: to, reason: "connection refused".into() };
-        let path = MessagePath { from: self.node.address, to, method, leg: MessageLeg::Request };
-        let fate = self.network.fate(path);
-        let (delay, again) = match fate {
-            MessageFate::Refuse => return Err(refused()),
-            MessageFate::Drop => {
+        let path = MessagePath {
+            from: self.node.address,
+            to,
+            method,
+            direction: MessageDirection::Request,
+        };
+        let action = self.network.action(path);
+        let (delay, again) = match action {
+            MessageAction::Refuse => return Err(refused()),
+            MessageAction::Drop => {
                 sent.set(true);
                 self.node.context.clock.sleep(LOST_AFTER).await;
                 return Err(broken(to, "no answer to a ping"));
             }
-            MessageFate::Deliver(delay) => (delay, None),
-            MessageFate::Duplicate(delay, again) => (delay, Some(again)),
+            MessageAction::Deliver(delay) => (delay, None),
+            MessageAction::Duplicate(delay, again) => (delay, Some(again)),
         };
         let target = self.network.node(to).ok_or_else(refused)?;
         sent.set(true);
@@ -137,9 +142,13 @@
         body: Bytes,
     ) -> LocalFuture<'a, Result<PeerStream, PeerError>> {
         Box::pin(async move {
-            let path =
-                MessagePath { from: self.node.address, to, method, leg: MessageLeg::Request };
-            if matches!(self.network.fate(path), MessageFate::Drop) {
+            let path = MessagePath {
+                from: self.node.address,
+                to,
+                method,
+                direction: MessageDirection::Request,
+            };
+            if matches!(self.network.action(path), MessageAction::Drop) {
                 return Ok(self.lost_stream(to));
             }
             let sent = Cell::new(false);
--- a/crates/peer/src/fake/network.rs
+++ b/crates/peer/src/fake/network.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         endpoint::FakeTransport,
-        policy::{FakePolicy, MessageFate, MessagePath},
+        policy::{FakePolicy, MessageAction, MessagePath},
     },
     crate::{HandlerTable, PeerIdentity},
     gullglade_units::{HybridClock, ProcessContext},
@@ -63,7 +63,7 @@
         self.shared.policy.cancel_delay()
     }
 
-    pub(super) fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        self.shared.policy.fate(path)
+    pub(super) fn action(&self, path: MessagePath<'_>) -> MessageAction {
+        self.shared.policy.action(path)
     }
 }
--- a/crates/peer/src/fake/policy.rs
+++ b/crates/peer/src/fake/policy.rs
@@ -9,7 +9,7 @@
 
 /// Which way a message goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum MessageLeg {
+pub enum MessageDirection {
     /// The call.
     Request,
     /// The answer, a message of a streamed answer, or its end.
@@ -26,12 +26,12 @@
     /// The method called.
     pub method: &'a str,
     /// The way it goes.
-    pub leg: MessageLeg,
+    pub direction: MessageDirection,
 }
 
 /// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MessageFate {
+pub enum MessageAction {
     /// It arrives after the delay.
     Deliver(Duration),
     /// A request arrives twice, as when a caller resends after a lost answer: the handler runs
@@ -46,7 +46,7 @@
 /// Decides the fate of every message.
 pub trait FakePolicy {
     /// The fate of the message on `path`.
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate;
+    fn action(&self, path: MessagePath<'_>) -> MessageAction;
 
     /// How long the word takes that nobody waits for a reply any more.
     fn cancel_delay(&self) -> Duration {
@@ -79,7 +79,7 @@
     }
 
     /// Loses everything between `a` and `b` from now on.
-    pub fn cut(&self, a: SocketAddr, b: SocketAddr) {
+    pub fn partition(&self, a: SocketAddr, b: SocketAddr) {
         self.cuts.borrow_mut().extend([(a, b), (b, a)]);
     }
 
@@ -95,7 +95,7 @@
         others
             .iter()
             .filter(|other| **other != address)
-            .for_each(|other| self.cut(address, *other));
+            .for_each(|other| self.partition(address, *other));
     }
 
     /// Ends every cut.
@@ -105,11 +105,11 @@
 }
 
 impl FakePolicy for FakeLink {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         if self.cuts.borrow().contains(&(path.from, path.to)) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
-        MessageFate::Deliver(self.delay.get())
+        MessageAction::Deliver(self.delay.get())
     }
 
     fn cancel_delay(&self) -> Duration {
--- a/crates/peer/src/fake/serve.rs
+++ b/crates/peer/src/fake/serve.rs
@@ -4,7 +4,7 @@
     super::{
         endpoint::LOST_AFTER,
         network::{FakeNetwork, FakeNode},
-        policy::{MessageFate, MessageLeg, MessagePath},
+        policy::{MessageAction, MessageDirection, MessagePath},
     },
     crate::{FaultKind, PeerFault, PeerReplySink, ReplySender, wire::CallKind},
     bytes::Bytes,
@@ -145,27 +145,27 @@
         }
         let target = &self.call.target;
         let clock = &target.context.clock;
-        match self.fate() {
-            MessageFate::Deliver(delay) | MessageFate::Duplicate(delay, _) => {
+        match self.action() {
+            MessageAction::Deliver(delay) | MessageAction::Duplicate(delay, _) => {
                 let stamp = target.clock.stamp(clock.wall());
                 self.send(ReplyItem { due: clock.now() + delay, stamp, outcome }).await
             }
-            MessageFate::Drop => {
+            MessageAction::Drop => {
                 self.lost.set(true);
                 clock.sleep(LOST_AFTER).await;
                 Err(PeerFault::cancelled())
             }
-            MessageFate::Refuse => {
+            MessageAction::Refuse => {
                 self.lost.set(true);
                 Err(PeerFault::cancelled())
             }
         }
     }
 
-    fn fate(&self) -> MessageFate {
+    fn action(&self) -> MessageAction {
         let FakeCall { network, caller, target, method, .. } = &*self.call;
         let (from, to) = (target.address, caller.address);
-        network.fate(MessagePath { from, to, method, leg: MessageLeg::Reply })
+        network.action(MessagePath { from, to, method, direction: MessageDirection::Reply })
     }
 
     async fn send(&self, item: ReplyItem) -> Result<(), PeerFault> {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -42,7 +42,7 @@
 pub use handler::{HandlerTable, PeerHandler, PeerReplySink, ReplySender};
 pub use identity::{IdentityError, PeerIdentity, PeerSecret};
 pub use link::{LinkPolicy, LinkShaper};
-pub use notice::{NOTICE_LIMIT, NoticeBindError, NoticeHandler, NoticePort, NoticeSender};
+pub use notice::{MAX_NOTICE_BYTES, NoticeBindError, NoticeHandler, NoticeSender, NoticeSocket};
 pub use pool::PeerPool;
 pub use server::{BindError, PeerServer, PeerStopHandle};
 pub use transport::{PeerStream, PeerTransport};
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -11,10 +11,10 @@
 /// own calls, chunk by chunk.
 pub trait LinkPolicy {
     /// The delay of a message to or from `address`, one way.
-    fn delay_to(&self, address: SocketAddr) -> Duration;
+    fn one_way_delay(&self, address: SocketAddr) -> Duration;
 
     /// Whether the link loses everything now.
-    fn cut(&self, address: SocketAddr) -> bool;
+    fn is_partitioned(&self, address: SocketAddr) -> bool;
 }
 
 /// Delays by address and cuts that are set and healed while sessions run.
@@ -42,7 +42,7 @@
     }
 
     /// Cuts the link to `address`, or heals it.
-    pub fn set_cut(&self, address: SocketAddr, cut: bool) {
+    pub fn set_partitioned(&self, address: SocketAddr, cut: bool) {
         let mut cuts = self.cuts.borrow_mut();
         if cut {
             cuts.insert(address);
@@ -53,11 +53,11 @@
 }
 
 impl LinkPolicy for LinkShaper {
-    fn delay_to(&self, address: SocketAddr) -> Duration {
+    fn one_way_delay(&self, address: SocketAddr) -> Duration {
         self.delays.borrow().get(&address).copied().unwrap_or(self.default.get())
     }
 
-    fn cut(&self, address: SocketAddr) -> bool {
+    fn is_partitioned(&self, address: SocketAddr) -> bool {
         self.cuts.borrow().contains(&address)
     }
 }
--- a/crates/peer/src/notice.rs
+++ b/crates/peer/src/notice.rs
@@ -22,7 +22,7 @@
 
 /// The most bytes of a notice's body. With the code and the headers of UDP and IP a datagram stays
 /// below the 1,500 bytes of an Ethernet frame, so that none is split on its way.
-pub const NOTICE_LIMIT: usize = 1_200;
+pub const MAX_NOTICE_BYTES: usize = 1_200;
 
 /// The bytes of the code before the body: half of an HMAC-SHA-256, as RFC 2104 allows.
 const CODE_BYTES: usize = 16;
@@ -46,7 +46,7 @@
 
 /// Sends notices.
 pub trait NoticeSender {
-    /// Sends `body`, at most [`NOTICE_LIMIT`] bytes, to each of `to`. It never waits: what the
+    /// Sends `body`, at most [`MAX_NOTICE_BYTES`] bytes, to each of `to`. It never waits: what the
     /// network does not take at once is lost, like any other notice may be.
     fn notify(&self, to: &[SocketAddr], body: &[u8]);
 }
@@ -84,7 +84,7 @@
 }
 
 /// The UDP port of a process, beside the TCP port of its sessions.
-pub struct NoticePort {
+pub struct NoticeSocket {
     socket: UdpSocket,
     sender: std::net::UdpSocket,
     address: SocketAddr,
@@ -94,7 +94,7 @@
     has_warned: Cell<bool>,
 }
 
-impl NoticePort {
+impl NoticeSocket {
     /// Takes notices at `address`.
     pub fn bind(
         address: SocketAddr,
@@ -129,7 +129,7 @@
     /// Hands the body of each notice to `handler`, for as long as the process runs. Datagrams that
     /// no holder of the secret made are dropped; the first one is told of.
     pub async fn run(self: Rc<Self>, handler: NoticeHandler) {
-        let mut buffer = vec![0; CODE_BYTES + NOTICE_LIMIT];
+        let mut buffer = vec![0; CODE_BYTES + MAX_NOTICE_BYTES];
         loop {
             let (read, returned) = self.socket.recv_from(buffer).await;
             buffer = returned;
@@ -153,11 +153,11 @@
     }
 }
 
-impl NoticeSender for NoticePort {
+impl NoticeSender for NoticeSocket {
     fn notify(&self, to: &[SocketAddr], body: &[u8]) {
-        if body.len() > NOTICE_LIMIT {
+        if body.len() > MAX_NOTICE_BYTES {
             let event = EventDraft::new("peer.notice_too_long").level(Level::Error);
-            self.events.emit(event.field("bytes", body.len()).field("limit", NOTICE_LIMIT));
+            self.events.emit(event.field("bytes", body.len()).field("limit", MAX_NOTICE_BYTES));
             return;
         }
         let datagram = self.code.seal(body);
--- a/crates/peer/src/pool.rs
+++ b/crates/peer/src/pool.rs
@@ -89,7 +89,7 @@
     }
 
     /// Who answered at `address`, where a session stands.
-    pub fn peer_at(&self, address: SocketAddr) -> Option<PeerIdentity> {
+    pub fn connected_peer(&self, address: SocketAddr) -> Option<PeerIdentity> {
         let slot = self.shared.slots.borrow().get(&address)?.clone();
         slot.standing().map(|session| session.peer.clone())
     }
--- a/crates/peer/src/pool/delay.rs
+++ b/crates/peer/src/pool/delay.rs
@@ -75,7 +75,7 @@
     /// Enters the line now; the future completes when the message has come through.
     fn enter(&self) -> oneshot::Receiver<()> {
         let (released, leaving) = oneshot::channel();
-        let due = self.clock.now() + self.link.delay_to(self.address);
+        let due = self.clock.now() + self.link.one_way_delay(self.address);
         let _ = self.tickets.unbounded_send(Ticket { due, released });
         leaving
     }
@@ -111,7 +111,7 @@
 
 /// Completes while the link is not cut.
 pub(super) async fn wait_uncut(link: &dyn LinkPolicy, address: SocketAddr, clock: &dyn Clock) {
-    while link.cut(address) {
+    while link.is_partitioned(address) {
         clock.sleep(CUT_POLL).await;
     }
 }
@@ -127,7 +127,7 @@
     let mut whole = clock.now();
     while clock.now().since(whole) < limit {
         clock.sleep(CUT_POLL).await;
-        if !link.cut(address) {
+        if !link.is_partitioned(address) {
             whole = clock.now();
         }
     }
--- a/crates/peer/src/pool/dial.rs
+++ b/crates/peer/src/pool/dial.rs
@@ -105,7 +105,7 @@
 
 async fn connect(address: SocketAddr, shared: &PoolShared) -> Result<DialedPeer, DialError> {
     if let Some(link) = &shared.link {
-        shared.context.clock.sleep(link.delay_to(address) * DIAL_TRIPS).await;
+        shared.context.clock.sleep(link.one_way_delay(address) * DIAL_TRIPS).await;
         wait_uncut(&**link, address, &*shared.context.clock).await;
     }
     let stream = TcpStream::connect_addr(address).await.map_err(lost)?;
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -37,7 +37,7 @@
             assert_eq!(answer, case.answer, "{}", case.method);
         }
         assert_eq!(*handler.from.borrow(), Some(identity("a")));
-        assert_eq!(pool.peer_at(server.address), Some(identity("b")));
+        assert_eq!(pool.connected_peer(server.address), Some(identity("b")));
     });
 }
 
--- a/crates/peer/tests/fake.rs
+++ b/crates/peer/tests/fake.rs
@@ -6,8 +6,8 @@
         FaultKind, HandlerTable, PeerError, PeerFault, PeerHandler, PeerIdentity, PeerReplySink,
         PeerTransport,
         fake::{
-            FakeLink, FakeNetwork, FakeNode, FakePolicy, FakeTransport, MessageFate, MessageLeg,
-            MessagePath,
+            FakeLink, FakeNetwork, FakeNode, FakePolicy, FakeTransport, MessageAction,
+            MessageDirection, MessagePath,
         },
     },
     gullglade_units::{
@@ -120,15 +120,15 @@
 
 /// One fate for each leg.
 struct FixedPolicy {
-    request: MessageFate,
-    reply: MessageFate,
+    request: MessageAction,
+    reply: MessageAction,
 }
 
 impl FakePolicy for FixedPolicy {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        match path.leg {
-            MessageLeg::Request => self.request,
-            MessageLeg::Reply => self.reply,
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
+        match path.direction {
+            MessageDirection::Request => self.request,
+            MessageDirection::Reply => self.reply,
         }
     }
 }
@@ -146,13 +146,13 @@
     struct Case {
         method: &'static str,
         port: u16,
-        request: MessageFate,
-        reply: MessageFate,
+        request: MessageAction,
+        reply: MessageAction,
         runs: u32,
         millis: u64,
         outcome: Outcome,
     }
-    let ok = MessageFate::Deliver(DELAY);
+    let ok = MessageAction::Deliver(DELAY);
     let case = |method, port, request, reply, runs, millis, outcome| Case {
         method,
         port,
@@ -165,11 +165,11 @@
     let cases = [
         case("echo.it", 2, ok, ok, 1, 110, Outcome::Answer),
         case("echo.it", 3, ok, ok, 0, 0, Outcome::NothingSent),
-        case("echo.it", 2, MessageFate::Refuse, ok, 0, 0, Outcome::NothingSent),
-        case("echo.it", 2, MessageFate::Drop, ok, 0, 1_000, Outcome::TimeoutSent),
-        case("echo.it", 2, ok, MessageFate::Drop, 1, 1_000, Outcome::TimeoutSent),
-        case("echo.it", 2, ok, MessageFate::Refuse, 1, 55, Outcome::BrokenSent),
-        case("echo.it", 2, MessageFate::Duplicate(DELAY, DELAY), ok, 2, 110, Outcome::Answer),
+        case("echo.it", 2, MessageAction::Refuse, ok, 0, 0, Outcome::NothingSent),
+        case("echo.it", 2, MessageAction::Drop, ok, 0, 1_000, Outcome::TimeoutSent),
+        case("echo.it", 2, ok, MessageAction::Drop, 1, 1_000, Outcome::TimeoutSent),
+        case("echo.it", 2, ok, MessageAction::Refuse, 1, 55, Outcome::BrokenSent),
+        case("echo.it", 2, MessageAction::Duplicate(DELAY, DELAY), ok, 2, 110, Outcome::Answer),
         case("echo.slow", 2, ok, ok, 1, 1_000, Outcome::TimeoutSent),
         case("none.it", 2, ok, ok, 0, 110, Outcome::Fault(FaultKind::UnknownMethod)),
     ];
--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -76,7 +76,7 @@
         let mut stream = pool.open(server.address, "test.half", body).await.unwrap();
         stream.next().await.unwrap().unwrap();
 
-        shaper.set_cut(server.address, true);
+        shaper.set_partitioned(server.address, true);
         let limit = Duration::from_millis(1);
         let (answer, ()) = futures::join!(call(limit), clock.expire(limit));
         let timeout = PeerError::Timeout { address: server.address, limit, sent: true };
@@ -88,7 +88,7 @@
         let error = answer.unwrap_err();
         assert!(error.nothing_sent(), "no session can be had: {error:?}");
 
-        shaper.set_cut(server.address, false);
+        shaper.set_partitioned(server.address, false);
         clock.advance(short);
         assert_eq!(call(LONG).await, Ok(Bytes::new()));
     });
@@ -102,10 +102,10 @@
         let pool = shaped(config("a").ping_interval(LONG), &shaper);
         let call = || pool.call(server.address, "test.echo", Bytes::from_static(b"x"), LONG);
         call().await.unwrap();
-        shaper.set_cut(server.address, true);
+        shaper.set_partitioned(server.address, true);
         let healing = async {
             monoio::time::sleep(DELAY).await;
-            shaper.set_cut(server.address, false);
+            shaper.set_partitioned(server.address, false);
         };
         let start = Instant::now();
         let (answer, ()) = futures::join!(call(), healing);
--- a/crates/peer/tests/notices.rs
+++ b/crates/peer/tests/notices.rs
@@ -3,15 +3,15 @@
 mod support;
 
 use {
-    gullglade_peer::{NOTICE_LIMIT, NoticePort, NoticeSender, PeerConfig},
+    gullglade_peer::{MAX_NOTICE_BYTES, NoticeSender, NoticeSocket, PeerConfig},
     gullglade_units::ProcessContext,
     std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration},
     support::{block_on, config, config_of},
 };
 
-fn port(config: &PeerConfig) -> Rc<NoticePort> {
+fn port(config: &PeerConfig) -> Rc<NoticeSocket> {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    NoticePort::bind(address, config, ProcessContext::system()).expect("a port")
+    NoticeSocket::bind(address, config, ProcessContext::system()).expect("a port")
 }
 
 /// A port whose notices are kept.
@@ -36,10 +36,10 @@
         let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
         let sender = port(&config("c"));
         sender.notify(&[first, nobody, second], b"one");
-        sender.notify(&[second], &[7; NOTICE_LIMIT]);
+        sender.notify(&[second], &[7; MAX_NOTICE_BYTES]);
         settle().await;
         assert_eq!(*heard_first.borrow(), [b"one".to_vec()]);
-        assert_eq!(*heard_second.borrow(), [b"one".to_vec(), vec![7; NOTICE_LIMIT]]);
+        assert_eq!(*heard_second.borrow(), [b"one".to_vec(), vec![7; MAX_NOTICE_BYTES]]);
     });
 }
 
@@ -89,7 +89,7 @@
 fn a_notice_that_is_too_long_is_not_sent_in_part() {
     block_on(async {
         let (address, heard) = listening(&config("a"));
-        port(&config("b")).notify(&[address], &[1; NOTICE_LIMIT + 1]);
+        port(&config("b")).notify(&[address], &[1; MAX_NOTICE_BYTES + 1]);
         settle().await;
         assert!(heard.borrow().is_empty());
     });
--- a/crates/peer/tests/sessions.rs
+++ b/crates/peer/tests/sessions.rs
@@ -227,9 +227,9 @@
         let pool = pool(config("a").idle_timeout(idle));
         let witness = witness(&pool, &server).await;
         monoio::time::sleep(3 * idle).await;
-        assert!(pool.peer_at(server.address).is_some(), "a stream uses the session");
+        assert!(pool.connected_peer(server.address).is_some(), "a stream uses the session");
         assert!(still_waits(witness));
-        while pool.peer_at(server.address).is_some() {
+        while pool.connected_peer(server.address).is_some() {
             monoio::time::sleep(idle).await;
         }
         echo(&pool, &server).await.unwrap();
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -8,7 +8,7 @@
     crate::{Dispatcher, notice::encode_hints},
     gullglade_dispatch::{BackendHint, RequestUpdate},
     gullglade_fleet::FleetFollower,
-    gullglade_peer::{NOTICE_LIMIT, NoticeSender},
+    gullglade_peer::{MAX_NOTICE_BYTES, NoticeSender},
     gullglade_units::{MonotonicTime, ProcessContext},
     std::{
         cell::{Cell, RefCell},
@@ -114,7 +114,7 @@
 /// The bodies of notices that tell all of `hints`.
 fn bodies(hints: &[BackendHint]) -> Vec<Vec<u8>> {
     let whole = encode_hints(hints);
-    if whole.len() <= NOTICE_LIMIT {
+    if whole.len() <= MAX_NOTICE_BYTES {
         return vec![whole];
     }
     match hints {
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -40,7 +40,7 @@
     let clock = bed.clock();
     let cut = async {
         clock.sleep(ms(cut_after)).await;
-        bed.link.cut(address(2), address(3));
+        bed.link.partition(address(2), address(3));
     };
     let (served, ()) = bed.world.run_until(join(take(bed.proxy(), bed.call()), cut));
     served
--- a/crates/proxy/tests/hints.rs
+++ b/crates/proxy/tests/hints.rs
@@ -4,7 +4,7 @@
 
 use {
     gullglade_dispatch::{PromptPart, PromptShape},
-    gullglade_peer::NOTICE_LIMIT,
+    gullglade_peer::MAX_NOTICE_BYTES,
     gullglade_proxy::CallerRequest,
     gullglade_traffic::RequestKind,
     std::time::Duration,
@@ -55,7 +55,7 @@
     // Of the send, and of the first byte.
     assert_eq!(notices.len(), 2);
     let sizes: Vec<_> = notices.iter().map(|(_, body)| body.len()).collect();
-    assert!(sizes.iter().all(|size| *size <= NOTICE_LIMIT), "{sizes:?} bytes");
+    assert!(sizes.iter().all(|size| *size <= MAX_NOTICE_BYTES), "{sizes:?} bytes");
 }
 
 #[test]
--- a/crates/proxy/tests/plays/links.rs
+++ b/crates/proxy/tests/plays/links.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Window,
-    gullglade_peer::fake::{FakePolicy, MessageFate, MessageLeg, MessagePath},
+    gullglade_peer::fake::{FakePolicy, MessageAction, MessageDirection, MessagePath},
     gullglade_units::{Clock, MonotonicTime, RandomSource, SeededRandom},
     std::{
         cell::{Cell, RefCell},
@@ -63,30 +63,30 @@
 }
 
 impl FakePolicy for PlayLinks {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         let (Some(from), Some(to)) = (gateway(path.from), gateway(path.to)) else {
-            return MessageFate::Deliver(self.usual);
+            return MessageAction::Deliver(self.usual);
         };
         if from % 2 == to % 2 {
-            return MessageFate::Deliver(NEAR);
+            return MessageAction::Deliver(NEAR);
         }
-        if path.method == FORWARD && path.leg == MessageLeg::Request {
+        if path.method == FORWARD && path.direction == MessageDirection::Request {
             self.asked.set(self.asked.get() + 1);
         }
         let Some(now) = self.clock.borrow().as_ref().map(|clock| clock.now()) else {
-            return MessageFate::Deliver(self.usual);
+            return MessageAction::Deliver(self.usual);
         };
         let trouble = self.troubles.iter().find(|(window, _)| window.contains(&now));
         let is_lost = match trouble {
-            Some((_, LinkTrouble::Slow(delay))) => return MessageFate::Deliver(*delay),
+            Some((_, LinkTrouble::Slow(delay))) => return MessageAction::Deliver(*delay),
             Some((_, LinkTrouble::Cut)) => true,
             Some((_, LinkTrouble::Lossy(per_mille))) => self.random.below(1_000) < *per_mille,
             None => false,
         };
         if !is_lost {
-            return MessageFate::Deliver(self.usual);
+            return MessageAction::Deliver(self.usual);
         }
         self.lost.borrow_mut().push((now, from.min(to), from.max(to)));
-        MessageFate::Drop
+        MessageAction::Drop
     }
 }
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -232,7 +232,7 @@
         let clock = bed.clock();
         let cut = async {
             clock.sleep(ms(cut_after)).await;
-            bed.link.cut(support::address(2), support::address(3));
+            bed.link.partition(support::address(2), support::address(3));
         };
         let (served, ()) = bed.world.run_until(join(take(bed.proxy(), bed.call()), cut));
         let got = (served.is_broken, served.body.as_str());
--- a/examples/capacity/plant.rs
+++ b/examples/capacity/plant.rs
@@ -4,7 +4,7 @@
     crate::meter::{MeteredTransport, TrafficMeter},
     gullglade_peer::{
         HandlerTable, PeerIdentity,
-        fake::{FakeNetwork, FakeNode, FakePolicy, FakeTransport, MessageFate, MessagePath},
+        fake::{FakeNetwork, FakeNode, FakePolicy, FakeTransport, MessageAction, MessagePath},
     },
     gullglade_units::{
         FailureDomain, HybridClock, Incarnation, ProcessContext, RegionName, VmName,
@@ -26,10 +26,10 @@
 struct RegionDelays;
 
 impl FakePolicy for RegionDelays {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         let near = region_octet(path.from) == region_octet(path.to);
         let micros = if near { 500 } else { 55_000 };
-        MessageFate::Deliver(Duration::from_micros(micros))
+        MessageAction::Deliver(Duration::from_micros(micros))
     }
 }
 
