--- a/crates/peer/benches/sessions.rs
+++ b/crates/peer/benches/sessions.rs
@@ -1,5 +1,5 @@
-//! Calls and streamed messages over one session on loopback, both ends on one thread; beside them
-//! the same exchange over h2 alone, to show what the session adds.
+//! Benchmarks of calls and streamed messages over one loopback session, with both ends on one
+//! thread. The same exchange over bare h2 is the baseline that shows the overhead of the session.
 
 mod support;
 
@@ -26,25 +26,25 @@
     RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap().block_on(future)
 }
 
-/// The time of `total` calls, `width` at a time.
-async fn time_calls(total: u64, width: u64) -> Duration {
+/// Measures the time of `total` calls, `concurrency` at a time.
+async fn time_calls(total: u64, concurrency: u64) -> Duration {
     let address = serve();
     let pool = pool();
     let body = Bytes::from(vec![1; BODY]);
     let call = || pool.call(address, "test.echo", body.clone(), LIMIT);
     call().await.unwrap();
     let start = Instant::now();
-    let lanes = (0..width).map(|_| async {
-        for _ in 0..total.div_ceil(width) {
+    let workers = (0..concurrency).map(|_| async {
+        for _ in 0..total.div_ceil(concurrency) {
             call().await.unwrap();
         }
     });
-    join_all(lanes).await;
+    join_all(workers).await;
     start.elapsed()
 }
 
-/// The time of `total` messages over `width` streams.
-async fn time_messages(total: u64, width: u64) -> Duration {
+/// Measures the time of `total` messages over `concurrency` streams.
+async fn time_messages(total: u64, concurrency: u64) -> Duration {
     let address = serve();
     let pool = pool();
     let read = |count: u64| {
@@ -59,12 +59,12 @@
     };
     read(1).await;
     let start = Instant::now();
-    join_all((0..width).map(|_| read(total.div_ceil(width)))).await;
+    join_all((0..concurrency).map(|_| read(total.div_ceil(concurrency)))).await;
     start.elapsed()
 }
 
-/// The time of `total` exchanges over h2 alone, `width` at a time.
-async fn time_bare_calls(total: u64, width: u64) -> Duration {
+/// Measures the time of `total` exchanges over bare h2, `concurrency` at a time.
+async fn time_bare_calls(total: u64, concurrency: u64) -> Duration {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     monoio::spawn(async move {
@@ -86,12 +86,12 @@
         let _ = connection.await;
     });
     let start = Instant::now();
-    let lanes = (0..width).map(|_| async {
-        for _ in 0..total.div_ceil(width) {
+    let workers = (0..concurrency).map(|_| async {
+        for _ in 0..total.div_ceil(concurrency) {
             bare_call(sender.clone()).await;
         }
     });
-    join_all(lanes).await;
+    join_all(workers).await;
     start.elapsed()
 }
 
@@ -115,17 +115,17 @@
 fn sessions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("peer");
     group.throughput(Throughput::Elements(1));
-    for width in [1, 32] {
-        group.bench_function(BenchmarkId::new("bare_h2_call", width), |bencher| {
-            bencher.iter_custom(|total| block_on(time_bare_calls(total, width)));
+    for concurrency in [1, 32] {
+        group.bench_function(BenchmarkId::new("bare_h2_call", concurrency), |bencher| {
+            bencher.iter_custom(|total| block_on(time_bare_calls(total, concurrency)));
         });
-        group.bench_function(BenchmarkId::new("call", width), |bencher| {
-            bencher.iter_custom(|total| block_on(time_calls(total, width)));
+        group.bench_function(BenchmarkId::new("call", concurrency), |bencher| {
+            bencher.iter_custom(|total| block_on(time_calls(total, concurrency)));
         });
     }
-    for width in [1, 64] {
-        group.bench_function(BenchmarkId::new("message", width), |bencher| {
-            bencher.iter_custom(|total| block_on(time_messages(total, width)));
+    for concurrency in [1, 64] {
+        group.bench_function(BenchmarkId::new("message", concurrency), |bencher| {
+            bencher.iter_custom(|total| block_on(time_messages(total, concurrency)));
         });
     }
     group.finish();
--- a/crates/peer/benches/support/mod.rs
+++ b/crates/peer/benches/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the bench and the example of this crate share: one handler, a server and a pool.
+//! Helpers of the benchmark and the example: a handler, a server and a pool.
 
 use {
     bytes::Bytes,
@@ -12,14 +12,14 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Bytes of a body, as of a small call or one token's event.
+/// Body size in bytes, typical of a small call or the event of one token.
 pub(crate) const BODY: usize = 200;
 
-/// Longer than any call here takes.
+/// Call time limit, longer than any call takes.
 pub(crate) const LIMIT: Duration = Duration::from_secs(60);
 
-/// Echoes calls. `test.messages` streams as many messages as the call's eight bytes say;
-/// `test.wait` streams one and then waits.
+/// Echoes calls. `test.messages` streams as many messages as the body says, a little-endian `u64`;
+/// `test.wait` streams one message and never ends.
 struct CostHandler;
 
 impl PeerHandler for CostHandler {
@@ -65,12 +65,12 @@
     PeerConfig::new(identity, cluster, PeerSecret::try_from("a secret for benches").unwrap())
 }
 
-/// A pool without sessions.
+/// Creates an empty pool.
 pub(crate) fn pool() -> PeerPool {
     PeerPool::new(config("a"), ProcessContext::system(), Rc::default())
 }
 
-/// Starts a server on a fresh port of loopback.
+/// Starts a server on a free loopback port and returns its address.
 pub(crate) fn serve() -> SocketAddr {
     let handlers = Rc::new(HandlerTable::new());
     handlers.register("test", Rc::new(CostHandler));
--- a/crates/peer/examples/session_cost.rs
+++ b/crates/peer/examples/session_cost.rs
@@ -1,5 +1,5 @@
-//! What sessions and open streams cost in memory, and an idle session in bytes: the slopes behind
-//! docs/CAPACITY.md. Both ends are in this process, so a slope counts both.
+//! Measures the memory use per session and per open stream, and the network traffic of an idle
+//! session, for docs/CAPACITY.md. Both ends run in this process, so the figures include both.
 
 #[path = "../benches/support/mod.rs"]
 mod support;
@@ -19,10 +19,10 @@
 
 const SESSIONS: usize = 1_000;
 const STREAMS: usize = 10_000;
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_PERIOD: Duration = Duration::from_secs(30);
 
-/// Kilobytes of memory that are this process's own and present.
-fn resident() -> f64 {
+/// Returns the resident set size (RSS) of this process in KB.
+fn resident_kb() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
@@ -36,23 +36,23 @@
 
 async fn memory() {
     let address = serve();
-    let before = resident();
+    let before = resident_kb();
     let mut pools = Vec::new();
     for _ in 0..SESSIONS {
         let pool = pool();
         pool.call(address, "test.echo", Bytes::new(), LIMIT).await.unwrap();
         pools.push(pool);
     }
-    let sessions = resident();
+    let sessions = resident_kb();
     println!("session, both ends: {:.1} KB", (sessions - before) / SESSIONS as f64);
     let mut streams = Vec::new();
     for _ in 0..STREAMS {
         streams.push(open(&pools[0], address).await);
     }
-    println!("open stream, both ends: {:.2} KB", (resident() - sessions) / STREAMS as f64);
+    println!("open stream, both ends: {:.2} KB", (resident_kb() - sessions) / STREAMS as f64);
 }
 
-/// Passes bytes on and counts them.
+/// Forwards bytes and counts them.
 async fn relay(mut from: impl AsyncReadRent, mut to: impl AsyncWriteRentExt, count: &Cell<usize>) {
     loop {
         let (read, mut buffer) = from.read(vec![0; 4096]).await;
@@ -84,8 +84,8 @@
     pool.call(address, "test.echo", Bytes::new(), LIMIT).await.unwrap();
     let before = [counts[0].get(), counts[1].get()];
     println!("handshake and one call: {} bytes out, {} back", before[0], before[1]);
-    monoio::time::sleep(IDLE).await;
-    let rate = |way: usize| (counts[way].get() - before[way]) as f64 / IDLE.as_secs_f64();
+    monoio::time::sleep(IDLE_PERIOD).await;
+    let rate = |way: usize| (counts[way].get() - before[way]) as f64 / IDLE_PERIOD.as_secs_f64();
     println!("idle session: {:.1} bytes/s out, {:.1} back, above TCP", rate(0), rate(1));
 }
 
--- a/crates/peer/src/heard.rs
+++ b/crates/peer/src/activity.rs
@@ -1,4 +1,4 @@
-//! Notes when a connection last received anything.
+//! Records when a connection last received data.
 
 use {
     gullglade_units::{Clock, MonotonicTime},
@@ -12,25 +12,25 @@
     tokio::io::{AsyncRead, AsyncWrite, ReadBuf},
 };
 
-/// When something was last received; shared with whoever watches the peer.
-pub(crate) type LastHeard = Rc<Cell<MonotonicTime>>;
+/// Time of the most recent read; shared between the stream and the keepalive task.
+pub(crate) type LastReceived = Rc<Cell<MonotonicTime>>;
 
-/// A byte stream that notes each time it receives something.
-pub(crate) struct HeardStream<S> {
+/// Byte stream that records the time of each completed read.
+pub(crate) struct ActivityStream<S> {
     stream: S,
     clock: Rc<dyn Clock>,
-    heard: LastHeard,
+    last_received: LastReceived,
 }
 
-impl<S> HeardStream<S> {
-    /// Wraps `stream`, which counts as heard now.
-    pub(crate) fn new(stream: S, clock: Rc<dyn Clock>) -> (Self, LastHeard) {
-        let heard = Rc::new(Cell::new(clock.now()));
-        (Self { stream, clock, heard: heard.clone() }, heard)
+impl<S> ActivityStream<S> {
+    /// Wraps `stream` and sets the time of the last read to now.
+    pub(crate) fn new(stream: S, clock: Rc<dyn Clock>) -> (Self, LastReceived) {
+        let last_received = Rc::new(Cell::new(clock.now()));
+        (Self { stream, clock, last_received: last_received.clone() }, last_received)
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for HeardStream<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ActivityStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -38,13 +38,13 @@
     ) -> Poll<io::Result<()>> {
         let poll = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if poll.is_ready() {
-            self.heard.set(self.clock.now());
+            self.last_received.set(self.clock.now());
         }
         poll
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for HeardStream<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for ActivityStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a call, and whether any of it can have reached the peer.
+//! Errors of calls, and whether a failed call may have reached the peer.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,20 +6,20 @@
     std::{fmt, net::SocketAddr, time::Duration},
 };
 
-/// The kinds of refusal and failure that a handler reports.
+/// Kind of a [`PeerFault`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FaultKind {
-    /// No handler serves this method; it was not run.
+    /// No handler is registered for the method; nothing was run.
     UnknownMethod,
-    /// The body does not decode, or asks for something impossible.
+    /// The body cannot be decoded or is not a valid request.
     Malformed,
-    /// The handler understood and refuses.
+    /// The request is valid and the handler rejects it.
     Refused,
-    /// The handler cannot do it now; later or elsewhere it may work.
+    /// The handler cannot serve the request now; a retry, or another process, may succeed.
     Unavailable,
-    /// The caller went away while the handler was answering.
+    /// The caller abandoned the call before the handler had finished.
     Cancelled,
-    /// A fault of the handler itself.
+    /// The handler failed because of an internal error.
     Internal,
 }
 
@@ -36,157 +36,158 @@
     }
 }
 
-/// A handler's refusal or failure, as it travels back to the caller.
+/// Error returned by a handler and sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(display("{kind}: {message}"))]
 pub struct PeerFault {
-    /// The kind.
+    /// Error category.
     pub kind: FaultKind,
-    /// For people; names the remedy.
+    /// Human-readable description, including the remedy.
     pub message: String,
 }
 
 impl PeerFault {
-    /// A fault of `kind`.
+    /// Creates a fault of `kind`.
     pub fn new(kind: FaultKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into() }
     }
 
-    /// No handler serves this method.
+    /// Creates a [`FaultKind::UnknownMethod`] fault.
     pub fn unknown_method(method: &str) -> Self {
         let message = format!("no handler serves {method:?}; are both ends the same version?");
         Self::new(FaultKind::UnknownMethod, message)
     }
 
-    /// The body does not decode, or asks for something impossible.
+    /// Creates a [`FaultKind::Malformed`] fault.
     pub fn malformed(message: impl fmt::Display) -> Self {
         Self::new(FaultKind::Malformed, message.to_string())
     }
 
-    /// The handler understood and refuses.
+    /// Creates a [`FaultKind::Refused`] fault.
     pub fn refused(message: impl fmt::Display) -> Self {
         Self::new(FaultKind::Refused, message.to_string())
     }
 
-    /// The handler cannot do it now.
+    /// Creates a [`FaultKind::Unavailable`] fault.
     pub fn unavailable(message: impl fmt::Display) -> Self {
         Self::new(FaultKind::Unavailable, message.to_string())
     }
 
-    /// A fault of the handler itself.
+    /// Creates a [`FaultKind::Internal`] fault.
     pub fn internal(message: impl fmt::Display) -> Self {
         Self::new(FaultKind::Internal, message.to_string())
     }
 
-    /// The caller went away.
+    /// Creates a [`FaultKind::Cancelled`] fault.
     pub fn cancelled() -> Self {
         Self::new(FaultKind::Cancelled, "the caller went away while it was answered")
     }
 }
 
-/// Why a process refuses a session.
+/// Reason for which a process refuses a session.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum SessionRefusal {
-    /// The two ends speak different versions.
+    /// The protocol versions differ.
     #[snafu(display(
         "it speaks protocol version {theirs} and this process {ours}: upgrade the older of the two"
     ))]
     Protocol {
-        /// The dialer's version.
+        /// Protocol version of the dialer.
         ours: u32,
-        /// The version of the process that refuses.
+        /// Protocol version of the process that refuses.
         theirs: u32,
     },
-    /// The two ends belong to different clusters.
+    /// The cluster names differ.
     #[snafu(display(
         "it belongs to cluster {theirs:?} and this process to {ours:?}: correct the address, or \
          give both the same cluster name"
     ))]
     Cluster {
-        /// The dialer's cluster.
+        /// Cluster of the dialer.
         ours: String,
-        /// The cluster of the process that refuses.
+        /// Cluster of the process that refuses.
         theirs: String,
     },
-    /// The two ends hold different secrets.
+    /// The peer secrets differ.
     #[snafu(display("the peer secrets differ: give every VM of the cluster the same secret file"))]
     Secret,
-    /// The handshake was not one.
+    /// A handshake message is missing, out of order or cannot be decoded.
     #[snafu(display("the handshake is not understood ({reason}): is the address a peer address?"))]
     Malformed {
-        /// What was wrong.
+        /// Description of the violation.
         reason: String,
     },
-    /// Too many sessions.
+    /// The process already holds its maximum number of sessions.
     #[snafu(display("it holds its limit of {limit} sessions: raise the limit or add VMs"))]
     Busy {
-        /// The limit.
+        /// Maximum number of sessions.
         limit: usize,
     },
 }
 
-/// Why a call has no whole answer.
+/// Reason for which a call has no complete reply.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PeerError {
-    /// No session could be had.
+    /// No session could be established.
     #[snafu(display(
         "no session with the peer at {address}: {reason}; check that the process runs there and \
          that the network lets this VM reach it"
     ))]
     Connect {
-        /// The peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// What failed.
+        /// Description of the failure.
         reason: String,
     },
     /// The peer refuses sessions with this process.
     #[snafu(display("the peer at {address} refuses this process: {refusal}"))]
     Refused {
-        /// The peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The peer's reason.
+        /// Reason given by the peer.
         refusal: SessionRefusal,
     },
-    /// The call cannot be put on the wire.
+    /// The call is invalid or exceeds a limit and was not sent.
     #[snafu(display("the call of {method:?} was not sent: {reason}"))]
     Unsendable {
-        /// The method called.
+        /// Method of the call.
         method: String,
-        /// What is wrong with the call, and the remedy.
+        /// Description of the problem, including the remedy.
         reason: String,
     },
-    /// The limit on the call's time has passed.
+    /// The call did not complete within its time limit.
     #[snafu(display(
         "no answer from {address} within {limit:?}; the peer is slow, frozen or cut off"
     ))]
     Timeout {
-        /// The peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The limit.
+        /// Time limit of the call.
         limit: Duration,
-        /// Whether bytes of the call can have reached the peer.
+        /// True if bytes of the call may have reached the peer.
         sent: bool,
     },
-    /// The call was cut off.
+    /// The session or the stream ended before the reply was complete.
     #[snafu(display("the call to {address} was cut off: {reason}"))]
     Broken {
-        /// The peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// What cut it off.
+        /// Description of the cause.
         reason: String,
-        /// Whether bytes of the call can have reached the peer.
+        /// True if bytes of the call may have reached the peer.
         sent: bool,
     },
-    /// The peer's handler answered with a fault.
+    /// The peer's handler returned a fault.
     #[snafu(context(false), display("the peer answered: {source}"))]
     Fault {
-        /// The fault.
+        /// Fault returned by the handler.
         source: PeerFault,
     },
 }
 
 impl PeerError {
-    /// Whether it is certain that no byte of the call has reached the peer. False means unknown.
+    /// Returns true only if no byte of the call can have reached the peer. False means that this is
+    /// unknown, so the call may have run.
     pub fn nothing_sent(&self) -> bool {
         match self {
             Self::Connect { .. } | Self::Refused { .. } | Self::Unsendable { .. } => true,
--- a/crates/peer/src/fake.rs
+++ b/crates/peer/src/fake.rs
@@ -1,10 +1,10 @@
-//! A network for tests: calls between the processes of a
-//! [`FakeWorld`](gullglade_units::fake::FakeWorld) go straight to their handlers, and a
-//! [`FakePolicy`] decides for each message whether it is delayed, lost, doubled or refused.
+//! Simulated network for tests. Calls between the processes of a
+//! [`FakeWorld`](gullglade_units::fake::FakeWorld) invoke the handlers directly, and a
+//! [`FakePolicy`] decides for each message whether it is delayed, dropped, duplicated or refused.
 //!
-//! Its failures are those of the real transport: a refused call says that nothing was sent, a lost
-//! one runs into its limit, a killed process breaks the calls that it was serving, and an abandoned
-//! call drops its handler's future.
+//! Failures match those of the real transport: a refused call reports that nothing was sent, a
+//! dropped call times out, killing a process breaks the calls that it serves, and dropping a call
+//! drops the future of its handler.
 
 mod endpoint;
 mod network;
--- a/crates/peer/src/fake/endpoint.rs
+++ b/crates/peer/src/fake/endpoint.rs
@@ -1,22 +1,22 @@
-//! The calling side of one process.
+//! Client side of the simulated network.
 
 use {
     super::{
         network::{FakeNetwork, FakeNode},
         policy::{MessageAction, MessageDirection, MessagePath},
-        serve::{FakeCall, ReplyPipe, reply_pipe},
+        serve::{FakeCall, ReplyConsumer, reply_channel},
     },
-    crate::{PeerError, PeerStream, PeerTransport, transport::within_limit, wire::CallKind},
+    crate::{PeerError, PeerStream, PeerTransport, transport::call_with_limit, wire::CallKind},
     bytes::Bytes,
     futures::stream,
     gullglade_units::LocalFuture,
     std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// After how long a call on a dead link breaks, as the keep-alive of a real session would find.
-pub(super) const LOST_AFTER: Duration = Duration::from_secs(3);
+/// Time after which a call on a dead link breaks; simulates the keepalive of a real session.
+pub(super) const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One process's transport over a [`FakeNetwork`].
+/// Transport of one process over a [`FakeNetwork`].
 #[derive(Clone)]
 pub struct FakeTransport {
     network: FakeNetwork,
@@ -28,15 +28,15 @@
         Self { network, node }
     }
 
-    /// Hands a call to the process at `to`.
-    async fn begin(
+    /// Starts a call at the process at `to`. Sets `sent` to true if the call may have been sent.
+    async fn start_call(
         &self,
         to: SocketAddr,
         method: &str,
         kind: CallKind,
         body: Bytes,
         sent: &Cell<bool>,
-    ) -> Result<ReplyPipe, PeerError> {
+    ) -> Result<ReplyConsumer, PeerError> {
         let refused = || PeerError::Connect { address: to, reason: "connection refused".into() };
         let path = MessagePath {
             from: self.node.address,
@@ -45,15 +45,15 @@
             direction: MessageDirection::Request,
         };
         let action = self.network.action(path);
-        let (delay, again) = match action {
+        let (delay, duplicate_delay) = match action {
             MessageAction::Refuse => return Err(refused()),
             MessageAction::Drop => {
                 sent.set(true);
-                self.node.context.clock.sleep(LOST_AFTER).await;
+                self.node.context.clock.sleep(KEEPALIVE_TIMEOUT).await;
                 return Err(broken(to, "no answer to a ping"));
             }
             MessageAction::Deliver(delay) => (delay, None),
-            MessageAction::Duplicate(delay, again) => (delay, Some(again)),
+            MessageAction::Duplicate(delay, duplicate_delay) => (delay, Some(duplicate_delay)),
         };
         let target = self.network.node(to).ok_or_else(refused)?;
         sent.set(true);
@@ -67,23 +67,23 @@
             body,
             stamp,
         };
-        if let Some(again) = again {
-            call.clone().start_unheard(again);
+        if let Some(duplicate_delay) = duplicate_delay {
+            call.clone().start_discarding_reply(duplicate_delay);
         }
-        let (writer, pipe) = reply_pipe();
-        call.start(delay, writer);
-        Ok(pipe)
+        let (producer, consumer) = reply_channel();
+        call.start(delay, producer);
+        Ok(consumer)
     }
 
-    async fn single(
+    async fn call_single(
         &self,
         to: SocketAddr,
         method: &str,
         body: Bytes,
         sent: &Cell<bool>,
     ) -> Result<Bytes, PeerError> {
-        let pipe = self.begin(to, method, CallKind::Single, body, sent).await?;
-        let mut stream = self.messages(to, pipe);
+        let consumer = self.start_call(to, method, CallKind::Single, body, sent).await?;
+        let mut stream = self.reply_stream(to, consumer);
         let answer = stream.next().await;
         let answer = answer.ok_or_else(|| broken(to, "the reply has no message"))??;
         match stream.next().await {
@@ -93,24 +93,24 @@
         }
     }
 
-    /// What a caller gets whose call left on a dead link: the loss shows only later.
+    /// Returns the reply stream of a dropped call, which breaks after [`KEEPALIVE_TIMEOUT`].
     fn lost_stream(&self, to: SocketAddr) -> PeerStream {
         let node = self.node.clone();
         PeerStream::new(stream::once(async move {
-            node.context.clock.sleep(LOST_AFTER).await;
+            node.context.clock.sleep(KEEPALIVE_TIMEOUT).await;
             Err(broken(to, "no answer to a ping"))
         }))
     }
 
-    fn messages(&self, to: SocketAddr, pipe: ReplyPipe) -> PeerStream {
+    fn reply_stream(&self, to: SocketAddr, consumer: ReplyConsumer) -> PeerStream {
         let node = self.node.clone();
-        PeerStream::new(stream::try_unfold(pipe, move |mut pipe| {
+        PeerStream::new(stream::try_unfold(consumer, move |mut consumer| {
             let node = node.clone();
             async move {
-                let item = pipe.next(&*node.context.clock).await;
+                let item = consumer.next(&*node.context.clock).await;
                 let item = item.ok_or_else(|| broken(to, "the connection was lost"))?;
                 node.clock.observe(item.stamp);
-                Ok(item.outcome?.map(|message| (message, pipe)))
+                Ok(item.outcome?.map(|message| (message, consumer)))
             }
         }))
     }
@@ -130,8 +130,8 @@
     ) -> LocalFuture<'a, Result<Bytes, PeerError>> {
         Box::pin(async move {
             let sent = Cell::new(false);
-            let calling = self.single(to, method, body, &sent);
-            within_limit(&*self.node.context.clock, to, limit, &sent, calling).await
+            let calling = self.call_single(to, method, body, &sent);
+            call_with_limit(&*self.node.context.clock, to, limit, &sent, calling).await
         })
     }
 
@@ -152,8 +152,8 @@
                 return Ok(self.lost_stream(to));
             }
             let sent = Cell::new(false);
-            let pipe = self.begin(to, method, CallKind::Stream, body, &sent).await?;
-            Ok(self.messages(to, pipe))
+            let consumer = self.start_call(to, method, CallKind::Stream, body, &sent).await?;
+            Ok(self.reply_stream(to, consumer))
         })
     }
 }
--- a/crates/peer/src/fake/network.rs
+++ b/crates/peer/src/fake/network.rs
@@ -1,4 +1,4 @@
-//! Which process listens at which address.
+//! Simulated network: the processes by their addresses.
 
 use {
     super::{
@@ -10,22 +10,22 @@
     std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// A process on the network.
+/// Process on a [`FakeNetwork`].
 #[derive(Clone)]
 pub struct FakeNode {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Who it says it is.
+    /// Identity presented to peers.
     pub identity: PeerIdentity,
-    /// Its tasks and clocks; its handlers run in its tasks.
+    /// Spawner and clocks of the process; handlers run in its tasks.
     pub context: ProcessContext,
-    /// Its hybrid clock.
+    /// Hybrid clock of the process.
     pub clock: Rc<HybridClock>,
-    /// What it serves.
+    /// Handlers of the process.
     pub handlers: Rc<HandlerTable>,
 }
 
-/// Carries messages between the processes of a test.
+/// Simulated network between the processes of a test.
 #[derive(Clone)]
 pub struct FakeNetwork {
     shared: Rc<NetworkShared>,
@@ -37,20 +37,20 @@
 }
 
 impl FakeNetwork {
-    /// A network without processes.
+    /// Creates a network without processes.
     pub fn new(policy: Rc<dyn FakePolicy>) -> Self {
         Self { shared: Rc::new(NetworkShared { policy, nodes: RefCell::default() }) }
     }
 
-    /// Puts a process on the network, in place of any that listened at its address before, and
-    /// gives it its transport. When the process is killed, [`leave`](Self::leave) is due too.
+    /// Adds a process, replacing any process at the same address, and returns its transport. A test
+    /// that kills the process must also call [`leave`](Self::leave).
     pub fn join(&self, node: FakeNode) -> FakeTransport {
         let node = Rc::new(node);
         self.shared.nodes.borrow_mut().insert(node.address, node.clone());
         FakeTransport::new(self.clone(), node)
     }
 
-    /// Nobody listens at `address` any more; calls to it are refused.
+    /// Removes the process at `address`; calls to it are refused from now on.
     pub fn leave(&self, address: SocketAddr) {
         self.shared.nodes.borrow_mut().remove(&address);
     }
--- a/crates/peer/src/fake/policy.rs
+++ b/crates/peer/src/fake/policy.rs
@@ -1,4 +1,4 @@
-//! What happens to each message.
+//! Fault injection: decides what happens to each message.
 
 use std::{
     cell::{Cell, RefCell},
@@ -7,63 +7,65 @@
     time::Duration,
 };
 
-/// Which way a message goes.
+/// Direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MessageDirection {
-    /// The call.
+    /// A call.
     Request,
-    /// The answer, a message of a streamed answer, or its end.
+    /// A single reply, a message of a streamed reply, or the end of one.
     Reply,
 }
 
-/// One message on its way.
+/// Addressing of a message, on which a [`FakePolicy`] decides.
 #[derive(Clone, Copy, Debug)]
 pub struct MessagePath<'a> {
-    /// The sender.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The method called.
+    /// Method of the call.
     pub method: &'a str,
-    /// The way it goes.
+    /// Direction of the message.
     pub direction: MessageDirection,
 }
 
-/// What becomes of a message.
+/// Action that a [`FakePolicy`] applies to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageAction {
-    /// It arrives after the delay.
+    /// Deliver the message after the delay.
     Deliver(Duration),
-    /// A request arrives twice, as when a caller resends after a lost answer: the handler runs
-    /// twice, and the first run's answer counts. For a reply it is the first delivery only.
+    /// Deliver a request twice, after the two delays, as if a caller resent it after a lost reply:
+    /// the handler runs twice, and the caller gets the reply of the delivery with the first delay.
+    /// A reply is delivered once, after the first delay.
     Duplicate(Duration, Duration),
-    /// It is lost and the caller waits for its limit; a streamed reply breaks.
+    /// Drop the message: a call runs into its time limit, and a streamed reply breaks.
     Drop,
-    /// A request is refused before any byte leaves; a reply is lost with its connection, at once.
+    /// Refuse a request before any byte is sent. A reply breaks immediately, as if its connection
+    /// were lost.
     Refuse,
 }
 
-/// Decides the fate of every message.
+/// Fault-injection policy of a [`FakeNetwork`](super::FakeNetwork).
 pub trait FakePolicy {
-    /// The fate of the message on `path`.
+    /// Returns the action for a message on `path`.
     fn action(&self, path: MessagePath<'_>) -> MessageAction;
 
-    /// How long the word takes that nobody waits for a reply any more.
+    /// Returns the delay until a handler is cancelled after its caller has dropped the call.
     fn cancel_delay(&self) -> Duration {
         Duration::ZERO
     }
 }
 
-/// One delay for all, and cuts between pairs of addresses, both ways.
+/// [`FakePolicy`] with a uniform delay and bidirectional partitions between pairs of addresses.
 #[derive(Debug, Default)]
 pub struct FakeLink {
     delay: Cell<Duration>,
     cancel_delay: Cell<Duration>,
-    cuts: RefCell<HashSet<(SocketAddr, SocketAddr)>>,
+    partitions: RefCell<HashSet<(SocketAddr, SocketAddr)>>,
 }
 
 impl FakeLink {
-    /// A link of `delay` one way.
+    /// Creates a link with a one-way delay.
     pub fn new(delay: Duration) -> Self {
         Self { delay: Cell::new(delay), ..Self::default() }
     }
@@ -73,24 +75,24 @@
         self.delay.set(delay);
     }
 
-    /// Sets how long it takes to cancel a call. Default: no time.
+    /// Sets the delay of cancellations. Default: zero.
     pub fn set_cancel_delay(&self, delay: Duration) {
         self.cancel_delay.set(delay);
     }
 
-    /// Loses everything between `a` and `b` from now on.
+    /// Partitions `a` from `b`: messages in both directions are dropped.
     pub fn partition(&self, a: SocketAddr, b: SocketAddr) {
-        self.cuts.borrow_mut().extend([(a, b), (b, a)]);
+        self.partitions.borrow_mut().extend([(a, b), (b, a)]);
     }
 
-    /// Ends the cut between `a` and `b`.
+    /// Removes the partition between `a` and `b`.
     pub fn heal(&self, a: SocketAddr, b: SocketAddr) {
-        let mut cuts = self.cuts.borrow_mut();
-        cuts.remove(&(a, b));
-        cuts.remove(&(b, a));
+        let mut partitions = self.partitions.borrow_mut();
+        partitions.remove(&(a, b));
+        partitions.remove(&(b, a));
     }
 
-    /// Loses everything between `address` and each of `others`.
+    /// Partitions `address` from each of `others`.
     pub fn isolate(&self, address: SocketAddr, others: &[SocketAddr]) {
         others
             .iter()
@@ -98,15 +100,15 @@
             .for_each(|other| self.partition(address, *other));
     }
 
-    /// Ends every cut.
+    /// Removes all partitions.
     pub fn heal_all(&self) {
-        self.cuts.borrow_mut().clear();
+        self.partitions.borrow_mut().clear();
     }
 }
 
 impl FakePolicy for FakeLink {
     fn action(&self, path: MessagePath<'_>) -> MessageAction {
-        if self.cuts.borrow().contains(&(path.from, path.to)) {
+        if self.partitions.borrow().contains(&(path.from, path.to)) {
             return MessageAction::Drop;
         }
         MessageAction::Deliver(self.delay.get())
--- a/crates/peer/src/fake/serve.rs
+++ b/crates/peer/src/fake/serve.rs
@@ -1,8 +1,9 @@
-//! The serving side: runs a handler in a task of its process and carries the reply back.
+//! Server side of the simulated network: runs handlers in tasks of their process and delivers the
+//! replies.
 
 use {
     super::{
-        endpoint::LOST_AFTER,
+        endpoint::KEEPALIVE_TIMEOUT,
         network::{FakeNetwork, FakeNode},
         policy::{MessageAction, MessageDirection, MessagePath},
     },
@@ -22,24 +23,26 @@
     },
 };
 
-/// The most messages of a streamed reply on their way or unread, in place of a window of bytes.
-const UNREAD_LIMIT: usize = 256;
+/// Maximum number of undelivered or unread messages of a streamed reply; stands in for the
+/// flow-control window.
+const MAX_UNREAD_MESSAGES: usize = 256;
 
-/// One message of a reply; `Ok(None)` is the end marker.
+/// Item of a reply; `Ok(None)` is the end marker.
 pub(super) struct ReplyItem {
     due: MonotonicTime,
     pub(super) stamp: HybridStamp,
     pub(super) outcome: Result<Option<Bytes>, PeerFault>,
 }
 
-/// The caller's end of a reply; dropping it cancels the handler.
-pub(super) struct ReplyPipe {
+/// Receiver of a reply. Dropping it cancels the handler.
+pub(super) struct ReplyConsumer {
     items: mpsc::Receiver<ReplyItem>,
     _alive: oneshot::Receiver<()>,
 }
 
-impl ReplyPipe {
-    /// The next item at its time of arrival; `None` where the far side is gone.
+impl ReplyConsumer {
+    /// Waits until the next item is due and returns it. Returns `None` if the serving process is
+    /// gone.
     pub(super) async fn next(&mut self, clock: &dyn Clock) -> Option<ReplyItem> {
         let item = self.items.next().await?;
         clock.sleep(item.due.since(clock.now())).await;
@@ -47,20 +50,20 @@
     }
 }
 
-/// The serving end of a reply.
-pub(super) struct ReplyInlet {
+/// Sender of a reply.
+pub(super) struct ReplyProducer {
     items: mpsc::Sender<ReplyItem>,
     alive: oneshot::Sender<()>,
 }
 
-/// A reply's two ends.
-pub(super) fn reply_pipe() -> (ReplyInlet, ReplyPipe) {
-    let (sender, items) = mpsc::channel(UNREAD_LIMIT);
+/// Creates the channel of a reply.
+pub(super) fn reply_channel() -> (ReplyProducer, ReplyConsumer) {
+    let (sender, items) = mpsc::channel(MAX_UNREAD_MESSAGES);
     let (alive, held) = oneshot::channel();
-    (ReplyInlet { items: sender, alive }, ReplyPipe { items, _alive: held })
+    (ReplyProducer { items: sender, alive }, ReplyConsumer { items, _alive: held })
 }
 
-/// A call on its way to its handler.
+/// Call in transit to its handler.
 #[derive(Clone)]
 pub(super) struct FakeCall {
     pub(super) network: FakeNetwork,
@@ -73,24 +76,24 @@
 }
 
 impl FakeCall {
-    /// Runs the call in a task of the target, `delay` from now.
-    pub(super) fn start(self, delay: Duration, inlet: ReplyInlet) {
+    /// Runs the call in a task of the target process after `delay`.
+    pub(super) fn start(self, delay: Duration, producer: ReplyProducer) {
         let spawner = self.target.context.spawner.clone();
-        spawner.spawn(Box::pin(self.run(delay, inlet)));
+        spawner.spawn(Box::pin(self.run(delay, producer)));
     }
 
-    /// Runs the call and throws its reply away.
-    pub(super) fn start_unheard(self, delay: Duration) {
+    /// Runs the call after `delay` and discards its reply.
+    pub(super) fn start_discarding_reply(self, delay: Duration) {
         let spawner = self.target.context.spawner.clone();
         spawner.spawn(Box::pin(async move {
-            let (inlet, mut pipe) = reply_pipe();
-            let reading = async { while pipe.items.next().await.is_some() {} };
-            futures::future::join(self.run(delay, inlet), reading).await;
+            let (producer, mut consumer) = reply_channel();
+            let reading = async { while consumer.items.next().await.is_some() {} };
+            futures::future::join(self.run(delay, producer), reading).await;
         }));
     }
 
-    async fn run(self, delay: Duration, inlet: ReplyInlet) {
-        let ReplyInlet { items, mut alive } = inlet;
+    async fn run(self, delay: Duration, producer: ReplyProducer) {
+        let ReplyProducer { items, mut alive } = producer;
         let items = Rc::new(RefCell::new(items));
         let network = self.network.clone();
         let clock = Rc::clone(&self.target.context.clock);
@@ -129,7 +132,7 @@
     }
 }
 
-/// Carries the messages of one reply back, in their order.
+/// Delivers the messages of a reply in order.
 #[derive(Clone)]
 struct FakeWriter {
     call: Rc<FakeCall>,
@@ -139,7 +142,7 @@
 
 impl FakeWriter {
     async fn deliver(&self, outcome: Result<Option<Bytes>, PeerFault>) -> Result<(), PeerFault> {
-        // Nothing arrives after a lost message: a connection keeps its order.
+        // A connection delivers in order, so nothing arrives after a lost message.
         if self.lost.get() {
             return Err(PeerFault::cancelled());
         }
@@ -152,7 +155,7 @@
             }
             MessageAction::Drop => {
                 self.lost.set(true);
-                clock.sleep(LOST_AFTER).await;
+                clock.sleep(KEEPALIVE_TIMEOUT).await;
                 Err(PeerFault::cancelled())
             }
             MessageAction::Refuse => {
@@ -172,7 +175,7 @@
         let ready = poll_fn(|cx| self.items.borrow_mut().poll_ready(cx)).await;
         let sent = ready.and_then(|()| self.items.borrow_mut().start_send(item));
         match sent {
-            // The handler does not know yet that nobody waits for it.
+            // The cancellation has not reached the handler yet, so the send appears to succeed.
             Err(_) if !self.call.network.cancel_delay().is_zero() => Ok(()),
             sent => sent.map_err(|_| PeerFault::cancelled()),
         }
--- a/crates/peer/src/handler.rs
+++ b/crates/peer/src/handler.rs
@@ -1,4 +1,4 @@
-//! The serving side's seam: handlers by method prefix, and the sink for streamed replies.
+//! Server-side interface: handlers registered by method prefix, and the sink for streamed replies.
 
 use {
     crate::{PeerFault, PeerIdentity},
@@ -7,10 +7,10 @@
     std::{cell::RefCell, collections::BTreeMap, rc::Rc},
 };
 
-/// Serves the calls of one concern. Its futures are dropped when the caller abandons the call, so
-/// whatever must go on regardless belongs in a task of its own.
+/// Serves the methods of one prefix. The returned futures are dropped when the caller abandons the
+/// call, so work that must outlive the call belongs in a separate task.
 pub trait PeerHandler {
-    /// Answers `body` with one message.
+    /// Handles a call and returns a single message.
     fn call<'a>(
         &'a self,
         from: &'a PeerIdentity,
@@ -18,8 +18,8 @@
         body: Bytes,
     ) -> LocalFuture<'a, Result<Bytes, PeerFault>>;
 
-    /// Answers `body` with the messages it gives to `reply`. Returning `Ok` ends the reply as
-    /// whole. `reply` is to be used inside this future only.
+    /// Handles a call and sends any number of messages to the reply sink. Returning `Ok` completes
+    /// the reply. The sink must only be used inside this future.
     fn stream<'a>(
         &'a self,
         _from: &'a PeerIdentity,
@@ -32,48 +32,50 @@
     }
 }
 
-/// The transport's end of a [`PeerReplySink`].
+/// Transport side of a [`PeerReplySink`].
 pub trait ReplySender {
-    /// Completes once `message` is accepted within the bounds of memory; fails when the caller is
-    /// gone.
+    /// Completes once the transport's bounded buffer has accepted `message`. Fails if the caller
+    /// has abandoned the call.
     fn send(&mut self, message: Bytes) -> LocalFuture<'_, Result<(), PeerFault>>;
 }
 
-/// Where a handler puts the messages of a streamed reply.
+/// Sink for the messages of a streamed reply.
 pub struct PeerReplySink {
     sender: Box<dyn ReplySender>,
 }
 
 impl PeerReplySink {
-    /// A sink over a transport's sender.
+    /// Creates a sink that writes to `sender`.
     pub fn new(sender: impl ReplySender + 'static) -> Self {
         Self { sender: Box::new(sender) }
     }
 
-    /// Sends one message; waits while the caller reads more slowly than this side writes.
+    /// Sends one message. Applies backpressure: waits while the caller has not read earlier
+    /// messages.
     pub async fn send(&mut self, message: Bytes) -> Result<(), PeerFault> {
         self.sender.send(message).await
     }
 }
 
-/// The handlers of a process, by the part of the method before its first dot.
+/// Handlers of a process, keyed by the part of the method name before the first dot.
 #[derive(Default)]
 pub struct HandlerTable {
     handlers: RefCell<BTreeMap<&'static str, Rc<dyn PeerHandler>>>,
 }
 
 impl HandlerTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Serves the methods `prefix` and `prefix.…` with `handler`, from the next call on.
+    /// Routes the methods `prefix` and `prefix.*` to `handler`, replacing an earlier registration.
+    /// Takes effect from the next call.
     pub fn register(&self, prefix: &'static str, handler: Rc<dyn PeerHandler>) {
         self.handlers.borrow_mut().insert(prefix, handler);
     }
 
-    /// The handler of `method`.
+    /// Returns the handler of `method`, or `None` if its prefix is not registered.
     pub fn find(&self, method: &str) -> Option<Rc<dyn PeerHandler>> {
         let prefix = method.split_once('.').map_or(method, |(prefix, _)| prefix);
         self.handlers.borrow().get(prefix).cloned()
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -1,9 +1,10 @@
-//! The first exchange on a session: version, cluster, identities, and proof of the secret.
+//! Session handshake: version and cluster check, exchange of identities, and mutual
+//! challenge-response authentication.
 //!
-//! The dialer says hello with a fresh random challenge; the server answers with its identity, a
-//! challenge of its own and an HMAC-SHA-256 (RFC 2104) over both; the dialer checks it and sends
-//! its own. The secret itself never travels, a recorded proof is of no use for another session,
-//! and proofs are compared in constant time by the `hmac` crate.
+//! The dialer sends a [`Hello`] with a random challenge. The server answers with its identity, its
+//! own challenge and an HMAC-SHA-256 (RFC 2104) over both. The dialer verifies it and sends its own
+//! HMAC. The secret is never transmitted, fresh challenges prevent replay, and the `hmac` crate
+//! compares proofs in constant time.
 
 use {
     crate::{PeerConfig, PeerIdentity, PeerSecret, SessionRefusal, wire},
@@ -13,15 +14,15 @@
     sha2::Sha256,
 };
 
-/// The request paths of the two steps.
+/// Request path of the first step.
 pub(crate) const HELLO_PATH: &str = "/session.hello";
-/// The second step.
+/// Request path of the second step.
 pub(crate) const PROOF_PATH: &str = "/session.proof";
 
-/// The most bytes of a message of the handshake.
-pub(crate) const HANDSHAKE_LIMIT: usize = 4 << 10;
+/// Maximum size of a handshake message.
+pub(crate) const MAX_HANDSHAKE_BYTES: usize = 4 << 10;
 
-/// A number used once.
+/// Random nonce that a proof must cover, which prevents replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Challenge([u8; 16]);
 
@@ -35,12 +36,12 @@
     }
 }
 
-/// The HMAC of a [`ProofText`].
+/// HMAC of a [`ProofTranscript`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Proof([u8; 32]);
 
-/// The dialer's first message. Its layout never changes, so that any two versions understand each
-/// other's refusal.
+/// First message of the dialer. Its layout must not change between protocol versions, so that a
+/// server of any version can decode it and return a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Hello {
     pub(crate) protocol: u32,
@@ -49,7 +50,7 @@
     pub(crate) challenge: Challenge,
 }
 
-/// The server's answer to a [`Hello`].
+/// Response of the server to a [`Hello`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Welcome {
     pub(crate) identity: PeerIdentity,
@@ -57,22 +58,22 @@
     pub(crate) proof: Proof,
 }
 
-/// The server's answer to the dialer's proof.
+/// Response of the server to the dialer's proof; completes the handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Admission {
     pub(crate) stamp: HybridStamp,
 }
 
-/// Which end a proof is from; keeps one end's proof from being played back to it.
+/// Side that creates a proof. Prevents a proof from being reflected to its creator.
 #[derive(Clone, Copy, Serialize)]
 pub(crate) enum ProofRole {
     Dialer,
     Server,
 }
 
-/// What both ends have said, and so what each proof covers.
+/// Handshake transcript that each proof covers.
 #[derive(Serialize)]
-pub(crate) struct ProofText<'a> {
+pub(crate) struct ProofTranscript<'a> {
     pub(crate) role: ProofRole,
     pub(crate) cluster: &'a ClusterName,
     pub(crate) dialer: &'a PeerIdentity,
@@ -80,7 +81,7 @@
     pub(crate) challenges: [Challenge; 2],
 }
 
-impl ProofText<'_> {
+impl ProofTranscript<'_> {
     fn mac(&self, secret: &PeerSecret) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes())
             .expect("HMAC takes keys of any length");
@@ -88,19 +89,19 @@
         mac
     }
 
-    /// The proof that its maker holds `secret`.
+    /// Computes the HMAC of this transcript, which proves knowledge of `secret`.
     pub(crate) fn prove(&self, secret: &PeerSecret) -> Proof {
         Proof(self.mac(secret).finalize().into_bytes().into())
     }
 
-    /// Whether `proof` was made with `secret`; takes the same time whatever differs.
-    pub(crate) fn check(&self, secret: &PeerSecret, proof: &Proof) -> Result<(), SessionRefusal> {
+    /// Verifies in constant time that `proof` was computed with `secret`.
+    pub(crate) fn verify(&self, secret: &PeerSecret, proof: &Proof) -> Result<(), SessionRefusal> {
         self.mac(secret).verify_slice(&proof.0).map_err(|_| SessionRefusal::Secret)
     }
 }
 
-/// Whether a process with `config` may speak with one that says `hello`.
-pub(crate) fn check_hello(hello: &Hello, config: &PeerConfig) -> Result<(), SessionRefusal> {
+/// Checks the protocol version and the cluster name of `hello` against this process.
+pub(crate) fn validate_hello(hello: &Hello, config: &PeerConfig) -> Result<(), SessionRefusal> {
     if hello.protocol != wire::PROTOCOL_VERSION {
         let (ours, theirs) = (hello.protocol, wire::PROTOCOL_VERSION);
         return Err(SessionRefusal::Protocol { ours, theirs });
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a process is, and the secret that proves that it belongs to the cluster.
+//! Identity of a process, and the shared secret that authenticates members of the cluster.
 
 use {
     gullglade_units::{FailureDomain, Incarnation, RegionName, VmName},
@@ -7,37 +7,37 @@
     std::fmt,
 };
 
-/// What a process tells its peers about itself.
+/// Identity that a process presents to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PeerIdentity {
-    /// The VM's name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub domain: FailureDomain,
-    /// Which run of the process this is; a restart has a higher one.
+    /// Incarnation number of the process; increases with each restart.
     pub incarnation: Incarnation,
 }
 
-/// The fewest bytes of a secret: 128 bits, were each byte random.
+/// Minimum length of a secret: 128 bits if every byte is random.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Why a text is not a secret.
+/// Error of parsing a [`PeerSecret`].
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum IdentityError {
-    /// The secret is too short.
+    /// The secret is shorter than the minimum length.
     #[snafu(display(
         "the peer secret has {length} bytes; give {MIN_SECRET_BYTES} or more, for example from \
          `head -c 32 /dev/urandom | base64`, the same on every VM"
     ))]
     ShortSecret {
-        /// The bytes given, without white space at the ends.
+        /// Length of the given secret in bytes, without surrounding white space.
         length: usize,
     },
 }
 
-/// The secret that all processes of a cluster share. It is never sent, shown or logged.
+/// Secret shared by all processes of a cluster. It is never sent, and `Debug` does not print it.
 #[derive(Clone)]
 pub struct PeerSecret(Vec<u8>);
 
--- a/crates/peer/src/keepalive.rs
+++ b/crates/peer/src/keepalive.rs
@@ -1,19 +1,20 @@
-//! Notices a peer that is frozen or cut off.
+//! Keepalive: detects a peer that hangs or is partitioned.
 //!
-//! A process that hangs, or a link that silently loses packets, leaves the TCP connection open:
-//! calls would wait for minutes. A ping that stays unanswered shows it within seconds. A peer that
-//! was heard within the interval is not pinged, so busy sessions carry no pings.
+//! A hung process, or a link that silently drops packets, leaves the TCP connection open, and calls
+//! would wait for minutes. HTTP/2 pings detect this within seconds. A session that has received
+//! data within the ping interval is not pinged, so busy sessions carry no pings.
 
 use {
-    crate::heard::LastHeard,
+    crate::activity::LastReceived,
     gullglade_units::{Clock, LocalFuture, timeout},
     h2::{Ping, PingPong},
     std::time::Duration,
 };
 
-/// Asks the peer for a sign of life.
+/// Sends liveness probes to the peer.
 pub(crate) trait PeerProbe {
-    /// Completes with the peer's answer; false where the connection is gone.
+    /// Sends a probe and completes with true when the peer acknowledges it, or with false if the
+    /// connection is lost.
     fn probe(&mut self) -> LocalFuture<'_, bool>;
 }
 
@@ -23,31 +24,32 @@
     }
 }
 
-/// How a peer is watched.
+/// Timeouts of the keepalive.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WatchLimits {
-    /// The silence after which the peer is pinged.
-    pub(crate) silence: Duration,
-    /// The wait for the answer.
-    pub(crate) answer: Duration,
+pub(crate) struct KeepaliveTimeouts {
+    /// Time without received data after which the peer is pinged.
+    pub(crate) ping_interval: Duration,
+    /// Time to wait for the acknowledgement of a ping.
+    pub(crate) ping_timeout: Duration,
 }
 
-/// Returns once the peer has been silent and left a ping unanswered; the session is to be dropped.
-pub(crate) async fn watch_peer(
+/// Pings the peer whenever no data arrives within the ping interval. Returns once a ping is not
+/// acknowledged in time or the connection is lost; the caller then drops the session.
+pub(crate) async fn monitor_peer(
     mut probe: impl PeerProbe,
-    heard: LastHeard,
-    limits: WatchLimits,
+    last_received: LastReceived,
+    timeouts: KeepaliveTimeouts,
     clock: &dyn Clock,
 ) {
     loop {
-        let silent = clock.now().since(heard.get());
-        if silent < limits.silence {
-            clock.sleep(limits.silence - silent).await;
+        let idle = clock.now().since(last_received.get());
+        if idle < timeouts.ping_interval {
+            clock.sleep(timeouts.ping_interval - idle).await;
             continue;
         }
-        if timeout(clock, limits.answer, probe.probe()).await != Some(true) {
+        if timeout(clock, timeouts.ping_timeout, probe.probe()).await != Some(true) {
             return;
         }
-        heard.set(clock.now());
+        last_received.set(clock.now());
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,30 +1,32 @@
-//! Sessions between the processes of the system: one kept HTTP/2 session per pair of address and
-//! dialer, bincode messages on its streams.
+//! RPC between the processes of a cluster: one persistent HTTP/2 session per dialer and address,
+//! with bincode messages on its streams.
 //!
-//! Every exchange is a call: a method name and a body go out, and either one message or a stream
-//! of messages comes back. The part before the method's first dot selects the [`PeerHandler`] that
-//! serves it ([`HandlerTable`]). Callers see only [`PeerTransport`], which tests replace.
+//! A call sends a method name and a body, and returns either one message or a stream of messages.
+//! The part of the method name before the first dot selects the [`PeerHandler`] in the server's
+//! [`HandlerTable`]. Callers depend only on [`PeerTransport`], which tests can replace.
 //!
-//! What may be lost goes as a notice instead ([`NoticeSender`]): one datagram without an answer.
+//! Messages that may be lost are sent as notices ([`NoticeSender`]): single datagrams without
+//! acknowledgement.
 //!
-//! What the rest of the system relies on:
+//! Guarantees:
 //!
-//! - [`PeerError::nothing_sent`] is true only where no byte of the call can have reached the peer;
-//!   "this request was not run" is built on it.
-//! - A reply is whole or an error. It ends with an end marker that the far side writes after its
-//!   handler has returned; a reset, a lost session or an early end is [`PeerError::Broken`].
-//! - Dropping a call or a [`PeerStream`] resets its HTTP/2 stream, and the far side drops its
-//!   handler's future: abandoned work stops.
-//! - Each message carries a [`HybridStamp`](gullglade_units::HybridStamp), so events on both sides
-//!   merge into one causal order.
+//! - [`PeerError::nothing_sent`] returns true only if no byte of the call can have reached the
+//!   peer. Callers rely on it to report that a request was not run.
+//! - A reply is either complete or an error. It ends with a trailer that the server writes after
+//!   the handler has returned; a reset, a lost session or an early end of the stream yields
+//!   [`PeerError::Broken`].
+//! - Dropping a call or a [`PeerStream`] resets its HTTP/2 stream, and the server then drops the
+//!   handler's future, so abandoned work stops.
+//! - Calls and replies carry a [`HybridStamp`](gullglade_units::HybridStamp), so events of both
+//!   sides can be merged into one causal order.
 
+mod activity;
 mod config;
 mod error;
 #[cfg(feature = "fake")]
 pub mod fake;
 mod handler;
 mod handshake;
-mod heard;
 mod identity;
 mod keepalive;
 mod link;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! Delays and partitions put on links on purpose, for the demo and for tests on one machine.
+//! Link emulation: injects delays and partitions, for the demo and for tests on one machine.
 
 use std::{
     cell::{Cell, RefCell},
@@ -7,33 +7,33 @@
     time::Duration,
 };
 
-/// What the link to an address does to messages. The dialer applies it to both directions of its
-/// own calls, chunk by chunk.
+/// Delay and partition state of the link to each address. The dialer applies it to its calls and
+/// to each message of their replies.
 pub trait LinkPolicy {
-    /// The delay of a message to or from `address`, one way.
+    /// Returns the one-way delay of messages to or from `address`.
     fn one_way_delay(&self, address: SocketAddr) -> Duration;
 
-    /// Whether the link loses everything now.
+    /// Returns true while the link to `address` is partitioned.
     fn is_partitioned(&self, address: SocketAddr) -> bool;
 }
 
-/// Delays by address and cuts that are set and healed while sessions run.
+/// [`LinkPolicy`] with delays and partitions per address that can change while sessions run.
 #[derive(Debug, Default)]
 pub struct LinkShaper {
-    default: Cell<Duration>,
+    default_delay: Cell<Duration>,
     delays: RefCell<HashMap<SocketAddr, Duration>>,
-    cuts: RefCell<HashSet<SocketAddr>>,
+    partitions: RefCell<HashSet<SocketAddr>>,
 }
 
 impl LinkShaper {
-    /// A shaper that changes nothing yet.
+    /// Creates a shaper without delays or partitions.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the one-way delay of addresses without one of their own.
+    /// Sets the one-way delay of addresses that have no delay of their own.
     pub fn set_default_delay(&self, delay: Duration) {
-        self.default.set(delay);
+        self.default_delay.set(delay);
     }
 
     /// Sets the one-way delay to `address`.
@@ -41,23 +41,23 @@
         self.delays.borrow_mut().insert(address, delay);
     }
 
-    /// Cuts the link to `address`, or heals it.
-    pub fn set_partitioned(&self, address: SocketAddr, cut: bool) {
-        let mut cuts = self.cuts.borrow_mut();
-        if cut {
-            cuts.insert(address);
+    /// Partitions the link to `address`, or heals it.
+    pub fn set_partitioned(&self, address: SocketAddr, partitioned: bool) {
+        let mut partitions = self.partitions.borrow_mut();
+        if partitioned {
+            partitions.insert(address);
         } else {
-            cuts.remove(&address);
+            partitions.remove(&address);
         }
     }
 }
 
 impl LinkPolicy for LinkShaper {
     fn one_way_delay(&self, address: SocketAddr) -> Duration {
-        self.delays.borrow().get(&address).copied().unwrap_or(self.default.get())
+        self.delays.borrow().get(&address).copied().unwrap_or(self.default_delay.get())
     }
 
     fn is_partitioned(&self, address: SocketAddr) -> bool {
-        self.cuts.borrow().contains(&address)
+        self.partitions.borrow().contains(&address)
     }
 }
--- a/crates/peer/src/notice.rs
+++ b/crates/peer/src/notice.rs
@@ -1,13 +1,14 @@
-//! Notices: single datagrams between processes, without an answer and without a promise that they
-//! arrive.
+//! Notices: authenticated UDP datagrams between processes, without acknowledgement or guaranteed
+//! delivery.
 //!
-//! For what is worth nothing a moment later and costs little when it is lost. A call of a session
-//! takes four system calls and two tasks; a notice takes one system call on each side. Told as
-//! calls to 21 other gateways, placements took half of a gateway's processor time (139.7 s of
-//! processor time in a replayed day against 68.3 s with none told).
+//! They carry short-lived information whose loss is harmless. A call takes four system calls and
+//! two tasks; a notice takes one system call on each side. Sending placements to 21 other gateways
+//! as calls used half of a gateway's CPU time (139.7 s of CPU time in a replayed day, against 68.3
+//! s without sending them).
 //!
-//! A notice carries an HMAC-SHA-256 over the cluster's name and the body, made with the peers'
-//! secret. Whoever can read the network can send an old one again, so a handler must bear that.
+//! A notice carries an HMAC-SHA-256 over the cluster name and the body, keyed with the peer secret.
+//! There is no replay protection: an attacker on the network can resend an old notice, so handlers
+//! must tolerate duplicates.
 
 use {
     crate::PeerConfig,
@@ -20,20 +21,21 @@
     std::{cell::Cell, io, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// The most bytes of a notice's body. With the code and the headers of UDP and IP a datagram stays
-/// below the 1,500 bytes of an Ethernet frame, so that none is split on its way.
+/// Maximum size of a notice's body. With the authentication tag and the UDP and IP headers, a
+/// datagram stays below the Ethernet MTU of 1,500 bytes and is not fragmented.
 pub const MAX_NOTICE_BYTES: usize = 1_200;
 
-/// The bytes of the code before the body: half of an HMAC-SHA-256, as RFC 2104 allows.
-const CODE_BYTES: usize = 16;
+/// Length of the authentication tag before the body: an HMAC-SHA-256 truncated to half of its
+/// length, as RFC 2104 allows.
+const TAG_BYTES: usize = 16;
 
-/// What the code covers first, so that it can never be taken for a proof of a session.
-const CONTEXT: &[u8] = b"gullglade notice 1";
+/// Domain separator of the MAC, so that a tag can never pass for a proof of the session handshake.
+const MAC_CONTEXT: &[u8] = b"gullglade notice 1";
 
-/// The wait after a failed read, so that a socket that only fails does not take all of the time.
-const READ_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed read, so that a persistently failing socket does not cause a busy loop.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why notices cannot be sent or received.
+/// Error of binding the sockets for notices.
 #[derive(Debug, Snafu)]
 #[snafu(display(
     "cannot use UDP port {address} for notices between processes: {source}; is the address this \
@@ -46,56 +48,56 @@
 
 /// Sends notices.
 pub trait NoticeSender {
-    /// Sends `body`, at most [`MAX_NOTICE_BYTES`] bytes, to each of `to`. It never waits: what the
-    /// network does not take at once is lost, like any other notice may be.
+    /// Sends `body`, at most [`MAX_NOTICE_BYTES`] bytes, to each address of `to`. Never blocks: a
+    /// datagram that the socket does not accept immediately is dropped.
     fn notify(&self, to: &[SocketAddr], body: &[u8]);
 }
 
-/// What is done with the body of each notice.
+/// Callback that receives the body of each authenticated notice.
 pub type NoticeHandler = Rc<dyn Fn(&[u8])>;
 
-/// Makes and checks the codes of notices.
-struct NoticeCode(Hmac<Sha256>);
+/// Computes and verifies the authentication tags of notices.
+struct NoticeAuthenticator(Hmac<Sha256>);
 
-impl NoticeCode {
+impl NoticeAuthenticator {
     fn new(config: &PeerConfig) -> Self {
         let mut mac = Hmac::<Sha256>::new_from_slice(config.secret.as_bytes())
             .expect("HMAC takes keys of any length");
-        mac.update(CONTEXT);
+        mac.update(MAC_CONTEXT);
         mac.update(config.cluster.as_str().as_bytes());
         mac.update(&[0]);
         Self(mac)
     }
 
-    fn seal(&self, body: &[u8]) -> Vec<u8> {
+    fn sign(&self, body: &[u8]) -> Vec<u8> {
         let mut mac = self.0.clone();
         mac.update(body);
-        let code = mac.finalize().into_bytes();
-        [&code[..CODE_BYTES], body].concat()
+        let tag = mac.finalize().into_bytes();
+        [&tag[..TAG_BYTES], body].concat()
     }
 
-    /// The body of a datagram that a holder of the secret made.
-    fn open<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
-        let (code, body) = datagram.split_at_checked(CODE_BYTES)?;
+    /// Returns the body of `datagram`, or `None` if its authentication tag is missing or invalid.
+    fn verify<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
+        let (tag, body) = datagram.split_at_checked(TAG_BYTES)?;
         let mut mac = self.0.clone();
         mac.update(body);
-        mac.verify_truncated_left(code).is_ok().then_some(body)
+        mac.verify_truncated_left(tag).is_ok().then_some(body)
     }
 }
 
-/// The UDP port of a process, beside the TCP port of its sessions.
+/// UDP endpoint of a process, next to the TCP listener of its sessions.
 pub struct NoticeSocket {
     socket: UdpSocket,
     sender: std::net::UdpSocket,
     address: SocketAddr,
-    code: NoticeCode,
+    authenticator: NoticeAuthenticator,
     context: ProcessContext,
     events: Rc<dyn EventSink>,
     has_warned: Cell<bool>,
 }
 
 impl NoticeSocket {
-    /// Takes notices at `address`.
+    /// Binds the receiving socket to `address`, and a sending socket to the same IP address.
     pub fn bind(
         address: SocketAddr,
         config: &PeerConfig,
@@ -104,7 +106,7 @@
         let bind = || {
             let socket = UdpSocket::bind(address)?;
             let bound = socket.local_addr()?;
-            // A socket of its own for sending: it is used without waiting.
+            // A separate non-blocking socket for sending, since `notify` must not wait.
             let sender = std::net::UdpSocket::bind(SocketAddr::new(address.ip(), 0))?;
             sender.set_nonblocking(true)?;
             io::Result::Ok((socket, sender, bound))
@@ -114,40 +116,41 @@
             socket,
             sender,
             address: bound,
-            code: NoticeCode::new(config),
+            authenticator: NoticeAuthenticator::new(config),
             context,
             events: Rc::clone(&config.events),
             has_warned: Cell::new(false),
         }))
     }
 
-    /// The address it takes notices at, with the port the system chose where 0 was asked for.
+    /// Returns the bound address, with the actual port if port 0 was requested.
     pub fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// Hands the body of each notice to `handler`, for as long as the process runs. Datagrams that
-    /// no holder of the secret made are dropped; the first one is told of.
+    /// Receives notices and passes their bodies to `handler`; never returns. Datagrams that fail
+    /// authentication are dropped, and the first one is reported as an event.
     pub async fn run(self: Rc<Self>, handler: NoticeHandler) {
-        let mut buffer = vec![0; CODE_BYTES + MAX_NOTICE_BYTES];
+        let mut buffer = vec![0; TAG_BYTES + MAX_NOTICE_BYTES];
         loop {
             let (read, returned) = self.socket.recv_from(buffer).await;
             buffer = returned;
             match read {
-                Ok((length, from)) => match self.code.open(&buffer[..length]) {
+                Ok((length, from)) => match self.authenticator.verify(&buffer[..length]) {
                     Some(body) => handler(body),
-                    None => self.warn(from),
+                    None => self.report_unauthenticated(from),
                 },
-                // An earlier send to a process that is gone is reported here by some systems.
-                Err(_) => self.context.clock.sleep(READ_PAUSE).await,
+                // Some operating systems report here that an earlier datagram was undeliverable.
+                Err(_) => self.context.clock.sleep(READ_RETRY_DELAY).await,
             }
         }
     }
 
-    fn warn(&self, from: SocketAddr) {
+    fn report_unauthenticated(&self, from: SocketAddr) {
         if !self.has_warned.replace(true) {
             let event = EventDraft::new("peer.notice_refused").level(Level::Warn);
-            let reason = "not made with this cluster's secret; further ones are not told";
+            let reason =
+                "not authenticated with this cluster's secret; further ones are not reported";
             self.events.emit(event.field("from", from).field("reason", reason));
         }
     }
@@ -160,9 +163,9 @@
             self.events.emit(event.field("bytes", body.len()).field("limit", MAX_NOTICE_BYTES));
             return;
         }
-        let datagram = self.code.seal(body);
+        let datagram = self.authenticator.sign(body);
         for address in to {
-            // A notice that is not sent is lost, which every receiver must bear anyway.
+            // Delivery is best effort, so a failed send is ignored.
             let _: io::Result<usize> = self.sender.send_to(&datagram, address);
         }
     }
--- a/crates/peer/src/pool.rs
+++ b/crates/peer/src/pool.rs
@@ -1,4 +1,4 @@
-//! The dialing side: one kept session per address.
+//! Client-side session pool: one persistent session per address.
 
 mod delay;
 mod dial;
@@ -13,8 +13,8 @@
     crate::{
         LinkPolicy, PeerConfig, PeerError, PeerIdentity, PeerStream, PeerTransport,
         signal::{Signal, SignalSource, signal},
-        transport::within_limit,
-        wire::{CallHead, CallKind},
+        transport::call_with_limit,
+        wire::{CallHeader, CallKind},
     },
     bytes::Bytes,
     gullglade_units::{HybridClock, HybridStamp, LocalFuture, ProcessContext},
@@ -29,14 +29,14 @@
     },
 };
 
-/// Calls peers over sessions that it dials when they are first needed, keeps, and dials again with
-/// backoff when they are lost.
+/// Pool of client sessions. Dials an address at its first call, reuses the session for later calls,
+/// and redials lost sessions with exponential backoff.
 #[derive(Clone)]
 pub struct PeerPool {
     shared: Rc<PoolShared>,
 }
 
-/// What every session of a pool shares.
+/// State shared by all sessions of a pool.
 struct PoolShared {
     config: PeerConfig,
     context: ProcessContext,
@@ -54,12 +54,13 @@
 }
 
 impl PeerPool {
-    /// A pool without sessions, over the network as it is.
+    /// Creates an empty pool without link emulation.
     pub fn new(config: PeerConfig, context: ProcessContext, clock: Rc<HybridClock>) -> Self {
         Self::build(config, context, clock, None)
     }
 
-    /// A pool whose links obey `link`, for the demo and for tests.
+    /// Creates an empty pool that applies the delays and partitions of `link`, for the demo and for
+    /// tests.
     pub fn with_link(
         config: PeerConfig,
         context: ProcessContext,
@@ -88,14 +89,14 @@
         Self { shared: Rc::new(shared) }
     }
 
-    /// Who answered at `address`, where a session stands.
+    /// Returns the identity of the peer at `address`, or `None` without an open session.
     pub fn connected_peer(&self, address: SocketAddr) -> Option<PeerIdentity> {
         let slot = self.shared.slots.borrow().get(&address)?.clone();
-        slot.standing().map(|session| session.peer.clone())
+        slot.connected().map(|session| session.peer.clone())
     }
 
-    /// Drops every session at once, as a kill would, and dials no more. Sessions outlive the pool
-    /// itself otherwise, until they are idle.
+    /// Drops all sessions immediately, as a kill of the process would, and fails further dials.
+    /// Without this, sessions outlive the pool until their idle timeout.
     pub fn abort(&self) {
         if let Some(source) = self.shared.abort_source.borrow_mut().take() {
             source.raise();
@@ -111,8 +112,8 @@
         slots.entry(to).or_insert_with(|| PeerSlot::new(to)).clone()
     }
 
-    /// Sends a call. `sent` becomes true before the first byte of it can have left.
-    async fn begin(
+    /// Sends a call. Sets `sent` to true before any byte of it can be sent.
+    async fn start_call(
         &self,
         to: SocketAddr,
         method: &str,
@@ -120,24 +121,26 @@
         body: Bytes,
         sent: &Cell<bool>,
     ) -> Result<ReplyReader, PeerError> {
-        self.check(method, &body)?;
+        self.validate_call(method, &body)?;
         let slot = self.slot(to);
         loop {
             let session = slot.session(&self.shared).await?;
-            let head = CallHead { stamp: self.shared.stamp(), kind };
-            match session.begin(method, &head, body.clone(), sent).await {
+            let header = CallHeader { stamp: self.shared.stamp(), kind };
+            match session.start_call(method, &header, body.clone(), sent).await {
                 Ok(reply) => return Ok(reply),
-                // The session was lost before any byte was written: the next one may do better.
+                // The session was lost before any byte was written, so a retry on a new one is
+                // safe.
                 Err(error) if error.nothing_sent() && !session.is_open() => {}
                 Err(error) => return Err(error),
             }
         }
     }
 
-    fn check(&self, method: &str, body: &Bytes) -> Result<(), PeerError> {
+    fn validate_call(&self, method: &str, body: &Bytes) -> Result<(), PeerError> {
         let limit = self.shared.config.message_limit;
-        let named = method.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
-        let reason = if method.is_empty() || !named {
+        let is_valid_name =
+            method.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
+        let reason = if method.is_empty() || !is_valid_name {
             "method names have letters, digits, '.', '_' and '-'".to_owned()
         } else if body.len() > limit {
             format!("its {} bytes exceed the message limit of {limit}", body.len())
@@ -147,14 +150,14 @@
         Err(PeerError::Unsendable { method: method.to_owned(), reason })
     }
 
-    async fn single(
+    async fn call_single(
         &self,
         to: SocketAddr,
         method: &str,
         body: Bytes,
         sent: &Cell<bool>,
     ) -> Result<Bytes, PeerError> {
-        self.begin(to, method, CallKind::Single, body, sent).await?.single().await
+        self.start_call(to, method, CallKind::Single, body, sent).await?.single().await
     }
 }
 
@@ -168,8 +171,8 @@
     ) -> LocalFuture<'a, Result<Bytes, PeerError>> {
         Box::pin(async move {
             let sent = Cell::new(false);
-            let calling = self.single(to, method, body, &sent);
-            within_limit(&*self.shared.context.clock, to, limit, &sent, calling).await
+            let calling = self.call_single(to, method, body, &sent);
+            call_with_limit(&*self.shared.context.clock, to, limit, &sent, calling).await
         })
     }
 
@@ -181,7 +184,7 @@
     ) -> LocalFuture<'a, Result<PeerStream, PeerError>> {
         Box::pin(async move {
             let sent = Cell::new(false);
-            let reply = self.begin(to, method, CallKind::Stream, body, &sent).await?;
+            let reply = self.start_call(to, method, CallKind::Stream, body, &sent).await?;
             Ok(reply.into_stream())
         })
     }
--- a/crates/peer/src/pool/delay.rs
+++ b/crates/peer/src/pool/delay.rs
@@ -1,5 +1,6 @@
-//! Carries out a [`LinkPolicy`]: messages wait in one queue for each direction of a link, so their
-//! order is kept, and each waits from its own arrival, so throughput is that of the link.
+//! Delay queues that apply a [`LinkPolicy`]. Each direction of a link has a FIFO queue, which
+//! preserves the order of messages. The delay of a message starts when it is enqueued, so latency
+//! does not reduce throughput.
 
 use {
     crate::{LinkPolicy, PeerError, PeerStream, signal::Signal},
@@ -13,144 +14,150 @@
     std::{net::SocketAddr, pin::pin, rc::Rc, time::Duration},
 };
 
-/// How often a cut link is looked at again.
-const CUT_POLL: Duration = Duration::from_millis(5);
+/// Interval at which the state of a partitioned link is polled.
+const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The most messages of one reply on their way through a delayed link.
-const IN_FLIGHT: usize = 1_024;
+/// Maximum number of messages of one reply that are in flight on a delayed link.
+const MAX_IN_FLIGHT_MESSAGES: usize = 1_024;
 
-/// The two directions of one session over a shaped link.
-pub(super) struct SessionLink {
-    /// Calls.
-    pub(super) outward: Rc<DelayLine>,
-    /// Replies.
-    pub(super) inward: Rc<DelayLine>,
+/// Delay queues of both directions of a session.
+pub(super) struct ShapedLink {
+    /// Queue of calls.
+    pub(super) outbound: Rc<DelayQueue>,
+    /// Queue of replies.
+    pub(super) inbound: Rc<DelayQueue>,
 }
 
-impl SessionLink {
-    /// A link whose session ends when `closed` is raised.
+impl ShapedLink {
+    /// Starts both queues for a session that ends when `closed` is raised.
     pub(super) fn new(
         address: SocketAddr,
         link: &Rc<dyn LinkPolicy>,
         context: &ProcessContext,
         closed: &Signal,
     ) -> Self {
-        let line = || DelayLine::start(address, link.clone(), context, closed.clone());
-        Self { outward: line(), inward: line() }
+        let queue = || DelayQueue::start(address, link.clone(), context, closed.clone());
+        Self { outbound: queue(), inbound: queue() }
     }
 }
 
-/// The session was closed while a cut held a message.
+/// Error: the session was closed while the message was held back by a partition.
 #[derive(Debug)]
-pub(super) struct LineClosed;
+pub(super) struct QueueClosed;
 
-/// One waiting message.
-struct Ticket {
+/// Message that waits for its delay to pass.
+struct QueuedMessage {
     due: MonotonicTime,
     released: oneshot::Sender<()>,
 }
 
-/// One direction of a shaped link.
-pub(super) struct DelayLine {
+/// Delay queue of one direction of a link.
+pub(super) struct DelayQueue {
     address: SocketAddr,
     link: Rc<dyn LinkPolicy>,
     clock: Rc<dyn Clock>,
-    tickets: mpsc::UnboundedSender<Ticket>,
+    messages: mpsc::UnboundedSender<QueuedMessage>,
 }
 
-impl DelayLine {
+impl DelayQueue {
     fn start(
         address: SocketAddr,
         link: Rc<dyn LinkPolicy>,
         context: &ProcessContext,
         closed: Signal,
     ) -> Rc<Self> {
-        let (tickets, waiting) = mpsc::unbounded();
+        let (messages, waiting) = mpsc::unbounded();
         let clock = context.clock.clone();
-        let releasing = release(waiting, address, link.clone(), clock.clone(), closed);
-        context.spawner.spawn(Box::pin(releasing));
-        Rc::new(Self { address, link, clock, tickets })
+        let delivering = deliver_messages(waiting, address, link.clone(), clock.clone(), closed);
+        context.spawner.spawn(Box::pin(delivering));
+        Rc::new(Self { address, link, clock, messages })
     }
 
-    /// Enters the line now; the future completes when the message has come through.
-    fn enter(&self) -> oneshot::Receiver<()> {
+    /// Adds a message to the queue. The returned receiver completes when the message is delivered,
+    /// and fails if the queue is closed first.
+    fn enqueue(&self) -> oneshot::Receiver<()> {
         let (released, leaving) = oneshot::channel();
         let due = self.clock.now() + self.link.one_way_delay(self.address);
-        let _ = self.tickets.unbounded_send(Ticket { due, released });
+        let _ = self.messages.unbounded_send(QueuedMessage { due, released });
         leaving
     }
 
-    /// Completes when a message that enters now has come through.
-    pub(super) async fn pass(&self) -> Result<(), LineClosed> {
-        self.enter().await.map_err(|_| LineClosed)
+    /// Adds a message to the queue and waits until it is delivered.
+    pub(super) async fn traverse(&self) -> Result<(), QueueClosed> {
+        self.enqueue().await.map_err(|_| QueueClosed)
     }
 }
 
-/// Lets messages through until the line is dropped. What was on its way when the session ended
-/// still comes through, as bytes before the end of a TCP connection do: a peer that stops
-/// gracefully has sent its last answers whole. Only a cut that outlives the session loses them.
-async fn release(
-    mut waiting: mpsc::UnboundedReceiver<Ticket>,
+/// Delivers queued messages until the queue is dropped. Messages in flight when the session ends
+/// are still delivered, like bytes before the FIN of a TCP connection, because a peer that stops
+/// gracefully has sent its last replies completely. They are lost only if a partition still holds
+/// them back after the session has ended.
+async fn deliver_messages(
+    mut waiting: mpsc::UnboundedReceiver<QueuedMessage>,
     address: SocketAddr,
     link: Rc<dyn LinkPolicy>,
     clock: Rc<dyn Clock>,
     closed: Signal,
 ) {
-    while let Some(ticket) = waiting.next().await {
-        let wait = ticket.due.since(clock.now());
+    while let Some(message) = waiting.next().await {
+        let wait = message.due.since(clock.now());
         if !wait.is_zero() {
             clock.sleep(wait).await;
         }
-        let uncut = pin!(wait_uncut(&*link, address, &*clock));
-        if let Either::Right(_) = select(uncut, pin!(closed.raised())).await {
+        let healed = pin!(wait_until_healed(&*link, address, &*clock));
+        if let Either::Right(_) = select(healed, pin!(closed.raised())).await {
             return;
         }
-        let _ = ticket.released.send(());
+        let _ = message.released.send(());
     }
 }
 
-/// Completes while the link is not cut.
-pub(super) async fn wait_uncut(link: &dyn LinkPolicy, address: SocketAddr, clock: &dyn Clock) {
+/// Completes as soon as the link is not partitioned.
+pub(super) async fn wait_until_healed(
+    link: &dyn LinkPolicy,
+    address: SocketAddr,
+    clock: &dyn Clock,
+) {
     while link.is_partitioned(address) {
-        clock.sleep(CUT_POLL).await;
+        clock.sleep(PARTITION_POLL_INTERVAL).await;
     }
 }
 
-/// Completes once the link has been cut for `limit` without a break: when a ping would have
-/// found it.
-pub(super) async fn cut_for(
+/// Completes once the link has been partitioned for `limit` without interruption, which is when a
+/// ping over it would have timed out.
+pub(super) async fn wait_until_partitioned_for(
     limit: Duration,
     link: &dyn LinkPolicy,
     address: SocketAddr,
     clock: &dyn Clock,
 ) {
-    let mut whole = clock.now();
-    while clock.now().since(whole) < limit {
-        clock.sleep(CUT_POLL).await;
+    let mut last_connected = clock.now();
+    while clock.now().since(last_connected) < limit {
+        clock.sleep(PARTITION_POLL_INTERVAL).await;
         if !link.is_partitioned(address) {
-            whole = clock.now();
+            last_connected = clock.now();
         }
     }
 }
 
-/// `messages`, each delayed from its arrival on. `closed` makes the error of a reply that was on
-/// its way when its session was closed.
-pub(super) fn delayed(
+/// Delays each item of `messages`, starting at its arrival. `closed` creates the error of a reply
+/// that a partition holds back when its session is closed.
+pub(super) fn delay_stream(
     mut messages: PeerStream,
-    line: Rc<DelayLine>,
+    queue: Rc<DelayQueue>,
     context: &ProcessContext,
     closed: impl Fn() -> PeerError + Clone + 'static,
 ) -> PeerStream {
-    let (mut sender, receiver) = mpsc::channel(IN_FLIGHT);
+    let (mut sender, receiver) = mpsc::channel(MAX_IN_FLIGHT_MESSAGES);
     let (alive, dropped) = oneshot::channel::<()>();
     let reading = async move {
         while let Some(item) = messages.next().await {
             let failed = item.is_err();
-            if sender.send((line.enter(), Some(item))).await.is_err() || failed {
+            if sender.send((queue.enqueue(), Some(item))).await.is_err() || failed {
                 return;
             }
         }
-        let _ = sender.send((line.enter(), None)).await;
+        let _ = sender.send((queue.enqueue(), None)).await;
     };
     context.spawner.spawn(Box::pin(async move {
         select(pin!(reading), dropped).await;
@@ -162,8 +169,8 @@
                 Some((leaving, item)) => leaving.await.map(|()| item),
                 None => Err(oneshot::Canceled),
             };
-            // Without this a cut that outlives the session would hold its last messages, and the
-            // reader, for ever.
+            // A partition that outlives the session drops its last messages; the reader gets an
+            // error instead of waiting forever.
             let item = arrived.unwrap_or_else(|_| Some(Err(closed())));
             item.map(|item| (item, (receiver, alive)))
         }
--- a/crates/peer/src/pool/dial.rs
+++ b/crates/peer/src/pool/dial.rs
@@ -1,15 +1,15 @@
-//! Connects to an address and shakes hands.
+//! Dialing: TCP connect, HTTP/2 setup and session handshake.
 
 use {
-    super::{PoolShared, delay::wait_uncut, session::ClientSession},
+    super::{PoolShared, delay::wait_until_healed, session::ClientSession},
     crate::{
         PeerError, PeerIdentity, SessionRefusal,
+        activity::{ActivityStream, LastReceived},
         handshake::{
-            Admission, Challenge, HANDSHAKE_LIMIT, HELLO_PATH, Hello, PROOF_PATH, ProofRole,
-            ProofText, Welcome,
+            Admission, Challenge, HELLO_PATH, Hello, MAX_HANDSHAKE_BYTES, PROOF_PATH, ProofRole,
+            ProofTranscript, Welcome,
         },
-        heard::{HeardStream, LastHeard},
-        wire::{FrameReader, PROTOCOL_VERSION, encode_plain},
+        wire::{FrameReader, PROTOCOL_VERSION, encode_handshake_frame},
     },
     bytes::Bytes,
     futures::{
@@ -26,23 +26,24 @@
     std::{fmt::Display, net::SocketAddr, pin::pin, rc::Rc, time::Duration},
 };
 
-/// The HTTP/2 connection of a dialed session.
-pub(super) type PeerConnection = Connection<HeardStream<StreamWrapper<TcpStream>>, Bytes>;
+/// HTTP/2 connection of a dialed session.
+pub(super) type PeerConnection = Connection<ActivityStream<StreamWrapper<TcpStream>>, Bytes>;
 
-/// A session whose handshake is done.
+/// Connection whose session handshake is complete.
 pub(super) struct DialedPeer {
     pub(super) sender: SendRequest<Bytes>,
     pub(super) peer: PeerIdentity,
     pub(super) connection: PeerConnection,
-    pub(super) heard: LastHeard,
+    pub(super) last_received: LastReceived,
 }
 
-/// One-way trips before the first call: TCP's connect and the two steps of the handshake.
-const DIAL_TRIPS: u32 = 6;
+/// Number of one-way trips before the first call: the TCP connect and the two handshake steps.
+const DIAL_ONE_WAY_TRIPS: u32 = 6;
 
-/// How long one attempt to connect is alone. A handshake over links of 55 ms takes 0.33 s, and TCP
-/// sends a lost opening packet again after 1 s.
-const DIAL_AGAIN: Duration = Duration::from_millis(500);
+/// Interval after which a further connection attempt starts in parallel. It must exceed a handshake
+/// over links with a one-way delay of 55 ms, which takes 0.33 s, and stay below the 1 s after which
+/// TCP retransmits a lost SYN.
+const HEDGE_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Snafu)]
 enum DialError {
@@ -52,21 +53,21 @@
     Refused { source: SessionRefusal },
 }
 
-fn lost(reason: impl Display) -> DialError {
+fn connection_lost(reason: impl Display) -> DialError {
     DialError::Lost { reason: reason.to_string() }
 }
 
-/// A session with the process at `address`, whose task runs already.
+/// Establishes a session with the process at `address` and starts its task.
 pub(super) async fn dial(
     address: SocketAddr,
     shared: &Rc<PoolShared>,
 ) -> Result<Rc<ClientSession>, PeerError> {
     let limit = shared.config.connect_timeout;
-    let dialing = timeout(&*shared.context.clock, limit, connect_again(address, shared));
+    let dialing = timeout(&*shared.context.clock, limit, connect_hedged(address, shared));
     let outcome = match select(pin!(dialing), pin!(shared.abort.raised())).await {
         Either::Left((Some(outcome), _)) => outcome,
-        Either::Left((None, _)) => Err(lost(format!("no handshake within {limit:?}"))),
-        Either::Right(_) => Err(lost("this process is stopping")),
+        Either::Left((None, _)) => Err(connection_lost(format!("no handshake within {limit:?}"))),
+        Either::Right(_) => Err(connection_lost("this process is stopping")),
     };
     match outcome {
         Ok(dialed) => Ok(ClientSession::start(address, dialed, shared)),
@@ -75,17 +76,18 @@
     }
 }
 
-/// Connects, and once more beside it each [`DIAL_AGAIN`]; the first one to succeed counts.
+/// Hedged connect: starts a further attempt every [`HEDGE_DELAY`] while none has succeeded, and
+/// returns the first success.
 ///
-/// The opening packet to a VM that has no power yet, or over a link that loses packets, is sent
-/// again only after a second. After a loss of power everywhere gateways had no session to the
-/// control process beside them for 0.8 s after its start, for want of one packet.
-async fn connect_again(address: SocketAddr, shared: &PoolShared) -> Result<DialedPeer, DialError> {
+/// TCP retransmits a SYN that was lost, or sent to a VM without power, only after 1 s.
+/// After a power loss in all regions, a single attempt left gateways without a session to the
+/// control process on their VM for 0.8 s after that process had started.
+async fn connect_hedged(address: SocketAddr, shared: &PoolShared) -> Result<DialedPeer, DialError> {
     let mut attempts = FuturesUnordered::new();
     loop {
         attempts.push(connect(address, shared));
         let mut failure = None;
-        let ended = timeout(&*shared.context.clock, DIAL_AGAIN, async {
+        let ended = timeout(&*shared.context.clock, HEDGE_DELAY, async {
             while let Some(outcome) = attempts.next().await {
                 match outcome {
                     Ok(dialed) => return Some(dialed),
@@ -96,7 +98,7 @@
         });
         match (ended.await, failure) {
             (Some(Some(dialed)), _) => return Ok(dialed),
-            // Every attempt so far has been answered, and badly: that is for the caller to judge.
+            // All attempts have failed. The caller applies the backoff.
             (Some(None), Some(error)) => return Err(error),
             (Some(None), None) | (None, _) => {}
         }
@@ -105,32 +107,34 @@
 
 async fn connect(address: SocketAddr, shared: &PoolShared) -> Result<DialedPeer, DialError> {
     if let Some(link) = &shared.link {
-        shared.context.clock.sleep(link.one_way_delay(address) * DIAL_TRIPS).await;
-        wait_uncut(&**link, address, &*shared.context.clock).await;
+        shared.context.clock.sleep(link.one_way_delay(address) * DIAL_ONE_WAY_TRIPS).await;
+        wait_until_healed(&**link, address, &*shared.context.clock).await;
     }
-    let stream = TcpStream::connect_addr(address).await.map_err(lost)?;
-    stream.set_nodelay(true).map_err(lost)?;
+    let stream = TcpStream::connect_addr(address).await.map_err(connection_lost)?;
+    stream.set_nodelay(true).map_err(connection_lost)?;
     let clock = shared.context.clock.clone();
-    let (stream, heard) = HeardStream::new(StreamWrapper::new(stream), clock);
-    let (sender, mut connection) = begin_http2(stream, shared).await.map_err(lost)?;
-    let shaking = shake_hands(sender.clone(), shared);
-    // The connection moves bytes only while it is polled, so it runs beside the handshake.
-    let peer = match select(pin!(shaking), &mut connection).await {
+    let (stream, last_received) = ActivityStream::new(StreamWrapper::new(stream), clock);
+    let (sender, mut connection) = start_http2(stream, shared).await.map_err(connection_lost)?;
+    let pending_handshake = perform_handshake(sender.clone(), shared);
+    // An h2 connection makes progress only while polled, so it is polled during the handshake.
+    let peer = match select(pin!(pending_handshake), &mut connection).await {
         Either::Left((peer, _)) => peer?,
-        Either::Right((end, shaking)) => {
-            // A refusal and the end of the connection can arrive together; the refusal says more.
-            if let Some(Err(refusal)) = shaking.now_or_never() {
+        Either::Right((end, pending_handshake)) => {
+            // A refusal and the end of the connection can arrive together; prefer the refusal,
+            // which is the more specific error.
+            if let Some(Err(refusal)) = pending_handshake.now_or_never() {
                 return Err(refusal);
             }
-            let reason = end.map_or_else(|e| e.to_string(), |()| "the peer hung up".to_owned());
-            return Err(lost(reason));
+            let reason = end
+                .map_or_else(|e| e.to_string(), |()| "the peer closed the connection".to_owned());
+            return Err(connection_lost(reason));
         }
     };
-    Ok(DialedPeer { sender, peer, connection, heard })
+    Ok(DialedPeer { sender, peer, connection, last_received })
 }
 
-async fn begin_http2(
-    stream: HeardStream<StreamWrapper<TcpStream>>,
+async fn start_http2(
+    stream: ActivityStream<StreamWrapper<TcpStream>>,
     shared: &PoolShared,
 ) -> Result<(SendRequest<Bytes>, PeerConnection), h2::Error> {
     let config = &shared.config;
@@ -139,10 +143,10 @@
         .initial_connection_window_size(config.session_window)
         .max_send_buffer_size(config.stream_window as usize)
         .enable_push(false)
-        // h2 closes a whole session with ENHANCE_YOUR_CALM when counters that guard against
-        // strangers overflow. Here the peer has proved itself, and one relay that cancels a few
-        // hundred streams at once, or reads a stream of tiny messages slowly, must not break
-        // the session's thousands of other calls.
+        // h2 closes the whole connection with ENHANCE_YOUR_CALM when its limits against abuse by
+        // untrusted peers are exceeded. Peers are authenticated here, and a relay that cancels a
+        // few hundred streams at once, or slowly reads a stream of tiny messages, must not break
+        // the thousands of other calls of the session.
         .max_local_error_reset_streams(None)
         .max_concurrent_reset_streams(config.stream_limit as usize)
         .max_pending_accept_reset_streams(config.stream_limit as usize)
@@ -151,7 +155,7 @@
         .await
 }
 
-async fn shake_hands(
+async fn perform_handshake(
     mut sender: SendRequest<Bytes>,
     shared: &PoolShared,
 ) -> Result<PeerIdentity, DialError> {
@@ -162,31 +166,32 @@
         identity: config.identity.clone(),
         challenge: Challenge::new(&*shared.context.random),
     };
-    let welcome: Welcome = step(&mut sender, HELLO_PATH, &hello).await??;
-    let mut text = ProofText {
+    let welcome: Welcome = exchange(&mut sender, HELLO_PATH, &hello).await??;
+    let mut transcript = ProofTranscript {
         role: ProofRole::Server,
         cluster: &config.cluster,
         dialer: &config.identity,
         server: &welcome.identity,
         challenges: [hello.challenge, welcome.challenge],
     };
-    text.check(&config.secret, &welcome.proof)?;
-    text.role = ProofRole::Dialer;
-    let proof = text.prove(&config.secret);
-    let admission: Admission = step(&mut sender, PROOF_PATH, &proof).await??;
+    transcript.verify(&config.secret, &welcome.proof)?;
+    transcript.role = ProofRole::Dialer;
+    let proof = transcript.prove(&config.secret);
+    let admission: Admission = exchange(&mut sender, PROOF_PATH, &proof).await??;
     shared.clock.observe(admission.stamp);
     Ok(welcome.identity)
 }
 
-/// One step of the handshake: a message out, and the server's answer or refusal.
-async fn step<Q: Serialize, A: DeserializeOwned>(
+/// Performs one handshake step: sends `message` and reads the server's response or refusal.
+async fn exchange<Q: Serialize, A: DeserializeOwned>(
     sender: &mut SendRequest<Bytes>,
     path: &str,
     message: &Q,
 ) -> Result<Result<A, SessionRefusal>, DialError> {
-    let request = Request::post(format!("http://peer{path}")).body(()).map_err(lost)?;
-    let (response, mut body) = sender.send_request(request, false).map_err(lost)?;
-    body.send_data(encode_plain(message), true).map_err(lost)?;
-    let mut reader = FrameReader::new(response.await.map_err(lost)?.into_body(), HANDSHAKE_LIMIT);
-    reader.typed("of the handshake").await.map_err(lost)
+    let request = Request::post(format!("http://peer{path}")).body(()).map_err(connection_lost)?;
+    let (response, mut body) = sender.send_request(request, false).map_err(connection_lost)?;
+    body.send_data(encode_handshake_frame(message), true).map_err(connection_lost)?;
+    let mut reader =
+        FrameReader::new(response.await.map_err(connection_lost)?.into_body(), MAX_HANDSHAKE_BYTES);
+    reader.next_as("of the handshake").await.map_err(connection_lost)
 }
--- a/crates/peer/src/pool/reply.rs
+++ b/crates/peer/src/pool/reply.rs
@@ -1,10 +1,10 @@
-//! The reply of one call, as it arrives.
+//! Reading the reply of a call.
 
 use {
-    super::{PoolShared, delay::delayed, session::ActiveCall},
+    super::{PoolShared, delay::delay_stream, session::ActiveCall},
     crate::{
         PeerError, PeerStream,
-        wire::{FrameError, FrameReader, ReplyFrame, decode_reply},
+        wire::{FrameError, FrameReader, ReplyFrame, decode_reply_frame},
     },
     bytes::Bytes,
     futures::stream,
@@ -12,28 +12,28 @@
     std::rc::Rc,
 };
 
-/// Reads one reply. Dropping it resets the stream, unless the reply has ended.
+/// Reads a reply. Dropping it resets the HTTP/2 stream if the reply is not complete.
 pub(super) struct ReplyReader {
     call: ActiveCall,
-    source: ReplySource,
+    state: ReplyState,
     shared: Rc<PoolShared>,
 }
 
-enum ReplySource {
+enum ReplyState {
     Waiting(ResponseFuture),
     Reading(FrameReader),
 }
 
 impl ReplyReader {
     pub(super) fn new(call: ActiveCall, response: ResponseFuture, shared: Rc<PoolShared>) -> Self {
-        Self { call, source: ReplySource::Waiting(response), shared }
+        Self { call, state: ReplyState::Waiting(response), shared }
     }
 
-    /// The one message of a reply that must have exactly one.
+    /// Reads a reply that must have exactly one message, and returns the message.
     pub(super) async fn single(mut self) -> Result<Bytes, PeerError> {
         let answer = self.read_single().await;
         if let Some(link) = &self.call.session.link {
-            link.inward.pass().await.map_err(|_| self.broken("the session was closed"))?;
+            link.inbound.traverse().await.map_err(|_| self.broken("the session was closed"))?;
         }
         answer
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The messages, ending without an error only after the end marker.
+    /// Converts the reply to a stream that ends without an error only after the trailer.
     pub(super) fn into_stream(self) -> PeerStream {
         let session = self.call.session.clone();
         let context = self.shared.context.clone();
@@ -58,38 +58,40 @@
         match &session.link {
             None => stream,
             Some(link) => {
-                let line = link.inward.clone();
+                let queue = link.inbound.clone();
                 let session = session.clone();
-                delayed(stream, line, &context, move || session.broken("the session was closed"))
+                delay_stream(stream, queue, &context, move || {
+                    session.broken("the session was closed")
+                })
             }
         }
     }
 
-    /// The next message; `None` after the end marker.
+    /// Returns the next message, or `None` after the trailer.
     async fn next(&mut self) -> Result<Option<Bytes>, PeerError> {
         loop {
-            match self.frame().await.map_err(|error| self.broken(error))? {
-                ReplyFrame::Head(stamp) => self.shared.clock.observe(stamp),
+            match self.next_frame().await.map_err(|error| self.broken(error))? {
+                ReplyFrame::Header(stamp) => self.shared.clock.observe(stamp),
                 ReplyFrame::Message(message) => return Ok(Some(message)),
-                ReplyFrame::Tail(tail) => {
-                    self.shared.clock.observe(tail.stamp);
-                    return tail.outcome.map(|()| None).map_err(PeerError::from);
+                ReplyFrame::Trailer(trailer) => {
+                    self.shared.clock.observe(trailer.stamp);
+                    return trailer.outcome.map(|()| None).map_err(PeerError::from);
                 }
             }
         }
     }
 
-    async fn frame(&mut self) -> Result<ReplyFrame, FrameError> {
-        if let ReplySource::Waiting(response) = &mut self.source {
+    async fn next_frame(&mut self) -> Result<ReplyFrame, FrameError> {
+        if let ReplyState::Waiting(response) = &mut self.state {
             let response = response.await.map_err(|source| FrameError::Lost { source })?;
             let limit = self.shared.config.message_limit;
-            self.source = ReplySource::Reading(FrameReader::new(response.into_body(), limit));
+            self.state = ReplyState::Reading(FrameReader::new(response.into_body(), limit));
         }
-        match &mut self.source {
-            ReplySource::Reading(reader) => {
-                decode_reply(reader.expect("with the end of the reply").await?)
+        match &mut self.state {
+            ReplyState::Reading(reader) => {
+                decode_reply_frame(reader.expect("with the end of the reply").await?)
             }
-            ReplySource::Waiting(_) => unreachable!("the response has come"),
+            ReplyState::Waiting(_) => unreachable!("the response has come"),
         }
     }
 
--- a/crates/peer/src/pool/session.rs
+++ b/crates/peer/src/pool/session.rs
@@ -1,18 +1,18 @@
-//! One dialed session.
+//! Client side of a session.
 
 use {
     super::{
         PoolShared,
-        delay::{SessionLink, cut_for},
+        delay::{ShapedLink, wait_until_partitioned_for},
         dial::{DialedPeer, PeerConnection},
         reply::ReplyReader,
     },
     crate::{
         PeerError, PeerIdentity,
-        heard::LastHeard,
-        keepalive::watch_peer,
+        activity::LastReceived,
+        keepalive::monitor_peer,
         signal::signal,
-        wire::{CallHead, encode_call},
+        wire::{CallHeader, encode_call},
     },
     bytes::Bytes,
     futures::future::{Either, select},
@@ -30,7 +30,7 @@
     },
 };
 
-/// Why a session takes no more calls.
+/// Reason for which a session accepts no more calls.
 #[derive(Clone, Debug, Snafu)]
 enum SessionEnd {
     #[snafu(display("the peer closed the session"))]
@@ -38,38 +38,38 @@
     #[snafu(display("the session was lost: {reason}"))]
     Lost { reason: String },
     #[snafu(display("the peer takes no more calls: {reason}"))]
-    Leaving { reason: String },
+    Draining { reason: String },
     #[snafu(display("no answer to a ping within {limit:?}; the peer is frozen or cut off"))]
-    Silent { limit: Duration },
+    Unresponsive { limit: Duration },
     #[snafu(display("the session was idle"))]
     Idle,
-    #[snafu(display("this process stops"))]
+    #[snafu(display("this process is stopping"))]
     Stopping,
 }
 
-/// A session with the process that answered at an address.
+/// Client side of a session with a peer.
 pub(super) struct ClientSession {
-    /// Where it was dialed.
+    /// Address that was dialed.
     pub(super) address: SocketAddr,
-    /// Who answered.
+    /// Identity of the peer.
     pub(super) peer: PeerIdentity,
-    /// Delays and cuts, where a link policy is set.
-    pub(super) link: Option<SessionLink>,
+    /// Emulated link, if the pool has a link policy.
+    pub(super) link: Option<ShapedLink>,
     sender: SendRequest<Bytes>,
     shared: Rc<PoolShared>,
-    active: Cell<usize>,
-    used: Cell<MonotonicTime>,
-    closed: RefCell<Option<SessionEnd>>,
+    active_calls: Cell<usize>,
+    last_used: Cell<MonotonicTime>,
+    end_reason: RefCell<Option<SessionEnd>>,
 }
 
-/// A call in progress on a session; keeps it from being closed as idle.
+/// Guard of a call in progress; the session is not closed as idle while one exists.
 pub(super) struct ActiveCall {
     pub(super) session: Rc<ClientSession>,
 }
 
 impl ActiveCall {
     fn new(session: &Rc<ClientSession>) -> Self {
-        session.active.set(session.active.get() + 1);
+        session.active_calls.set(session.active_calls.get() + 1);
         Self { session: session.clone() }
     }
 }
@@ -77,44 +77,44 @@
 impl Drop for ActiveCall {
     fn drop(&mut self) {
         let session = &self.session;
-        session.active.set(session.active.get() - 1);
-        session.used.set(session.shared.context.clock.now());
+        session.active_calls.set(session.active_calls.get() - 1);
+        session.last_used.set(session.shared.context.clock.now());
     }
 }
 
 impl ClientSession {
-    /// Starts the task that moves the session's bytes.
+    /// Creates the session and spawns the task that drives its connection.
     pub(super) fn start(
         address: SocketAddr,
         dialed: DialedPeer,
         shared: &Rc<PoolShared>,
     ) -> Rc<Self> {
-        let DialedPeer { sender, peer, connection, heard } = dialed;
+        let DialedPeer { sender, peer, connection, last_received } = dialed;
         let (closing, closed) = signal();
         let link = shared.link.as_ref();
         let session = Rc::new(Self {
             address,
             peer,
-            link: link.map(|link| SessionLink::new(address, link, &shared.context, &closed)),
+            link: link.map(|link| ShapedLink::new(address, link, &shared.context, &closed)),
             sender,
             shared: shared.clone(),
-            active: Cell::new(0),
-            used: Cell::new(shared.context.clock.now()),
-            closed: RefCell::new(None),
+            active_calls: Cell::new(0),
+            last_used: Cell::new(shared.context.clock.now()),
+            end_reason: RefCell::new(None),
         });
         let event = session.event("peer.connected").field("incarnation", session.peer.incarnation);
         shared.config.events.emit(event);
         let task = session.clone();
         shared.context.spawner.spawn(Box::pin(async move {
-            task.run(connection, heard).await;
+            task.run(connection, last_received).await;
             closing.raise();
         }));
         session
     }
 
-    /// Whether calls can be sent on it.
+    /// Returns true while the session accepts calls.
     pub(super) fn is_open(&self) -> bool {
-        self.closed.borrow().is_none()
+        self.end_reason.borrow().is_none()
     }
 
     fn event(&self, kind: &'static str) -> EventDraft {
@@ -124,14 +124,14 @@
             .field("address", self.address)
     }
 
-    /// Moves the session's bytes until either end goes.
-    async fn run(&self, mut connection: PeerConnection, heard: LastHeard) {
+    /// Drives the connection until either side ends the session.
+    async fn run(&self, mut connection: PeerConnection, last_received: LastReceived) {
         let Some(pings) = connection.ping_pong() else {
             return self.close(SessionEnd::Closed);
         };
         let end = {
-            let leaving = pin!(self.end_here(pings, heard));
-            match select(&mut connection, leaving).await {
+            let local_end = pin!(self.wait_for_local_end(pings, last_received));
+            match select(&mut connection, local_end).await {
                 Either::Left((Ok(()), _)) => SessionEnd::Closed,
                 Either::Left((Err(error), _)) => SessionEnd::Lost { reason: error.to_string() },
                 Either::Right((end, _)) => end,
@@ -142,64 +142,66 @@
         self.close(end);
     }
 
-    /// Completes when this end is to drop the session.
-    async fn end_here(&self, pings: PingPong, heard: LastHeard) -> SessionEnd {
+    /// Completes when this side must end the session: keepalive failure, partition, idle timeout or
+    /// abort of the pool.
+    async fn wait_for_local_end(&self, pings: PingPong, last_received: LastReceived) -> SessionEnd {
         let shared = &self.shared;
         let (config, clock) = (&shared.config, &*shared.context.clock);
-        let cut = async {
+        let partitioned = async {
             match &shared.link {
                 Some(link) => {
                     let limit = config.ping_interval + config.ping_timeout;
-                    cut_for(limit, &**link, self.address, clock).await;
+                    wait_until_partitioned_for(limit, &**link, self.address, clock).await;
                 }
                 None => std::future::pending().await,
             }
         };
-        let silent = pin!(watch_peer(pings, heard, config.dialer_watch(), clock));
-        let cut = pin!(cut);
-        let frozen = select(silent, cut);
-        let idle = pin!(self.idle());
+        let silent = pin!(monitor_peer(pings, last_received, config.dialer_keepalive(), clock));
+        let partitioned = pin!(partitioned);
+        let unresponsive = select(silent, partitioned);
+        let idle = pin!(self.wait_until_idle());
         let stopping = pin!(shared.abort.raised());
-        match select(frozen, select(idle, stopping)).await {
-            Either::Left(_) => SessionEnd::Silent { limit: config.ping_timeout },
+        match select(unresponsive, select(idle, stopping)).await {
+            Either::Left(_) => SessionEnd::Unresponsive { limit: config.ping_timeout },
             Either::Right((Either::Left(_), _)) => SessionEnd::Idle,
             Either::Right((Either::Right(_), _)) => SessionEnd::Stopping,
         }
     }
 
-    /// Takes no further calls; those in progress go on while the connection does.
+    /// Stops accepting calls. Calls in progress continue while the connection is driven.
     fn close(&self, end: SessionEnd) {
-        self.closed.borrow_mut().get_or_insert(end);
+        self.end_reason.borrow_mut().get_or_insert(end);
     }
 
-    /// The error of a call whose bytes may have reached the peer.
+    /// Creates the error of a call whose bytes may have reached the peer. The reason for which the
+    /// session ended takes precedence over `reason`.
     pub(super) fn broken(&self, reason: impl ToString) -> PeerError {
-        let end = self.closed.borrow().as_ref().map(ToString::to_string);
+        let end = self.end_reason.borrow().as_ref().map(ToString::to_string);
         let reason = end.unwrap_or_else(|| reason.to_string());
         PeerError::Broken { address: self.address, reason, sent: true }
     }
 
-    /// Completes once no call has used the session for the idle timeout.
-    async fn idle(&self) {
+    /// Completes once the session has had no calls for the idle timeout.
+    async fn wait_until_idle(&self) {
         let clock = &self.shared.context.clock;
         let limit = self.shared.config.idle_timeout;
         loop {
-            let unused = match self.active.get() {
-                0 => clock.now().since(self.used.get()),
+            let idle_time = match self.active_calls.get() {
+                0 => clock.now().since(self.last_used.get()),
                 _ => Default::default(),
             };
-            if unused >= limit {
+            if idle_time >= limit {
                 return;
             }
-            clock.sleep(limit - unused).await;
+            clock.sleep(limit - idle_time).await;
         }
     }
 
-    /// Sends a call. `sent` becomes true before its first byte can leave.
-    pub(super) async fn begin(
+    /// Sends a call. Sets `sent` to true before any byte of it can be sent.
+    pub(super) async fn start_call(
         self: &Rc<Self>,
         method: &str,
-        head: &CallHead,
+        header: &CallHeader,
         body: Bytes,
         sent: &Cell<bool>,
     ) -> Result<ReplyReader, PeerError> {
@@ -207,7 +209,7 @@
         let address = self.address;
         let unsendable = |reason: String| PeerError::Unsendable { method: method.into(), reason };
         let limit = self.sender.current_max_send_streams();
-        if self.active.get() > limit {
+        if self.active_calls.get() > limit {
             return Err(unsendable(format!(
                 "{limit} calls to {address} are in progress, the session's limit; raise the \
                  stream limit or send less"
@@ -216,14 +218,14 @@
         let request = Request::post(format!("http://peer/{method}"))
             .body(())
             .map_err(|error| unsendable(error.to_string()))?;
-        let bytes = encode_call(head, body);
+        let bytes = encode_call(header, body);
         if let Some(link) = &self.link {
-            // Bytes on a slow link count as sent: nobody could call them back.
+            // A call in flight on a delayed link counts as sent, since it cannot be recalled.
             sent.set(true);
-            link.outward.pass().await.map_err(|_| self.broken("the session was closed"))?;
+            link.outbound.traverse().await.map_err(|_| self.broken("the session was closed"))?;
         }
         let unsent = |error: h2::Error| {
-            self.close(SessionEnd::Leaving { reason: error.to_string() });
+            self.close(SessionEnd::Draining { reason: error.to_string() });
             PeerError::Broken { address, reason: error.to_string(), sent: sent.get() }
         };
         let mut sender = self.sender.clone().ready().await.map_err(unsent)?;
--- a/crates/peer/src/pool/slot.rs
+++ b/crates/peer/src/pool/slot.rs
@@ -1,4 +1,4 @@
-//! The state of one address: its session, or the dial in progress, or the wait after a failure.
+//! Connection state of an address: open session, dial in progress, or backoff after a failure.
 
 use {
     super::{PoolShared, dial::dial, session::ClientSession},
@@ -16,10 +16,10 @@
     },
 };
 
-/// How long after its last failure an address is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Time after the end of the last backoff until the state of an address may be removed.
+const STALE_AFTER: Duration = Duration::from_secs(60);
 
-/// One address.
+/// Connection state of one address.
 pub(super) struct PeerSlot {
     address: SocketAddr,
     state: RefCell<SlotState>,
@@ -29,12 +29,12 @@
 enum SlotState {
     Empty,
     Dialing(Signal),
-    Standing(Rc<ClientSession>),
+    Connected(Rc<ClientSession>),
     Failed { until: MonotonicTime, error: PeerError },
 }
 
-/// What a call finds.
-enum SlotAnswer {
+/// Result of looking up the session for a call.
+enum SessionLookup {
     Session(Rc<ClientSession>),
     Wait(Signal),
     Failed(PeerError),
@@ -47,48 +47,50 @@
         Rc::new(Self { address, state, failures: Cell::new(0) })
     }
 
-    /// Whether nothing is lost by forgetting this address: no session, no dial, and the last
-    /// failure long past.
+    /// Returns true if this state can be removed: its session is closed, or its last failure is
+    /// older than [`STALE_AFTER`].
     pub(super) fn is_stale(&self, now: MonotonicTime) -> bool {
         match &*self.state.borrow() {
             SlotState::Empty | SlotState::Dialing(_) => false,
-            SlotState::Standing(session) => !session.is_open(),
-            SlotState::Failed { until, .. } => now.since(*until) > FORGET_AFTER,
+            SlotState::Connected(session) => !session.is_open(),
+            SlotState::Failed { until, .. } => now.since(*until) > STALE_AFTER,
         }
     }
 
-    /// The session that stands, if one does.
-    pub(super) fn standing(&self) -> Option<Rc<ClientSession>> {
+    /// Returns the open session, if any.
+    pub(super) fn connected(&self) -> Option<Rc<ClientSession>> {
         match &*self.state.borrow() {
-            SlotState::Standing(session) if session.is_open() => Some(session.clone()),
+            SlotState::Connected(session) if session.is_open() => Some(session.clone()),
             _ => None,
         }
     }
 
-    /// The standing session, or that of the one dial in progress, which goes on when the caller
-    /// gives up.
+    /// Returns the open session, or dials one. Concurrent callers share a single dial, which
+    /// continues if the callers give up.
     pub(super) async fn session(
         self: &Rc<Self>,
         shared: &Rc<PoolShared>,
     ) -> Result<Rc<ClientSession>, PeerError> {
         loop {
-            match self.look(shared.context.clock.now()) {
-                SlotAnswer::Session(session) => return Ok(session),
-                SlotAnswer::Failed(error) => return Err(error),
-                SlotAnswer::Wait(dialed) => dialed.raised().await,
-                SlotAnswer::Dial => self.start_dial(shared),
+            match self.lookup(shared.context.clock.now()) {
+                SessionLookup::Session(session) => return Ok(session),
+                SessionLookup::Failed(error) => return Err(error),
+                SessionLookup::Wait(dialed) => dialed.raised().await,
+                SessionLookup::Dial => self.start_dial(shared),
             }
         }
     }
 
-    fn look(&self, now: MonotonicTime) -> SlotAnswer {
+    fn lookup(&self, now: MonotonicTime) -> SessionLookup {
         match &*self.state.borrow() {
-            SlotState::Standing(session) if session.is_open() => {
-                SlotAnswer::Session(session.clone())
+            SlotState::Connected(session) if session.is_open() => {
+                SessionLookup::Session(session.clone())
             }
-            SlotState::Dialing(dialed) => SlotAnswer::Wait(dialed.clone()),
-            SlotState::Failed { until, error } if now < *until => SlotAnswer::Failed(error.clone()),
-            _ => SlotAnswer::Dial,
+            SlotState::Dialing(dialed) => SessionLookup::Wait(dialed.clone()),
+            SlotState::Failed { until, error } if now < *until => {
+                SessionLookup::Failed(error.clone())
+            }
+            _ => SessionLookup::Dial,
         }
     }
 
@@ -99,16 +101,20 @@
         let pool = shared.clone();
         shared.context.spawner.spawn(Box::pin(async move {
             let outcome = dial(slot.address, &pool).await;
-            slot.settle(outcome, &pool);
+            slot.record_dial_result(outcome, &pool);
             source.raise();
         }));
     }
 
-    fn settle(&self, outcome: Result<Rc<ClientSession>, PeerError>, shared: &PoolShared) {
+    fn record_dial_result(
+        &self,
+        outcome: Result<Rc<ClientSession>, PeerError>,
+        shared: &PoolShared,
+    ) {
         let state = match outcome {
             Ok(session) => {
                 self.failures.set(0);
-                SlotState::Standing(session)
+                SlotState::Connected(session)
             }
             Err(error) => {
                 let wait = self.next_backoff(shared);
@@ -126,19 +132,20 @@
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
         let config = &shared.config;
-        backoff(config.backoff_first, config.backoff_most, failures, &*shared.context.random)
+        backoff(config.backoff_initial, config.backoff_max, failures, &*shared.context.random)
     }
 }
 
-/// The wait after `failures` earlier failures in a row: doubled each time up to `most`, and drawn
-/// between half and all of that, so that the peers of a restarted process do not dial in step.
+/// Returns the delay after `failures` earlier consecutive failures: exponential, limited to `max`,
+/// with jitter between half and all of it, so that the peers of a restarted process do not redial
+/// simultaneously.
 pub(crate) fn backoff(
-    first: Duration,
-    most: Duration,
+    initial: Duration,
+    max: Duration,
     failures: u32,
     random: &dyn RandomSource,
 ) -> Duration {
     let factor = 1_u32.checked_shl(failures).unwrap_or(u32::MAX);
-    let full = first.saturating_mul(factor).min(most);
+    let full = initial.saturating_mul(factor).min(max);
     full.mul_f64(0.5 + random.unit() / 2.0)
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side: one task for each session, one for each call.
+//! Server: one task per session and one per call.
 
 mod reply;
 mod session;
@@ -23,7 +23,7 @@
     },
 };
 
-/// Why a server cannot listen.
+/// Error of binding the listener of a [`PeerServer`].
 #[derive(Debug, Snafu)]
 #[snafu(display(
     "cannot listen for peers on {address}: {source}; is the address this VM's and the port free?"
@@ -33,10 +33,10 @@
     source: io::Error,
 }
 
-/// The wait after a failed accept, which is mostly for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. The usual cause is a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What every session of a server shares.
+/// State shared by all sessions of a server.
 struct ServerShared {
     config: PeerConfig,
     context: ProcessContext,
@@ -45,7 +45,7 @@
     sessions: Cell<usize>,
 }
 
-/// Listens for peers and serves their calls.
+/// Accepts sessions of peers and serves their calls.
 pub struct PeerServer {
     listener: TcpListener,
     address: SocketAddr,
@@ -61,7 +61,7 @@
     abort: Signal,
 }
 
-/// Stops a [`PeerServer`].
+/// Handle that stops a [`PeerServer`].
 #[derive(Clone)]
 pub struct PeerStopHandle {
     stop: Rc<RefCell<Option<SignalSource>>>,
@@ -70,28 +70,29 @@
 }
 
 impl PeerStopHandle {
-    /// Stops listening and tells the peers to go away; calls in progress finish.
+    /// Stops gracefully: closes the listener and sends GOAWAY on all sessions. Calls in progress
+    /// complete.
     pub fn stop(&self) {
         if let Some(source) = self.stop.borrow_mut().take() {
             source.raise();
         }
     }
 
-    /// Drops the listener and every session at once, as a kill would.
+    /// Drops the listener and all sessions immediately, as a kill of the process would.
     pub fn abort(&self) {
         if let Some(source) = self.abort.borrow_mut().take() {
             source.raise();
         }
     }
 
-    /// Completes once no session is left.
+    /// Completes once the server has stopped and all its sessions have ended.
     pub async fn finished(&self) {
         self.finished.raised().await;
     }
 }
 
 impl PeerServer {
-    /// Listens on `address`. Handlers may be registered with `handlers` at any time.
+    /// Listens on `address`. Handlers may be added to `handlers` at any time.
     pub fn bind(
         address: SocketAddr,
         config: PeerConfig,
@@ -119,34 +120,34 @@
         })
     }
 
-    /// The address it listens on, with the port the system chose where 0 was asked for.
+    /// Returns the listening address, with the actual port if port 0 was requested.
     pub fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// A handle that stops it.
+    /// Returns a handle that stops the server.
     pub fn stop_handle(&self) -> PeerStopHandle {
         self.handle.clone()
     }
 
-    /// Serves until stopped and the last session has ended.
+    /// Serves until the server is stopped and the last session has ended.
     pub async fn run(self) {
         let Self { listener, shared, handle, signals, finished, .. } = self;
         let (running, mut ended) = mpsc::channel::<()>(0);
         {
-            let accepting = accept_peers(listener, shared, &signals, running);
+            let accepting = accept_sessions(listener, shared, &signals, running);
             let stop = pin!(signals.stop.raised());
             let abort = pin!(signals.abort.raised());
             select(pin!(accepting), select(stop, abort)).await;
         }
         while ended.next().await.is_some() {}
         finished.raise();
-        // The signals' sources live as long as sessions do: dropping a source raises its signal.
+        // Dropping a signal source raises its signal, so the handle must outlive the sessions.
         drop(handle);
     }
 }
 
-async fn accept_peers(
+async fn accept_sessions(
     listener: TcpListener,
     shared: Rc<ServerShared>,
     signals: &ServerSignals,
@@ -159,7 +160,7 @@
                     ServerSession { shared: shared.clone(), stop: signals.stop.clone(), from };
                 start_session(session, stream, signals.abort.clone(), running.clone());
             }
-            Err(_) => shared.context.clock.sleep(ACCEPT_PAUSE).await,
+            Err(_) => shared.context.clock.sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/crates/peer/src/server/reply.rs
+++ b/crates/peer/src/server/reply.rs
@@ -1,10 +1,13 @@
-//! One call: read it, run its handler, write the reply.
+//! Server side of a call: reads it, runs its handler and writes the reply.
 
 use {
     super::ServerShared,
     crate::{
         FaultKind, PeerFault, PeerIdentity, PeerReplySink, ReplySender,
-        wire::{CallHead, CallKind, FrameError, FrameReader, ReplyFrame, ReplyTail, put_reply},
+        wire::{
+            CallHeader, CallKind, FrameError, FrameReader, ReplyFrame, ReplyTrailer,
+            append_reply_frame,
+        },
     },
     bytes::{Bytes, BytesMut},
     futures::future::{poll_fn, select},
@@ -18,19 +21,19 @@
     },
 };
 
-/// The most bytes handed to h2 at once, so that one long message does not take the whole window
-/// from other streams of the session.
-const SEND_PIECE: usize = 64 << 10;
+/// Maximum number of bytes passed to h2 at once, so that a long message does not consume the
+/// session's whole flow-control window at the expense of other streams.
+const MAX_SEND_CHUNK_BYTES: usize = 64 << 10;
 
-/// Serves one call of `peer`.
+/// Task that serves one call of `peer`.
 pub(super) struct CallTask {
     pub(super) shared: Rc<ServerShared>,
     pub(super) peer: Rc<PeerIdentity>,
 }
 
 impl CallTask {
-    /// Reads the call, runs its handler and writes the reply. Ends early, dropping the handler's
-    /// future, when the caller resets the stream or the session is lost.
+    /// Reads the call, runs its handler and writes the reply. Drops the handler's future when the
+    /// caller resets the stream or the session is lost.
     pub(super) async fn run(self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let method = request.uri().path().trim_start_matches('/').to_owned();
         let Ok(body) = respond.send_response(Response::new(()), false) else {
@@ -40,7 +43,7 @@
         let stamp = move || shared.clock.stamp(shared.context.clock.wall());
         let writer = Rc::new(ReplyWriter {
             body: RefCell::new(body),
-            state: Cell::new(WriterState::Fresh),
+            state: Cell::new(WriterState::NotStarted),
             stamp: Box::new(stamp),
             limit: self.shared.config.message_limit,
         });
@@ -52,19 +55,19 @@
         select(pin!(answering), reset).await;
     }
 
-    /// What goes back with the end marker: the message of a single reply, nothing more of a
-    /// streamed one.
+    /// Runs the handler. Returns the message of a single reply, or `None` for a streamed reply,
+    /// whose messages have already been written.
     async fn answer(
         &self,
         method: &str,
         body: RecvStream,
         writer: &Rc<ReplyWriter>,
     ) -> Result<Option<Bytes>, PeerFault> {
-        let (head, body) = self.read(body).await.map_err(PeerFault::malformed)?;
-        self.shared.clock.observe(head.stamp);
+        let (header, body) = self.read_call(body).await.map_err(PeerFault::malformed)?;
+        self.shared.clock.observe(header.stamp);
         let handler = self.shared.handlers.find(method);
         let handler = handler.ok_or_else(|| PeerFault::unknown_method(method))?;
-        match head.kind {
+        match header.kind {
             CallKind::Single => handler.call(&self.peer, method, body).await.map(Some),
             CallKind::Stream => {
                 let sink = PeerReplySink::new(WireSender { writer: writer.clone() });
@@ -73,23 +76,23 @@
         }
     }
 
-    async fn read(&self, body: RecvStream) -> Result<(CallHead, Bytes), FrameError> {
+    async fn read_call(&self, body: RecvStream) -> Result<(CallHeader, Bytes), FrameError> {
         let mut reader = FrameReader::new(body, self.shared.config.message_limit);
-        let head = reader.typed::<CallHead>("with the head of the call").await?;
+        let header = reader.next_as::<CallHeader>("with the head of the call").await?;
         let body = reader.expect("with the body of the call").await?;
-        Ok((head, body))
+        Ok((header, body))
     }
 }
 
-/// How far a reply has come.
+/// State of a [`ReplyWriter`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriterState {
-    Fresh,
+    NotStarted,
     Started,
     Finished,
 }
 
-/// Writes the frames of one reply within the caller's window.
+/// Writes the frames of a reply, subject to the caller's flow-control window.
 struct ReplyWriter {
     body: RefCell<SendStream<Bytes>>,
     state: Cell<WriterState>,
@@ -113,16 +116,18 @@
             )));
         }
         match self.state.replace(WriterState::Started) {
-            WriterState::Fresh => put_reply(&ReplyFrame::Head((self.stamp)()), bytes),
+            WriterState::NotStarted => {
+                append_reply_frame(&ReplyFrame::Header((self.stamp)()), bytes)
+            }
             WriterState::Started => {}
             WriterState::Finished => return Err(PeerFault::cancelled()),
         }
-        put_reply(&ReplyFrame::Message(message), bytes);
+        append_reply_frame(&ReplyFrame::Message(message), bytes);
         Ok(())
     }
 
-    /// Writes the last message and the end marker, or resets the stream where the handler says
-    /// that its caller is gone.
+    /// Writes the last message, if any, and the trailer. Resets the stream instead if the outcome
+    /// is [`FaultKind::Cancelled`] or the write fails.
     async fn finish(&self, outcome: Result<Option<Bytes>, PeerFault>) {
         let mut bytes = BytesMut::new();
         let outcome = outcome.and_then(|last| match last {
@@ -131,8 +136,8 @@
         });
         self.state.set(WriterState::Finished);
         let cancelled = matches!(&outcome, Err(f) if f.kind == FaultKind::Cancelled);
-        let tail = ReplyTail { stamp: (self.stamp)(), outcome };
-        put_reply(&ReplyFrame::Tail(tail), &mut bytes);
+        let trailer = ReplyTrailer { stamp: (self.stamp)(), outcome };
+        append_reply_frame(&ReplyFrame::Trailer(trailer), &mut bytes);
         if cancelled || self.write(bytes.freeze(), true).await.is_err() {
             self.body.borrow_mut().send_reset(Reason::CANCEL);
         }
@@ -140,22 +145,23 @@
 
     async fn write(&self, mut bytes: Bytes, end: bool) -> Result<(), PeerFault> {
         while !bytes.is_empty() {
-            let room = self.room(bytes.len().min(SEND_PIECE)).await?;
-            let piece = bytes.split_to(room.min(bytes.len()));
-            let sent = self.body.borrow_mut().send_data(piece, end && bytes.is_empty());
+            let send_capacity = self.send_capacity(bytes.len().min(MAX_SEND_CHUNK_BYTES)).await?;
+            let chunk = bytes.split_to(send_capacity.min(bytes.len()));
+            let sent = self.body.borrow_mut().send_data(chunk, end && bytes.is_empty());
             sent.map_err(|_| PeerFault::cancelled())?;
         }
         Ok(())
     }
 
-    /// Waits until the caller's window and the send buffer have room for some of `wanted` bytes.
-    async fn room(&self, wanted: usize) -> Result<usize, PeerFault> {
+    /// Waits for flow-control and send-buffer capacity; returns the number of bytes that may be
+    /// sent.
+    async fn send_capacity(&self, wanted: usize) -> Result<usize, PeerFault> {
         poll_fn(|cx| {
             let mut body = self.body.borrow_mut();
             body.reserve_capacity(wanted);
             match body.capacity() {
                 0 => body.poll_capacity(cx),
-                room => std::task::Poll::Ready(Some(Ok(room))),
+                send_capacity => std::task::Poll::Ready(Some(Ok(send_capacity))),
             }
         })
         .await
@@ -164,7 +170,7 @@
     }
 }
 
-/// The sink's end of a [`ReplyWriter`].
+/// [`ReplySender`] that writes to a [`ReplyWriter`].
 struct WireSender {
     writer: Rc<ReplyWriter>,
 }
--- a/crates/peer/src/server/session.rs
+++ b/crates/peer/src/server/session.rs
@@ -1,17 +1,17 @@
-//! One accepted session: handshake, then calls until either end goes.
+//! Server side of a session: handshake, then calls until either side ends the session.
 
 use {
     super::{ServerShared, reply::CallTask},
     crate::{
         PeerIdentity, SessionRefusal,
+        activity::{ActivityStream, LastReceived},
         handshake::{
-            Admission, Challenge, HANDSHAKE_LIMIT, HELLO_PATH, Hello, PROOF_PATH, Proof, ProofRole,
-            ProofText, Welcome, check_hello,
+            Admission, Challenge, HELLO_PATH, Hello, MAX_HANDSHAKE_BYTES, PROOF_PATH, Proof,
+            ProofRole, ProofTranscript, Welcome, validate_hello,
         },
-        heard::{HeardStream, LastHeard},
-        keepalive::watch_peer,
+        keepalive::monitor_peer,
         signal::Signal,
-        wire::{FrameReader, encode_plain},
+        wire::{FrameReader, encode_handshake_frame},
     },
     bytes::Bytes,
     futures::future::{Either, poll_fn, select},
@@ -28,58 +28,58 @@
     std::{future::Future, net::SocketAddr, pin::pin, rc::Rc, task::Poll, time::Duration},
 };
 
-type PeerConnection = Connection<HeardStream<StreamWrapper<TcpStream>>, Bytes>;
+type PeerConnection = Connection<ActivityStream<StreamWrapper<TcpStream>>, Bytes>;
 type IncomingCall = (Request<RecvStream>, SendResponse<Bytes>);
 
-/// How long a refused peer has to read the reason before its session is dropped.
+/// Time for a refused peer to read the reason before its connection is dropped.
 const REFUSAL_LINGER: Duration = Duration::from_millis(500);
 
-/// The largest set of header fields of a call; a path and three short ones are sent.
-const HEADER_LIMIT: u32 = 4 << 10;
+/// Maximum size of the header list of a call. Calls have a path and three short header fields.
+const MAX_HEADER_LIST_BYTES: u32 = 4 << 10;
 
-/// One accepted session.
+/// Server side of a session.
 pub(super) struct ServerSession {
     pub(super) shared: Rc<ServerShared>,
     pub(super) stop: Signal,
     pub(super) from: SocketAddr,
 }
 
-/// Counts a session for as long as it lives.
-struct SessionCount<'a>(&'a ServerShared);
+/// Guard that counts a session in [`ServerShared::sessions`] while it exists.
+struct SessionCountGuard<'a>(&'a ServerShared);
 
-impl<'a> SessionCount<'a> {
+impl<'a> SessionCountGuard<'a> {
     fn new(shared: &'a ServerShared) -> Self {
         shared.sessions.set(shared.sessions.get() + 1);
         Self(shared)
     }
 }
 
-impl Drop for SessionCount<'_> {
+impl Drop for SessionCountGuard<'_> {
     fn drop(&mut self) {
         self.0.sessions.set(self.0.sessions.get() - 1);
     }
 }
 
 impl ServerSession {
-    /// Serves the peer behind `stream` until either end goes.
+    /// Performs the handshake on `stream` and serves calls until either side ends the session.
     pub(super) async fn run(self, stream: TcpStream) {
-        let count = SessionCount::new(&self.shared);
+        let count_guard = SessionCountGuard::new(&self.shared);
         if stream.set_nodelay(true).is_err() {
             return;
         }
         let clock = self.shared.context.clock.clone();
-        let (stream, heard) = HeardStream::new(StreamWrapper::new(stream), clock);
-        let greeting = timeout(
+        let (stream, last_received) = ActivityStream::new(StreamWrapper::new(stream), clock);
+        let pending_handshake = timeout(
             &*self.shared.context.clock,
             self.shared.config.connect_timeout,
-            self.greet(stream),
+            self.accept_handshake(stream),
         );
-        let Some(Some((mut connection, greeted))) = greeting.await else {
+        let Some(Some((mut connection, handshake_result))) = pending_handshake.await else {
             self.emit(EventDraft::new("peer.handshake_lost").field("address", self.from));
             return;
         };
-        match greeted {
-            Ok(peer) => self.serve(connection, peer, heard).await,
+        match handshake_result {
+            Ok(peer) => self.serve(connection, peer, last_received).await,
             Err(refusal) => {
                 let event = EventDraft::new("peer.refused").field("address", self.from);
                 self.emit(event.error("reason", &refusal));
@@ -89,12 +89,12 @@
                 timeout(clock, REFUSAL_LINGER, closed).await;
             }
         }
-        drop(count);
+        drop(count_guard);
     }
 
-    async fn greet(
+    async fn accept_handshake(
         &self,
-        stream: HeardStream<StreamWrapper<TcpStream>>,
+        stream: ActivityStream<StreamWrapper<TcpStream>>,
     ) -> Option<(PeerConnection, Result<PeerIdentity, SessionRefusal>)> {
         let config = &self.shared.config;
         let mut connection = h2::server::Builder::new()
@@ -102,11 +102,11 @@
             .initial_connection_window_size(config.session_window)
             .max_concurrent_streams(config.stream_limit)
             .max_send_buffer_size(config.stream_window as usize)
-            .max_header_list_size(HEADER_LIMIT)
-            // h2 closes a whole session with ENHANCE_YOUR_CALM when counters that guard against
-            // strangers overflow. Here the peer has proved itself, and one relay that cancels a few
-            // hundred streams at once, or reads a stream of tiny messages slowly, must not break
-            // the session's thousands of other calls.
+            .max_header_list_size(MAX_HEADER_LIST_BYTES)
+            // h2 closes the whole connection with ENHANCE_YOUR_CALM when its limits against abuse
+            // by untrusted peers are exceeded. Peers are authenticated here, and a relay that
+            // cancels a few hundred streams at once, or slowly reads a stream of tiny messages,
+            // must not break the thousands of other calls of the session.
             .max_local_error_reset_streams(None)
             .max_concurrent_reset_streams(config.stream_limit as usize)
             .max_pending_accept_reset_streams(config.stream_limit as usize)
@@ -114,12 +114,13 @@
             .handshake(stream)
             .await
             .ok()?;
-        let greeted = self.shake_hands(&mut connection).await?;
-        Some((connection, greeted))
+        let handshake_result = self.perform_handshake(&mut connection).await?;
+        Some((connection, handshake_result))
     }
 
-    /// `None` where the connection is lost, `Err` where the peer was refused and told so.
-    async fn shake_hands(
+    /// Performs the handshake. Returns `None` if the connection is lost, and `Err` if the peer was
+    /// refused and has been sent the reason.
+    async fn perform_handshake(
         &self,
         connection: &mut PeerConnection,
     ) -> Option<Result<PeerIdentity, SessionRefusal>> {
@@ -130,7 +131,7 @@
             Ok(hello) => hello,
             Err(refusal) => return refuse(respond, refusal),
         };
-        let mut text = ProofText {
+        let mut transcript = ProofTranscript {
             role: ProofRole::Server,
             cluster: &config.cluster,
             dialer: &hello.identity,
@@ -139,17 +140,17 @@
         };
         let welcome = Welcome {
             identity: config.identity.clone(),
-            challenge: text.challenges[1],
-            proof: text.prove(&config.secret),
+            challenge: transcript.challenges[1],
+            proof: transcript.prove(&config.secret),
         };
-        answer(respond, Ok(welcome))?;
+        respond_step(respond, Ok(welcome))?;
         let (proof, respond) = read_step::<Proof>(connection, PROOF_PATH).await?;
-        text.role = ProofRole::Dialer;
-        if let Err(refusal) = proof.and_then(|proof| text.check(&config.secret, &proof)) {
+        transcript.role = ProofRole::Dialer;
+        if let Err(refusal) = proof.and_then(|proof| transcript.verify(&config.secret, &proof)) {
             return refuse(respond, refusal);
         }
         let stamp = shared.clock.stamp(shared.context.clock.wall());
-        answer(respond, Ok(Admission { stamp }))?;
+        respond_step(respond, Ok(Admission { stamp }))?;
         Some(Ok(hello.identity))
     }
 
@@ -158,10 +159,15 @@
         if self.shared.sessions.get() > limit {
             return Err(SessionRefusal::Busy { limit });
         }
-        check_hello(hello, &self.shared.config)
+        validate_hello(hello, &self.shared.config)
     }
 
-    async fn serve(&self, mut connection: PeerConnection, peer: PeerIdentity, heard: LastHeard) {
+    async fn serve(
+        &self,
+        mut connection: PeerConnection,
+        peer: PeerIdentity,
+        last_received: LastReceived,
+    ) {
         let shared = &self.shared;
         self.emit(session_event("peer.accepted", &peer).field("address", self.from));
         let peer = Rc::new(peer);
@@ -169,7 +175,7 @@
             return;
         };
         let clock = &*shared.context.clock;
-        let lost = watch_peer(pings, heard, shared.config.server_watch(), clock);
+        let lost = monitor_peer(pings, last_received, shared.config.server_keepalive(), clock);
         let accepting = async {
             let mut stopping = pin!(self.stop.raised());
             let mut stopped = false;
@@ -212,8 +218,8 @@
         .field("incarnation", peer.incarnation)
 }
 
-/// Reads one step of the handshake, which must come on `path`. The connection is driven by
-/// waiting for the next stream meanwhile; a second one before the step is whole is refused.
+/// Reads one handshake step, whose request must have the path `path`. Polling for the next stream
+/// drives the connection meanwhile; another stream before the step is complete ends the handshake.
 async fn read_step<T: serde::de::DeserializeOwned>(
     connection: &mut PeerConnection,
     path: &str,
@@ -221,11 +227,11 @@
     let (request, respond) = connection.accept().await?.ok()?;
     let found = request.uri().path().to_owned();
     if found != path {
-        let reason = format!("{found:?} came where {path:?} belongs");
+        let reason = format!("received a request for {found:?}, expected {path:?}");
         return Some((Err(SessionRefusal::Malformed { reason }), respond));
     }
-    let mut reader = FrameReader::new(request.into_body(), HANDSHAKE_LIMIT);
-    let mut reading = pin!(reader.typed::<T>("of the handshake"));
+    let mut reader = FrameReader::new(request.into_body(), MAX_HANDSHAKE_BYTES);
+    let mut reading = pin!(reader.next_as::<T>("of the handshake"));
     let step = poll_fn(|cx| match reading.as_mut().poll(cx) {
         Poll::Ready(step) => Poll::Ready(Some(step)),
         Poll::Pending => connection.poll_accept(cx).map(|_| None),
@@ -235,20 +241,20 @@
     Some((step.map_err(refuse), respond))
 }
 
-/// Answers one step of the handshake; `None` where the stream is gone.
-fn answer<T: Serialize>(
+/// Responds to one handshake step. Returns `None` if the stream is lost.
+fn respond_step<T: Serialize>(
     mut respond: SendResponse<Bytes>,
     outcome: Result<T, SessionRefusal>,
 ) -> Option<()> {
     let mut body = respond.send_response(Response::new(()), false).ok()?;
-    body.send_data(encode_plain(&outcome), true).ok()
+    body.send_data(encode_handshake_frame(&outcome), true).ok()
 }
 
-/// Refuses the session and tells the peer why.
+/// Refuses the session and sends the reason to the peer.
 fn refuse(
     respond: SendResponse<Bytes>,
     refusal: SessionRefusal,
 ) -> Option<Result<PeerIdentity, SessionRefusal>> {
-    answer::<()>(respond, Err(refusal.clone()))?;
+    respond_step::<()>(respond, Err(refusal.clone()))?;
     Some(Err(refusal))
 }
--- a/crates/peer/src/signal.rs
+++ b/crates/peer/src/signal.rs
@@ -1,22 +1,22 @@
-//! A one-shot signal that any number of tasks of this thread may wait for.
+//! One-shot broadcast signal for the tasks of a thread.
 
 use futures::{
     channel::oneshot,
     future::{FutureExt, Shared},
 };
 
-/// The raising end. Dropping it raises the signal too.
+/// Sender of a signal. Dropping it raises the signal too.
 pub(crate) struct SignalSource {
     sender: oneshot::Sender<()>,
 }
 
-/// The waiting end; completes once the signal is raised, and stays so.
+/// Receiver of a signal. Stays raised once raised.
 #[derive(Clone)]
 pub(crate) struct Signal {
     receiver: Shared<oneshot::Receiver<()>>,
 }
 
-/// A signal and its source.
+/// Creates a signal and its source.
 pub(crate) fn signal() -> (SignalSource, Signal) {
     let (sender, receiver) = oneshot::channel();
     (SignalSource { sender }, Signal { receiver: receiver.shared() })
--- a/crates/peer/src/tests.rs
+++ b/crates/peer/src/tests.rs
@@ -1,8 +1,8 @@
-//! Tests that need the wire's own types: golden bytes, and peers that break the protocol.
+//! Tests that need private types: wire format, protocol violations, keepalive and backoff.
 
-mod broken;
-mod frozen;
 mod golden;
 mod keepalive;
-mod policy;
+mod properties;
+mod protocol_violations;
 mod raw;
+mod unresponsive;
--- a/crates/peer/src/tests/keepalive.rs
+++ b/crates/peer/src/tests/keepalive.rs
@@ -1,18 +1,21 @@
-//! When a peer is pinged and when it is given up, in virtual time.
+//! Keepalive timing, in virtual time.
 
 use {
     crate::{
-        heard::LastHeard,
-        keepalive::{PeerProbe, WatchLimits, watch_peer},
+        activity::LastReceived,
+        keepalive::{KeepaliveTimeouts, PeerProbe, monitor_peer},
     },
     gullglade_units::{LocalFuture, MonotonicTime, fake::FakeWorld},
     std::{cell::Cell, rc::Rc, time::Duration},
 };
 
-const LIMITS: WatchLimits =
-    WatchLimits { silence: Duration::from_secs(2), answer: Duration::from_secs(1) };
+const TIMEOUTS: KeepaliveTimeouts = KeepaliveTimeouts {
+    ping_interval: Duration::from_secs(2),
+    ping_timeout: Duration::from_secs(1),
+};
 
-/// Answers at once until its answers run out, then never or with a lost connection.
+/// Probe that succeeds immediately `answers` times; later probes report a lost connection if `lost`
+/// is set, and never complete otherwise.
 struct FakeProbe {
     answers: u32,
     lost: bool,
@@ -33,7 +36,7 @@
 }
 
 #[test]
-fn a_silent_peer_is_pinged_and_one_that_does_not_answer_given_up() {
+fn idle_peer_is_pinged_and_dropped_without_an_acknowledgement() {
     struct Case {
         answers: u32,
         lost: bool,
@@ -49,30 +52,31 @@
         let (world, context) = FakeWorld::new(3);
         let pings = Rc::default();
         let probe = FakeProbe { answers: case.answers, lost: case.lost, pings: Rc::clone(&pings) };
-        let heard = LastHeard::default();
-        world.run_until(watch_peer(probe, heard, LIMITS, &*context.clock));
+        let last_received = LastReceived::default();
+        world.run_until(monitor_peer(probe, last_received, TIMEOUTS, &*context.clock));
         let seen = (pings.get(), world.now());
         assert_eq!(seen, (case.pings, MonotonicTime(Duration::from_secs(case.seconds))));
     }
 }
 
 #[test]
-fn a_peer_that_is_heard_is_not_pinged() {
-    // Symptom: 370 nodes spend their budget of 4 KB/s on pings alone.
-    // Events: sessions with traffic, or whose other end pings already, are pinged all the same.
-    // Cause: pings by the clock, whatever was received.
+fn peer_that_sends_data_is_not_pinged() {
+    // Guards against pings at fixed intervals regardless of received data. With 370 nodes, pings on
+    // sessions that carry traffic, or that the other side already pings, use up the whole network
+    // budget of 4 KB/s.
     let (world, context) = FakeWorld::new(3);
     let pings = Rc::default();
     let probe = FakeProbe { answers: 0, lost: false, pings: Rc::clone(&pings) };
-    let heard = LastHeard::default();
-    let (hearing, clock) = (heard.clone(), context.clock.clone());
+    let last_received = LastReceived::default();
+    let (updated_time, clock) = (last_received.clone(), context.clock.clone());
     context.spawner.spawn(Box::pin(async move {
         for _ in 0..100 {
-            clock.sleep(LIMITS.silence / 2).await;
-            hearing.set(clock.now());
+            clock.sleep(TIMEOUTS.ping_interval / 2).await;
+            updated_time.set(clock.now());
         }
     }));
-    world.run_until(watch_peer(probe, heard, LIMITS, &*context.clock));
-    let given_up = 100 * LIMITS.silence / 2 + LIMITS.silence + LIMITS.answer;
-    assert_eq!((pings.get(), world.now()), (1, MonotonicTime(given_up)));
+    world.run_until(monitor_peer(probe, last_received, TIMEOUTS, &*context.clock));
+    let expected_end =
+        100 * TIMEOUTS.ping_interval / 2 + TIMEOUTS.ping_interval + TIMEOUTS.ping_timeout;
+    assert_eq!((pings.get(), world.now()), (1, MonotonicTime(expected_end)));
 }
--- a/crates/peer/src/tests/broken.rs
+++ b/crates/peer/src/tests/protocol_violations.rs
@@ -1,13 +1,13 @@
-//! Replies and handshakes that break the protocol.
+//! Replies and handshakes that violate the protocol.
 
 use {
     super::raw::{
-        LONG, RawCall, block_on, config, dialer_proof, hello, pool, raw_server, send_step,
+        RawCall, TEST_TIMEOUT, block_on, config, dialer_proof, hello, pool, raw_server, send_step,
     },
     crate::{
         HandlerTable, PeerError, PeerServer, PeerTransport, SessionRefusal,
         handshake::{Admission, HELLO_PATH, Hello, PROOF_PATH, Proof, Welcome},
-        wire::{PROTOCOL_VERSION, ReplyFrame, ReplyTail, put_reply},
+        wire::{PROTOCOL_VERSION, ReplyFrame, ReplyTrailer, append_reply_frame},
     },
     bytes::{Bytes, BytesMut},
     gullglade_units::{HybridStamp, ProcessContext},
@@ -18,64 +18,64 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// What a raw server does to each call.
+/// Protocol violation that a raw server commits in reply to each call.
 #[derive(Clone, Copy)]
-enum Misdeed {
-    /// Sends these frames and ends the stream.
-    End(&'static [Piece]),
-    /// Sends these frames and resets the stream.
-    Reset(&'static [Piece]),
-    /// Sends these frames and drops the connection.
-    Drop(&'static [Piece]),
+enum Violation {
+    /// Sends the parts and ends the stream.
+    End(&'static [ReplyPart]),
+    /// Sends the parts and resets the stream.
+    Reset(&'static [ReplyPart]),
+    /// Sends the parts and drops the connection.
+    Drop(&'static [ReplyPart]),
 }
 
 #[derive(Clone, Copy)]
-enum Piece {
-    Head,
+enum ReplyPart {
+    Header,
     Message,
-    Tail,
+    Trailer,
     Raw(&'static [u8]),
 }
 
-fn put(pieces: &[Piece]) -> Bytes {
+fn encode_parts(parts: &[ReplyPart]) -> Bytes {
     let mut bytes = BytesMut::new();
-    for piece in pieces {
+    for part in parts {
         let stamp = HybridStamp::default();
-        let frame = match piece {
-            Piece::Head => ReplyFrame::Head(stamp),
-            Piece::Message => ReplyFrame::Message(Bytes::from_static(b"message")),
-            Piece::Tail => ReplyFrame::Tail(ReplyTail { stamp, outcome: Ok(()) }),
-            Piece::Raw(raw) => {
+        let frame = match part {
+            ReplyPart::Header => ReplyFrame::Header(stamp),
+            ReplyPart::Message => ReplyFrame::Message(Bytes::from_static(b"message")),
+            ReplyPart::Trailer => ReplyFrame::Trailer(ReplyTrailer { stamp, outcome: Ok(()) }),
+            ReplyPart::Raw(raw) => {
                 bytes.extend_from_slice(raw);
                 continue;
             }
         };
-        put_reply(&frame, &mut bytes);
+        append_reply_frame(&frame, &mut bytes);
     }
     bytes.freeze()
 }
 
-/// Whether the connection is to be dropped.
-fn misbehave(misdeed: Misdeed, (_, mut respond): RawCall) -> bool {
+/// Replies to a call with `violation`. Returns true if the connection must be dropped.
+fn violate_protocol(violation: Violation, (_, mut respond): RawCall) -> bool {
     let mut body = respond.send_response(Response::new(()), false).unwrap();
-    match misdeed {
-        Misdeed::End(pieces) => body.send_data(put(pieces), true).unwrap(),
-        Misdeed::Reset(pieces) => {
-            body.send_data(put(pieces), false).unwrap();
+    match violation {
+        Violation::End(parts) => body.send_data(encode_parts(parts), true).unwrap(),
+        Violation::Reset(parts) => {
+            body.send_data(encode_parts(parts), false).unwrap();
             body.send_reset(Reason::INTERNAL_ERROR);
         }
-        Misdeed::Drop(pieces) => {
-            body.send_data(put(pieces), false).unwrap();
+        Violation::Drop(parts) => {
+            body.send_data(encode_parts(parts), false).unwrap();
             return true;
         }
     }
     false
 }
 
-fn misbehaving(misdeed: Misdeed) -> SocketAddr {
+fn violating_server(violation: Violation) -> SocketAddr {
     raw_server(move |mut connection| async move {
         while let Some(Ok(call)) = connection.accept().await {
-            if misbehave(misdeed, call) {
+            if violate_protocol(violation, call) {
                 connection.abrupt_shutdown(Reason::INTERNAL_ERROR);
             }
         }
@@ -83,60 +83,65 @@
 }
 
 #[test]
-fn a_reply_without_its_end_marker_is_broken() {
-    // Symptom: a truncated answer looks whole to a caller.
-    // Events: a process dies, or a fault in it ends a stream, after part of the answer.
-    // Cause: the end of an HTTP/2 stream taken for the end of the answer.
-    use Piece::{Head, Message, Raw, Tail};
+fn reply_without_trailer_is_broken() {
+    // Guards against truncated replies that look complete to a caller. If a process dies or fails
+    // after part of a reply, the HTTP/2 stream may end normally; only the trailer marks the end.
+    use ReplyPart::{Header, Message, Raw, Trailer};
     struct Case {
         name: &'static str,
-        misdeed: Misdeed,
-        /// Messages that a streaming caller gets before the error.
+        violation: Violation,
+        /// Number of messages that a streaming caller gets before the error.
         messages: usize,
     }
-    let case = |name, misdeed, messages| Case { name, misdeed, messages };
+    let case = |name, violation, messages| Case { name, violation, messages };
     let cases = [
-        case("empty", Misdeed::End(&[Raw(b"")]), 0),
-        case("head only", Misdeed::End(&[Head]), 0),
-        case("no tail", Misdeed::End(&[Head, Message]), 1),
-        case("half a length", Misdeed::End(&[Head, Message, Raw(&[0, 0])]), 1),
-        case("half a frame", Misdeed::End(&[Head, Message, Raw(&[0, 0, 0, 9, 1, 1])]), 1),
-        case("unknown kind", Misdeed::End(&[Head, Raw(&[0, 0, 0, 1, 9]), Tail]), 0),
-        case("frame without kind", Misdeed::End(&[Head, Raw(&[0, 0, 0, 0]), Tail]), 0),
-        case("broken tail", Misdeed::End(&[Head, Message, Raw(&[0, 0, 0, 2, 2, 255])]), 1),
-        case("too long", Misdeed::End(&[Head, Raw(&[255, 255, 255, 255]), Tail]), 0),
-        case("reset", Misdeed::Reset(&[Head]), 0),
-        case("lost connection", Misdeed::Drop(&[Head]), 0),
+        case("empty", Violation::End(&[Raw(b"")]), 0),
+        case("header only", Violation::End(&[Header]), 0),
+        case("no trailer", Violation::End(&[Header, Message]), 1),
+        case("half a length", Violation::End(&[Header, Message, Raw(&[0, 0])]), 1),
+        case("half a frame", Violation::End(&[Header, Message, Raw(&[0, 0, 0, 9, 1, 1])]), 1),
+        case("unknown kind", Violation::End(&[Header, Raw(&[0, 0, 0, 1, 9]), Trailer]), 0),
+        case("frame without kind", Violation::End(&[Header, Raw(&[0, 0, 0, 0]), Trailer]), 0),
+        case(
+            "malformed trailer",
+            Violation::End(&[Header, Message, Raw(&[0, 0, 0, 2, 2, 255])]),
+            1,
+        ),
+        case("too long", Violation::End(&[Header, Raw(&[255, 255, 255, 255]), Trailer]), 0),
+        case("reset", Violation::Reset(&[Header]), 0),
+        case("lost connection", Violation::Drop(&[Header]), 0),
     ];
     block_on(async {
-        for Case { name, misdeed, messages } in cases {
+        for Case { name, violation, messages } in cases {
             let dialer = pool(config("a"));
-            let address = misbehaving(misdeed);
-            let error = dialer.call(address, "test.it", Bytes::new(), LONG).await.unwrap_err();
+            let address = violating_server(violation);
+            let error =
+                dialer.call(address, "test.it", Bytes::new(), TEST_TIMEOUT).await.unwrap_err();
             let broken = matches!(error, PeerError::Broken { sent: true, .. });
             assert!(broken && !error.nothing_sent(), "{name}: {error:?}");
 
             let dialer = pool(config("a"));
-            let address = misbehaving(misdeed);
+            let address = violating_server(violation);
             let mut stream = dialer.open(address, "test.it", Bytes::new()).await.unwrap();
             for _ in 0..messages {
                 assert_eq!(stream.next().await.unwrap().unwrap(), "message", "{name}");
             }
             let error = stream.next().await.unwrap().unwrap_err();
             assert!(matches!(error, PeerError::Broken { sent: true, .. }), "{name}: {error:?}");
-            assert_eq!(stream.next().await, Some(Err(error)), "{name}: broken stays broken");
+            assert_eq!(stream.next().await, Some(Err(error)), "{name}: the error must repeat");
         }
     });
 }
 
 #[test]
-fn a_single_reply_has_exactly_one_message() {
-    use Piece::{Head, Message, Tail};
-    let cases: [&[Piece]; 2] = [&[Head, Tail], &[Head, Message, Message, Tail]];
+fn single_reply_must_have_exactly_one_message() {
+    use ReplyPart::{Header, Message, Trailer};
+    let cases: [&[ReplyPart]; 2] = [&[Header, Trailer], &[Header, Message, Message, Trailer]];
     block_on(async {
-        for pieces in cases {
-            let address = misbehaving(Misdeed::End(pieces));
-            let answer = pool(config("a")).call(address, "test.it", Bytes::new(), LONG).await;
+        for parts in cases {
+            let address = violating_server(Violation::End(parts));
+            let answer =
+                pool(config("a")).call(address, "test.it", Bytes::new(), TEST_TIMEOUT).await;
             assert!(matches!(answer, Err(PeerError::Broken { .. })), "{answer:?}");
         }
     });
@@ -162,7 +167,7 @@
 }
 
 #[test]
-fn a_dialer_of_another_version_is_told_which_end_to_upgrade() {
+fn protocol_version_mismatch_reports_both_versions() {
     block_on(async {
         let mut sender = raw_client(server()).await;
         let other = PROTOCOL_VERSION + 1;
@@ -174,10 +179,9 @@
 }
 
 #[test]
-fn a_recorded_proof_opens_no_other_session() {
-    // Symptom: a stranger who listened on the network joins the cluster.
-    // Events: the stranger repeats a dialer's hello and proof word for word.
-    // Cause: a proof that does not cover a challenge of the server's.
+fn replayed_proof_is_refused() {
+    // Guards against replay attacks: an attacker resends the recorded hello and proof of a dialer.
+    // The proof must cover the server's challenge, which differs for each session.
     block_on(async {
         let address = server();
         let hello = hello();
@@ -195,7 +199,7 @@
 }
 
 #[test]
-fn a_servers_own_proof_is_not_a_dialers() {
+fn reflected_server_proof_is_refused() {
     block_on(async {
         let mut sender = raw_client(server()).await;
         let welcome: Welcome = send_step(&mut sender, HELLO_PATH, &hello()).await.unwrap();
@@ -206,7 +210,7 @@
 }
 
 #[test]
-fn no_call_is_served_before_the_handshake_is_done() {
+fn calls_before_the_handshake_are_refused() {
     struct Case {
         path: &'static str,
         body: &'static [u8],
@@ -228,7 +232,7 @@
             let body = response.await.unwrap().into_body();
             let mut reader = crate::wire::FrameReader::new(body, 1_000);
             let answer: Result<Welcome, SessionRefusal> =
-                reader.typed("of the test").await.unwrap();
+                reader.next_as("of the test").await.unwrap();
             let refused = matches!(answer, Err(SessionRefusal::Malformed { .. }));
             assert!(refused, "{} {:?}: {answer:?}", case.path, case.body);
         }
--- a/crates/peer/src/tests/raw.rs
+++ b/crates/peer/src/tests/raw.rs
@@ -1,13 +1,13 @@
-//! Peers that speak the wire by hand, so that a test can make them misbehave.
+//! Peers implemented directly on the wire format, so that tests can make them violate the protocol.
 
 use {
     crate::{
         PeerConfig, PeerIdentity, PeerPool, PeerSecret, SessionRefusal,
         handshake::{
-            Admission, Challenge, HANDSHAKE_LIMIT, HELLO_PATH, Hello, PROOF_PATH, Proof, ProofRole,
-            ProofText, Welcome,
+            Admission, Challenge, HELLO_PATH, Hello, MAX_HANDSHAKE_BYTES, PROOF_PATH, Proof,
+            ProofRole, ProofTranscript, Welcome,
         },
-        wire::{FrameReader, PROTOCOL_VERSION, encode_plain},
+        wire::{FrameReader, PROTOCOL_VERSION, encode_handshake_frame},
     },
     bytes::Bytes,
     futures::future::{poll_fn, select},
@@ -29,13 +29,15 @@
     std::{future::Future, net::SocketAddr, pin::pin, rc::Rc, time::Duration},
 };
 
-/// Far more than any test needs; a test that reaches it has hung.
-pub(super) const LONG: Duration = Duration::from_secs(20);
+/// Time limit of a test, far longer than any test takes.
+pub(super) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on the runtime that production uses.
+/// Runs a test on the runtime that is used in production.
 pub(super) fn block_on<F: Future>(future: F) -> F::Output {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap();
-    runtime.block_on(async { monoio::time::timeout(LONG, future).await.expect("the test hangs") })
+    runtime.block_on(async {
+        monoio::time::timeout(TEST_TIMEOUT, future).await.expect("the test hangs")
+    })
 }
 
 pub(super) fn identity(vm: &str) -> PeerIdentity {
@@ -60,7 +62,8 @@
 pub(super) type RawConnection = Connection<StreamWrapper<TcpStream>, Bytes>;
 pub(super) type RawCall = (Request<RecvStream>, SendResponse<Bytes>);
 
-/// Accepts one session on a fresh address and hands it to `serve` after a proper handshake.
+/// Accepts one session on a new address, performs a valid handshake and passes the connection to
+/// `serve`.
 pub(super) fn raw_server<F: Future<Output = ()> + 'static>(
     serve: impl FnOnce(RawConnection) -> F + 'static,
 ) -> SocketAddr {
@@ -69,50 +72,53 @@
     monoio::spawn(async move {
         let (stream, _) = listener.accept().await.unwrap();
         let mut connection = h2::server::handshake(StreamWrapper::new(stream)).await.unwrap();
-        welcome(&mut connection).await;
+        accept_handshake(&mut connection).await;
         serve(connection).await;
     });
     address
 }
 
-async fn welcome(connection: &mut RawConnection) {
+async fn accept_handshake(connection: &mut RawConnection) {
     let config = config("raw");
-    let (hello, respond) = raw_step::<Hello>(connection, HELLO_PATH).await;
-    let text = ProofText {
+    let (hello, respond) = read_step::<Hello>(connection, HELLO_PATH).await;
+    let transcript = ProofTranscript {
         role: ProofRole::Server,
         cluster: &config.cluster,
         dialer: &hello.identity,
         server: &config.identity,
         challenges: [hello.challenge, hello.challenge],
     };
-    let proof = text.prove(&config.secret);
+    let proof = transcript.prove(&config.secret);
     let (identity, challenge) = (config.identity.clone(), hello.challenge);
-    raw_answer(respond, &Ok(Welcome { identity, challenge, proof }));
-    let (_, respond) = raw_step::<Proof>(connection, PROOF_PATH).await;
-    raw_answer(respond, &Ok(Admission { stamp: HybridStamp::default() }));
+    respond_step(respond, &Ok(Welcome { identity, challenge, proof }));
+    let (_, respond) = read_step::<Proof>(connection, PROOF_PATH).await;
+    respond_step(respond, &Ok(Admission { stamp: HybridStamp::default() }));
 }
 
-async fn raw_step<T: DeserializeOwned>(
+async fn read_step<T: DeserializeOwned>(
     connection: &mut RawConnection,
     path: &str,
 ) -> (T, SendResponse<Bytes>) {
     let (request, respond) = connection.accept().await.unwrap().unwrap();
     assert_eq!(request.uri().path(), path);
-    let mut reader = FrameReader::new(request.into_body(), HANDSHAKE_LIMIT);
-    let reading = pin!(reader.typed("of the handshake"));
-    let driving = poll_fn(|cx| connection.poll_accept(cx));
-    match select(reading, driving).await {
+    let mut reader = FrameReader::new(request.into_body(), MAX_HANDSHAKE_BYTES);
+    let reading = pin!(reader.next_as("of the handshake"));
+    let connection_end = poll_fn(|cx| connection.poll_accept(cx));
+    match select(reading, connection_end).await {
         futures::future::Either::Left((step, _)) => (step.unwrap(), respond),
         futures::future::Either::Right(_) => panic!("the connection ended in the handshake"),
     }
 }
 
-fn raw_answer<T: Serialize>(mut respond: SendResponse<Bytes>, answer: &Result<T, SessionRefusal>) {
+fn respond_step<T: Serialize>(
+    mut respond: SendResponse<Bytes>,
+    answer: &Result<T, SessionRefusal>,
+) {
     let mut body = respond.send_response(Response::new(()), false).unwrap();
-    body.send_data(encode_plain(answer), true).unwrap();
+    body.send_data(encode_handshake_frame(answer), true).unwrap();
 }
 
-/// A hello that a server accepts.
+/// Returns a hello that a server accepts.
 pub(super) fn hello() -> Hello {
     let config = config("raw");
     Hello {
@@ -123,7 +129,7 @@
     }
 }
 
-/// Sends one message of the handshake and reads the answer.
+/// Sends one handshake message and reads the response.
 pub(super) async fn send_step<Q: Serialize, A: DeserializeOwned>(
     sender: &mut SendRequest<Bytes>,
     path: &str,
@@ -131,19 +137,19 @@
 ) -> Result<A, SessionRefusal> {
     let request = Request::post(format!("http://peer{path}")).body(()).unwrap();
     let (response, mut body) = sender.send_request(request, false).unwrap();
-    body.send_data(encode_plain(message), true).unwrap();
-    let mut reader = FrameReader::new(response.await.unwrap().into_body(), HANDSHAKE_LIMIT);
-    reader.typed("of the handshake").await.unwrap()
+    body.send_data(encode_handshake_frame(message), true).unwrap();
+    let mut reader = FrameReader::new(response.await.unwrap().into_body(), MAX_HANDSHAKE_BYTES);
+    reader.next_as("of the handshake").await.unwrap()
 }
 
-/// The proof that answers `welcome`.
+/// Computes the dialer's proof in response to `welcome`.
 pub(super) fn dialer_proof(hello: &Hello, welcome: &Welcome) -> Proof {
-    let text = ProofText {
+    let transcript = ProofTranscript {
         role: ProofRole::Dialer,
         cluster: &hello.cluster,
         dialer: &hello.identity,
         server: &welcome.identity,
         challenges: [hello.challenge, welcome.challenge],
     };
-    text.prove(&config("raw").secret)
+    transcript.prove(&config("raw").secret)
 }
--- a/crates/peer/src/tests/frozen.rs
+++ b/crates/peer/src/tests/unresponsive.rs
@@ -1,11 +1,13 @@
-//! Peers that stop without closing anything.
+//! Peers that stop responding without closing the connection.
 
 use {
-    super::raw::{LONG, block_on, config, dialer_proof, hello, pool, raw_server, send_step},
+    super::raw::{
+        TEST_TIMEOUT, block_on, config, dialer_proof, hello, pool, raw_server, send_step,
+    },
     crate::{
         HandlerTable, PeerError, PeerFault, PeerHandler, PeerIdentity, PeerServer, PeerTransport,
         handshake::{Admission, HELLO_PATH, PROOF_PATH, Welcome},
-        wire::{CallHead, CallKind, encode_call},
+        wire::{CallHeader, CallKind, encode_call},
     },
     bytes::Bytes,
     futures::{
@@ -19,35 +21,34 @@
     std::{cell::RefCell, pin::pin, rc::Rc, time::Duration},
 };
 
-const SHORT: Duration = Duration::from_millis(20);
+const PING_TIMEOUT: Duration = Duration::from_millis(20);
 
 #[test]
-fn a_frozen_server_breaks_the_calls_to_it() {
-    // Symptom: calls to one VM wait until their own limits, for minutes.
-    // Events: the VM's process is stopped (a debugger, a stuck disk) or the VM loses its network;
-    // the TCP connection stays open on this side.
-    // Cause: nothing but an unanswered ping tells a silent peer from one with nothing to say.
+fn unresponsive_server_breaks_its_calls() {
+    // Guards against calls that wait for minutes, until their own time limit, after the peer has
+    // stopped (a debugger, a blocked disk) or lost its network. The TCP connection stays open, so
+    // only an unacknowledged ping distinguishes such a peer from an idle one.
     block_on(async {
         let address = raw_server(|mut connection| async move {
             let call = connection.accept().await;
-            // Holds the call and the connection, and never looks at either again.
+            // Keeps the call and the connection open without polling them.
             std::future::pending::<()>().await;
             drop((call, connection));
         });
-        let pool = pool(config("a").ping_interval(SHORT).ping_timeout(SHORT));
-        let error = pool.call(address, "test.it", Bytes::new(), LONG).await.unwrap_err();
+        let pool = pool(config("a").ping_interval(PING_TIMEOUT).ping_timeout(PING_TIMEOUT));
+        let error = pool.call(address, "test.it", Bytes::new(), TEST_TIMEOUT).await.unwrap_err();
         assert!(matches!(&error, PeerError::Broken { sent: true, .. }), "{error:?}");
         assert!(error.to_string().contains("no answer to a ping"), "{error}");
     });
 }
 
-/// Says when its call starts and when its future is dropped.
-struct WatchedHandler {
+/// Handler that reports when its call starts and when its future is dropped.
+struct DropReportingHandler {
     started: RefCell<Option<oneshot::Sender<()>>>,
     dropped: RefCell<Option<oneshot::Sender<()>>>,
 }
 
-impl PeerHandler for WatchedHandler {
+impl PeerHandler for DropReportingHandler {
     fn call<'a>(
         &'a self,
         _from: &'a PeerIdentity,
@@ -55,27 +56,27 @@
         _body: Bytes,
     ) -> LocalFuture<'a, Result<Bytes, PeerFault>> {
         Box::pin(async move {
-            let held = self.dropped.take();
+            let drop_reporter = self.dropped.take();
             let _ = self.started.take().unwrap().send(());
             std::future::pending::<()>().await;
-            drop(held);
+            drop(drop_reporter);
             Ok(Bytes::new())
         })
     }
 }
 
 #[test]
-fn a_frozen_dialer_cancels_the_work_it_asked_for() {
+fn unresponsive_dialer_cancels_its_handlers() {
     block_on(async {
         let (start, started) = oneshot::channel();
         let (drop_end, dropped) = oneshot::channel::<()>();
-        let handler = WatchedHandler {
+        let handler = DropReportingHandler {
             started: RefCell::new(Some(start)),
             dropped: RefCell::new(Some(drop_end)),
         };
         let handlers = Rc::new(HandlerTable::new());
         handlers.register("test", Rc::new(handler));
-        let config = config("b").ping_interval(SHORT).ping_timeout(SHORT);
+        let config = config("b").ping_interval(PING_TIMEOUT).ping_timeout(PING_TIMEOUT);
         let any = "127.0.0.1:0".parse().unwrap();
         let context = ProcessContext::system();
         let server = PeerServer::bind(any, config, context, Rc::default(), handlers).unwrap();
@@ -92,17 +93,17 @@
             let _: Admission = send_step(&mut sender, PROOF_PATH, &proof).await.unwrap();
             let request = Request::post("http://peer/test.it").body(()).unwrap();
             let (response, mut body) = sender.send_request(request, false).unwrap();
-            let head = CallHead { stamp: HybridStamp::default(), kind: CallKind::Single };
-            body.send_data(encode_call(&head, Bytes::new()), true).unwrap();
+            let header = CallHeader { stamp: HybridStamp::default(), kind: CallKind::Single };
+            body.send_data(encode_call(&header, Bytes::new()), true).unwrap();
             started.await.unwrap();
             (response, body)
         });
-        // From here on nobody drives the connection: it answers no ping, and stays open.
-        let held = match select(calling, &mut connection).await {
-            Either::Left((held, _)) => held,
+        // From here on the connection is open but not polled, so it acknowledges no pings.
+        let unfinished_call = match select(calling, &mut connection).await {
+            Either::Left((unfinished_call, _)) => unfinished_call,
             Either::Right((end, _)) => panic!("the server closed the session: {end:?}"),
         };
-        assert!(dropped.await.is_err(), "the handler's future is dropped");
-        drop((held, connection));
+        assert!(dropped.await.is_err(), "the handler's future must be dropped");
+        drop((unfinished_call, connection));
     });
 }
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! The calling side's seam.
+//! Client-side interface.
 
 use {
     crate::PeerError,
@@ -14,10 +14,10 @@
     },
 };
 
-/// Calls other processes.
+/// Makes calls to other processes.
 pub trait PeerTransport {
-    /// Calls `method` of the process at `to` and waits for its answer, for at most `limit` in all.
-    /// Dropping the future cancels the far side's work.
+    /// Calls `method` of the process at `to` and waits up to `limit` for the single reply message,
+    /// including the time to connect. Dropping the future cancels the handler.
     fn call<'a>(
         &'a self,
         to: SocketAddr,
@@ -26,9 +26,9 @@
         limit: Duration,
     ) -> LocalFuture<'a, Result<Bytes, PeerError>>;
 
-    /// Calls `method` of the process at `to`, which answers with a stream of messages. Completes
-    /// when the call is sent; whatever goes wrong later is an item of the stream. Dropped before
-    /// it completes, it has sent nothing.
+    /// Calls `method` of the process at `to`, which replies with a stream of messages. Completes
+    /// when the call is sent; later errors are items of the stream. If the future is dropped before
+    /// it completes, nothing has been sent.
     fn open<'a>(
         &'a self,
         to: SocketAddr,
@@ -37,20 +37,21 @@
     ) -> LocalFuture<'a, Result<PeerStream, PeerError>>;
 }
 
-/// The messages of a streamed reply, their borders kept. Dropping it cancels the far side's work.
+/// Stream of the messages of a reply, with message boundaries preserved. Dropping it cancels the
+/// handler.
 pub struct PeerStream {
     messages: Pin<Box<dyn Stream<Item = Result<Bytes, PeerError>>>>,
     end: Option<Result<(), PeerError>>,
 }
 
 impl PeerStream {
-    /// A reply whose messages come from `messages`: `None` only after the peer's end marker.
+    /// Wraps `messages`, which must return `None` only after the end marker of the peer.
     pub fn new(messages: impl Stream<Item = Result<Bytes, PeerError>> + 'static) -> Self {
         Self { messages: Box::pin(messages), end: None }
     }
 
-    /// The next message; `None` says that the reply was whole. An error repeats on further calls,
-    /// so that a broken reply can never be taken for a whole one by reading on.
+    /// Returns the next message, or `None` if the reply is complete. An error is returned again by
+    /// every further call, so a broken reply cannot be mistaken for a complete one.
     pub async fn next(&mut self) -> Option<Result<Bytes, PeerError>> {
         StreamExt::next(self).await
     }
@@ -76,14 +77,15 @@
     }
 }
 
-/// A call that has `limit` in all. `sent` is what its failure says of whether any of it left.
-pub(crate) async fn within_limit(
+/// Runs `calling` with a time limit. On a timeout, `sent` tells whether bytes of the call may have
+/// been sent.
+pub(crate) async fn call_with_limit(
     clock: &dyn Clock,
     address: SocketAddr,
     limit: Duration,
     sent: &Cell<bool>,
-    calling: impl Future<Output = Result<Bytes, PeerError>>,
+    call: impl Future<Output = Result<Bytes, PeerError>>,
 ) -> Result<Bytes, PeerError> {
-    let answer = timeout(clock, limit, calling).await;
+    let answer = timeout(clock, limit, call).await;
     answer.unwrap_or(Err(PeerError::Timeout { address, limit, sent: sent.get() }))
 }
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,9 +1,9 @@
-//! The bytes on the wire: frames with a length before them, on the DATA of an HTTP/2 stream.
+//! Wire format: length-prefixed frames in the DATA of an HTTP/2 stream.
 //!
-//! A call is `POST /{method}` with two frames: a [`CallHead`] and the caller's body. A reply is a
-//! sequence of frames, each with its kind in the first byte: one head with a stamp, the messages,
-//! and one [`ReplyTail`]. A reply without a tail is broken, whatever HTTP/2 says about its end.
-//! `tests/golden.rs` pins the bytes.
+//! A call is `POST /{method}` with two frames: a [`CallHeader`] and the body. A reply is a sequence
+//! of frames whose first byte is the frame kind: one header with a timestamp, the messages, and one
+//! [`ReplyTrailer`]. A reply without a trailer is broken, even if the HTTP/2 stream ended normally.
+//! `tests/golden.rs` pins the encoding.
 
 use {
     crate::PeerFault,
@@ -17,10 +17,10 @@
     tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec},
 };
 
-/// Raised whenever a frame changes its meaning.
+/// Protocol version; must be incremented by every change of the wire format.
 pub(crate) const PROTOCOL_VERSION: u32 = 1;
 
-/// What a caller expects back.
+/// Kind of reply that a caller expects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CallKind {
     /// Exactly one message.
@@ -29,36 +29,36 @@
     Stream,
 }
 
-/// Before the body of a call.
+/// First frame of a call, before the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct CallHead {
+pub(crate) struct CallHeader {
     pub(crate) stamp: HybridStamp,
     pub(crate) kind: CallKind,
 }
 
-/// After the messages of a reply.
+/// Last frame of a reply, after the messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ReplyTail {
+pub(crate) struct ReplyTrailer {
     pub(crate) stamp: HybridStamp,
     pub(crate) outcome: Result<(), PeerFault>,
 }
 
-/// One frame of a reply.
+/// Frame of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ReplyFrame {
-    /// The first frame: when the reply began.
-    Head(HybridStamp),
-    /// A message.
+    /// First frame, with the time at which the reply started.
+    Header(HybridStamp),
+    /// Message of the handler.
     Message(Bytes),
-    /// The last frame.
-    Tail(ReplyTail),
+    /// Last frame, with the outcome of the call.
+    Trailer(ReplyTrailer),
 }
 
-const HEAD: u8 = 0;
+const HEADER: u8 = 0;
 const MESSAGE: u8 = 1;
-const TAIL: u8 = 2;
+const TRAILER: u8 = 2;
 
-/// Why received bytes are not frames.
+/// Error of reading or decoding a frame.
 #[derive(Debug, Snafu)]
 pub(crate) enum FrameError {
     #[snafu(display("the stream was cut off ({source})"))]
@@ -75,63 +75,63 @@
     Missing { expected: &'static str },
 }
 
-/// Bytes that a frame has beside its body: the length and the kind.
-pub(crate) const FRAME_OVERHEAD: usize = 5;
+/// Size of a frame without its body: the length prefix (4 bytes) and the kind (1 byte).
+pub(crate) const FRAME_OVERHEAD_BYTES: usize = 5;
 
 fn length_codec(limit: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(limit).new_codec()
 }
 
-fn put_frame(body: Bytes, into: &mut BytesMut) {
+fn append_frame(body: Bytes, buffer: &mut BytesMut) {
     length_codec(u32::MAX as usize)
-        .encode(body, into)
+        .encode(body, buffer)
         .expect("the callers check the length of bodies against the message limit, below 4 GiB");
 }
 
-/// The bytes of a call.
-pub(crate) fn encode_call(head: &CallHead, body: Bytes) -> Bytes {
-    let head = Bytes::from(encode(head));
-    let mut bytes = BytesMut::with_capacity(head.len() + body.len() + 2 * FRAME_OVERHEAD);
-    put_frame(head, &mut bytes);
-    put_frame(body, &mut bytes);
+/// Encodes a call.
+pub(crate) fn encode_call(header: &CallHeader, body: Bytes) -> Bytes {
+    let header = Bytes::from(encode(header));
+    let mut bytes = BytesMut::with_capacity(header.len() + body.len() + 2 * FRAME_OVERHEAD_BYTES);
+    append_frame(header, &mut bytes);
+    append_frame(body, &mut bytes);
     bytes.freeze()
 }
 
-/// The bytes of one typed frame without a kind, as the handshake uses them.
-pub(crate) fn encode_plain<T: Serialize>(value: &T) -> Bytes {
+/// Encodes `value` as a frame without a kind byte, for the handshake.
+pub(crate) fn encode_handshake_frame<T: Serialize>(value: &T) -> Bytes {
     let mut bytes = BytesMut::new();
-    put_frame(Bytes::from(encode(value)), &mut bytes);
+    append_frame(Bytes::from(encode(value)), &mut bytes);
     bytes.freeze()
 }
 
-/// Appends one frame of a reply.
-pub(crate) fn put_reply(frame: &ReplyFrame, into: &mut BytesMut) {
+/// Appends the encoding of a reply frame to `buffer`.
+pub(crate) fn append_reply_frame(frame: &ReplyFrame, buffer: &mut BytesMut) {
     let (kind, body) = match frame {
-        ReplyFrame::Head(stamp) => (HEAD, Bytes::from(encode(stamp))),
+        ReplyFrame::Header(stamp) => (HEADER, Bytes::from(encode(stamp))),
         ReplyFrame::Message(message) => (MESSAGE, message.clone()),
-        ReplyFrame::Tail(tail) => (TAIL, Bytes::from(encode(tail))),
+        ReplyFrame::Trailer(trailer) => (TRAILER, Bytes::from(encode(trailer))),
     };
     let length = u32::try_from(body.len() + 1).expect("messages are checked against their limit");
-    into.reserve(body.len() + FRAME_OVERHEAD);
-    into.put_u32(length);
-    into.put_u8(kind);
-    into.put(body);
+    buffer.reserve(body.len() + FRAME_OVERHEAD_BYTES);
+    buffer.put_u32(length);
+    buffer.put_u8(kind);
+    buffer.put(body);
 }
 
-/// The frame of a reply in `frame`.
-pub(crate) fn decode_reply(mut frame: Bytes) -> Result<ReplyFrame, FrameError> {
+/// Decodes a reply frame whose length prefix has been removed.
+pub(crate) fn decode_reply_frame(mut frame: Bytes) -> Result<ReplyFrame, FrameError> {
     let kind = frame.first().copied();
     let body = frame.split_off(1.min(frame.len()));
     match kind {
-        Some(HEAD) => Ok(ReplyFrame::Head(decode(&body)?)),
+        Some(HEADER) => Ok(ReplyFrame::Header(decode(&body)?)),
         Some(MESSAGE) => Ok(ReplyFrame::Message(body)),
-        Some(TAIL) => Ok(ReplyFrame::Tail(decode(&body)?)),
+        Some(TRAILER) => Ok(ReplyFrame::Trailer(decode(&body)?)),
         _ => UnknownKindSnafu { kind }.fail(),
     }
 }
 
-/// Takes frames from a received stream. It reads on only when it holds no whole frame, and only
-/// then gives the sender room for more: unread bytes stay within the stream's window.
+/// Reads frames from an HTTP/2 stream. Receives more data, and releases flow-control capacity, only
+/// when no complete frame is buffered, so that unread data stays within the stream's window.
 pub(crate) struct FrameReader {
     body: RecvStream,
     codec: LengthDelimitedCodec,
@@ -140,12 +140,12 @@
 }
 
 impl FrameReader {
-    /// A reader that refuses frames whose message is longer than `limit`.
+    /// Creates a reader that rejects frames whose message is longer than `limit` bytes.
     pub(crate) fn new(body: RecvStream, limit: usize) -> Self {
         Self { body, codec: length_codec(limit + 1), buffer: BytesMut::new(), limit }
     }
 
-    /// The next frame; `None` at the end of the stream.
+    /// Returns the next frame, or `None` at the end of the stream.
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, FrameError> {
         loop {
             let limit = self.limit;
@@ -156,23 +156,23 @@
             match poll_fn(|cx| self.body.poll_data(cx)).await {
                 None if self.buffer.is_empty() => return Ok(None),
                 None => return EarlySnafu.fail(),
-                Some(data) => self.take(data.context(LostSnafu)?)?,
+                Some(data) => self.receive(data.context(LostSnafu)?)?,
             }
         }
     }
 
-    fn take(&mut self, data: Bytes) -> Result<(), FrameError> {
+    fn receive(&mut self, data: Bytes) -> Result<(), FrameError> {
         self.buffer.extend_from_slice(&data);
         self.body.flow_control().release_capacity(data.len()).context(LostSnafu)
     }
 
-    /// The next frame, which must be there.
+    /// Returns the next frame, or an error naming `expected` if the stream has ended.
     pub(crate) async fn expect(&mut self, expected: &'static str) -> Result<Bytes, FrameError> {
         self.next().await?.ok_or(FrameError::Missing { expected })
     }
 
-    /// The next frame as a `T`.
-    pub(crate) async fn typed<T: DeserializeOwned>(
+    /// Reads the next frame and decodes it as a `T`.
+    pub(crate) async fn next_as<T: DeserializeOwned>(
         &mut self,
         expected: &'static str,
     ) -> Result<T, FrameError> {
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -6,11 +6,11 @@
     bytes::Bytes,
     gullglade_peer::{FaultKind, PeerError, PeerFault, PeerTransport},
     std::rc::Rc,
-    support::{LONG, TestHandler, block_on, config, identity, pool, serve},
+    support::{TEST_TIMEOUT, TestHandler, block_on, config, identity, pool, serve},
 };
 
 #[test]
-fn calls_are_answered_by_the_handler_of_their_prefix() {
+fn calls_are_routed_by_method_prefix() {
     struct Case {
         method: &'static str,
         body: Vec<u8>,
@@ -29,7 +29,8 @@
         let server = serve(config("b"), handler.clone());
         let pool = pool(config("a"));
         for case in cases {
-            let answer = pool.call(server.address, case.method, Bytes::from(case.body), LONG).await;
+            let answer =
+                pool.call(server.address, case.method, Bytes::from(case.body), TEST_TIMEOUT).await;
             let answer = answer.map(Vec::from).map_err(|error| match error {
                 PeerError::Fault { source: PeerFault { kind, .. } } => kind,
                 other => panic!("{}: {other}", case.method),
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn streamed_messages_keep_their_borders() {
+fn streamed_messages_keep_their_boundaries() {
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let pool = pool(config("a"));
@@ -53,16 +54,16 @@
             assert_eq!(message, vec![number; usize::from(number)]);
         }
         assert_eq!(stream.next().await, None);
-        assert_eq!(stream.next().await, None, "the end stays the end");
+        assert_eq!(stream.next().await, None, "the end must repeat");
     });
 }
 
 #[test]
-fn a_dropped_stream_or_call_cancels_the_work() {
-    // Symptom: an engine goes on generating for a caller who hung up.
-    // Events: a gateway drops the reply it relays, or its call's limit passes; the far side's
-    // handler is waiting for something else and writes nothing.
-    // Cause: only a write would fail; so the handler's future must be dropped on the reset itself.
+fn dropping_a_stream_or_call_cancels_the_handler() {
+    // Guards against engines that continue to generate for callers that have disconnected. A
+    // gateway drops the relayed reply, or its call times out, while the handler waits and writes
+    // nothing. A failed write alone would not stop the handler, so the stream reset must drop its
+    // future.
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let server = serve(config("b"), handler.clone());
@@ -72,12 +73,12 @@
         assert_eq!(stream.next().await, Some(Ok(Bytes::from_static(b"one"))));
         assert_eq!(handler.running.get(), 1);
         drop(stream);
-        handler.changed_until(|h| h.running.get() == 0).await;
+        handler.wait_until(|h| h.running.get() == 0).await;
 
         let limit = std::time::Duration::from_millis(20);
         let answer = pool.call(server.address, "test.never", Bytes::new(), limit).await;
         let address = server.address;
         assert_eq!(answer, Err(PeerError::Timeout { address, limit, sent: true }));
-        handler.changed_until(|h| h.running.get() == 0).await;
+        handler.wait_until(|h| h.running.get() == 0).await;
     });
 }
--- a/crates/peer/tests/fake.rs
+++ b/crates/peer/tests/fake.rs
@@ -1,4 +1,4 @@
-//! The fake network: every failure it can cause, as a caller sees it.
+//! Simulated network: outcome of each injected fault at the caller.
 
 use {
     bytes::Bytes,
@@ -24,16 +24,17 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Echoes calls after a second of thought where the method says so; streams its body's bytes.
+/// Echoes calls, after a delay of 1 s for `echo.slow`. Streams the bytes of the body one by one;
+/// `echo.hang` never ends the stream.
 struct EchoHandler {
     context: ProcessContext,
     runs: Cell<u32>,
     ended: Rc<Cell<u32>>,
 }
 
-struct Ended(Rc<Cell<u32>>);
+struct EndGuard(Rc<Cell<u32>>);
 
-impl Drop for Ended {
+impl Drop for EndGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
@@ -47,7 +48,7 @@
         body: Bytes,
     ) -> LocalFuture<'a, Result<Bytes, PeerFault>> {
         Box::pin(async move {
-            let _ended = Ended(self.ended.clone());
+            let _ended = EndGuard(self.ended.clone());
             self.runs.set(self.runs.get() + 1);
             if method == "echo.slow" {
                 self.context.clock.sleep(Duration::from_secs(1)).await;
@@ -64,7 +65,7 @@
         mut reply: PeerReplySink,
     ) -> LocalFuture<'a, Result<(), PeerFault>> {
         Box::pin(async move {
-            let _ended = Ended(self.ended.clone());
+            let _ended = EndGuard(self.ended.clone());
             for index in 0..body.len() {
                 reply.send(body.slice(index..=index)).await?;
             }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Two processes: a caller at port 1 and an [`EchoHandler`] at port 2.
+/// A caller at port 1 and a process with an [`EchoHandler`] at port 2.
 struct Pair {
     world: FakeWorld,
     network: FakeNetwork,
@@ -86,7 +87,7 @@
     handler: Rc<EchoHandler>,
 }
 
-fn pair(policy: Rc<dyn FakePolicy>) -> Pair {
+fn start_pair(policy: Rc<dyn FakePolicy>) -> Pair {
     let (world, context) = FakeWorld::new(11);
     let server = world.process();
     let handler = Rc::new(EchoHandler {
@@ -118,7 +119,7 @@
     }
 }
 
-/// One fate for each leg.
+/// Applies one action to all requests and one to all replies.
 struct FixedPolicy {
     request: MessageAction,
     reply: MessageAction,
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn every_fate_of_a_call_has_the_outcome_of_the_real_transport() {
+fn injected_faults_have_the_outcomes_of_the_real_transport() {
     #[derive(Debug, PartialEq)]
     enum Outcome {
         Answer,
@@ -174,7 +175,7 @@
         case("none.it", 2, ok, ok, 0, 110, Outcome::Fault(FaultKind::UnknownMethod)),
     ];
     for (index, case) in cases.into_iter().enumerate() {
-        let pair = pair(Rc::new(FixedPolicy { request: case.request, reply: case.reply }));
+        let pair = start_pair(Rc::new(FixedPolicy { request: case.request, reply: case.reply }));
         let body = Bytes::from_static(b"body");
         let calling = pair.caller.call(address(case.port), case.method, body.clone(), LIMIT);
         let outcome = match pair.world.run_until(calling) {
@@ -194,8 +195,8 @@
 }
 
 #[test]
-fn a_stream_is_delayed_but_not_slowed() {
-    let pair = pair(Rc::new(FakeLink::new(DELAY)));
+fn delay_does_not_reduce_stream_throughput() {
+    let pair = start_pair(Rc::new(FakeLink::new(DELAY)));
     let body = Bytes::from(vec![5; 100]);
     let count = pair.world.run_until(async {
         let mut stream = pair.caller.open(address(2), "echo.it", body).await.unwrap();
@@ -210,8 +211,8 @@
 }
 
 #[test]
-fn a_killed_process_breaks_its_replies_and_a_dropped_reply_its_handler() {
-    let pair = pair(Rc::new(FakeLink::new(DELAY)));
+fn killing_a_process_breaks_replies_and_dropping_a_reply_cancels_the_handler() {
+    let pair = start_pair(Rc::new(FakeLink::new(DELAY)));
     let open = || async {
         let body = Bytes::from_static(b"x");
         let mut stream = pair.caller.open(address(2), "echo.hang", body).await.unwrap();
@@ -233,9 +234,9 @@
 }
 
 #[test]
-fn a_cut_link_loses_messages_until_it_is_healed() {
+fn partitioned_link_drops_messages_until_healed() {
     let link = Rc::new(FakeLink::new(DELAY));
-    let pair = pair(link.clone());
+    let pair = start_pair(link.clone());
     let call = || {
         let calling = pair.caller.call(address(2), "echo.it", Bytes::new(), LIMIT);
         pair.world.run_until(calling)
@@ -247,8 +248,8 @@
 }
 
 #[test]
-fn an_answer_is_stamped_after_everything_the_far_side_knew() {
-    let pair = pair(Rc::new(FakeLink::new(DELAY)));
+fn reply_stamp_is_later_than_the_servers_clock() {
+    let pair = start_pair(Rc::new(FakeLink::new(DELAY)));
     pair.server.set_wall_offset(60_000);
     let calling = pair.caller.call(address(2), "echo.it", Bytes::new(), LIMIT);
     pair.world.run_until(calling).unwrap();
