--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -1,4 +1,4 @@
-//! Delays and cuts put on links.
+//! Link emulation: delays and partitions.
 
 mod support;
 
@@ -15,25 +15,25 @@
         rc::Rc,
         time::{Duration, Instant},
     },
-    support::{LONG, TestHandler, block_on, config, manual_context, serve},
+    support::{TEST_TIMEOUT, TestHandler, block_on, config, manual_context, serve},
 };
 
 const DELAY: Duration = Duration::from_millis(20);
 
-fn shaped(config: PeerConfig, shaper: &Rc<LinkShaper>) -> PeerPool {
+fn shaped_pool(config: PeerConfig, shaper: &Rc<LinkShaper>) -> PeerPool {
     PeerPool::with_link(config, ProcessContext::system(), Rc::default(), shaper.clone())
 }
 
 #[test]
-fn delays_keep_order_and_do_not_slow_the_stream() {
+fn delays_preserve_order_and_throughput() {
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let shaper = Rc::new(LinkShaper::new());
         shaper.set_delay(server.address, DELAY);
-        let pool = shaped(config("a"), &shaper);
+        let pool = shaped_pool(config("a"), &shaper);
         let call = |n: u8| {
             let body = Bytes::from(vec![n]);
-            pool.call(server.address, "test.echo", body, LONG)
+            pool.call(server.address, "test.echo", body, TEST_TIMEOUT)
         };
         call(0).await.unwrap();
 
@@ -42,7 +42,7 @@
             assert_eq!(answer.unwrap(), vec![n as u8]);
         }
         assert!(start.elapsed() >= 2 * DELAY);
-        assert!(start.elapsed() < 128 * DELAY, "256 calls side by side: {:?}", start.elapsed());
+        assert!(start.elapsed() < 128 * DELAY, "256 concurrent calls: {:?}", start.elapsed());
 
         let start = Instant::now();
         let body = Bytes::from_static(&[200]);
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn a_cut_link_breaks_its_streams_and_heals() {
-    // Guards against callers that wait for minutes on a stream from a region that is cut off.
+fn partition_breaks_streams_and_calls_succeed_after_healing() {
+    // Guards against callers that wait for minutes on a stream from a partitioned region.
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let shaper = Rc::new(LinkShaper::new());
@@ -78,29 +78,30 @@
 
         shaper.set_partitioned(server.address, true);
         let limit = Duration::from_millis(1);
-        let (answer, ()) = futures::join!(call(limit), clock.expire(limit));
+        let (answer, ()) = futures::join!(call(limit), clock.advance_past_sleep(limit));
         let timeout = PeerError::Timeout { address: server.address, limit, sent: true };
         assert_eq!(answer, Err(timeout));
         clock.advance(2 * short);
         let broken = stream.next().await.unwrap().unwrap_err();
         assert!(broken.to_string().contains("cut off"), "{broken}");
-        let (answer, ()) = futures::join!(call(LONG), clock.expire(short));
+        let (answer, ()) = futures::join!(call(TEST_TIMEOUT), clock.advance_past_sleep(short));
         let error = answer.unwrap_err();
-        assert!(error.nothing_sent(), "no session can be had: {error:?}");
+        assert!(error.nothing_sent(), "no session can be established: {error:?}");
 
         shaper.set_partitioned(server.address, false);
         clock.advance(short);
-        assert_eq!(call(LONG).await, Ok(Bytes::new()));
+        assert_eq!(call(TEST_TIMEOUT).await, Ok(Bytes::new()));
     });
 }
 
 #[test]
-fn messages_held_by_a_cut_arrive_when_it_heals_in_time() {
+fn messages_held_by_a_short_partition_are_delivered_after_healing() {
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let shaper = Rc::new(LinkShaper::new());
-        let pool = shaped(config("a").ping_interval(LONG), &shaper);
-        let call = || pool.call(server.address, "test.echo", Bytes::from_static(b"x"), LONG);
+        let pool = shaped_pool(config("a").ping_interval(TEST_TIMEOUT), &shaper);
+        let call =
+            || pool.call(server.address, "test.echo", Bytes::from_static(b"x"), TEST_TIMEOUT);
         call().await.unwrap();
         shaper.set_partitioned(server.address, true);
         let healing = async {
@@ -115,19 +116,19 @@
 }
 
 #[test]
-fn messages_on_their_way_arrive_although_the_peer_has_stopped() {
-    // Symptom: the last words of an answer are missing when the far gateway stops gracefully.
-    // Events: it sends them and closes the session while they are still on the slow link.
-    // Cause: an imitated link that forgets what it carries when the session ends.
+fn in_flight_messages_arrive_after_a_graceful_stop() {
+    // Guards against truncated replies when the serving gateway stops gracefully: it sends the last
+    // messages and closes the session while they are in flight. The link emulation must deliver
+    // in-flight messages after the session has ended.
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let server = serve(config("b"), handler.clone());
         let shaper = Rc::new(LinkShaper::new());
         shaper.set_delay(server.address, DELAY);
-        let pool = shaped(config("a"), &shaper);
+        let pool = shaped_pool(config("a"), &shaper);
         let body = Bytes::from_static(&[3]);
         let mut stream = pool.open(server.address, "test.count", body).await.unwrap();
-        handler.changed_until(|h| h.calls.get() == 1).await;
+        handler.wait_until(|h| h.calls.get() == 1).await;
         server.handle.stop();
         server.handle.finished().await;
         for _ in 0..3 {
@@ -138,37 +139,38 @@
 }
 
 #[test]
-fn a_dial_whose_first_connection_hangs_succeeds_on_a_second_one() {
-    // Symptom: after a loss of power everywhere a gateway had no session to a control process that
-    // had run for 0.8 s. Sequence: the gateway starts first; the opening packet goes to a VM
-    // without power; it is sent again only after a second. Cause: one connection at a time.
+fn dial_succeeds_on_a_second_attempt_when_the_first_hangs() {
+    // Guards against slow reconnects after a power loss in all regions. The gateway starts first
+    // and its SYN goes to a VM without power; TCP retransmits it only after 1 s. With a single
+    // attempt, the gateway had no session to a control process that had been running for 0.8 s.
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let front = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = front.local_addr().unwrap();
         monoio::spawn(async move {
-            // The first connection is taken and gets no answer; all others reach the server.
+            // The first connection is accepted but never served; later ones are forwarded to the
+            // server.
             let _silent = front.accept().await.unwrap();
             loop {
                 let (near, _) = front.accept().await.unwrap();
                 let far = TcpStream::connect_addr(server.address).await.unwrap();
-                join_streams(near, far);
+                forward_both_ways(near, far);
             }
         });
         let start = Instant::now();
         let pool = PeerPool::new(config("a"), ProcessContext::system(), Rc::default());
         let body = Bytes::from_static(b"hello");
-        let answer = pool.call(address, "test.echo", body.clone(), LONG).await;
+        let answer = pool.call(address, "test.echo", body.clone(), TEST_TIMEOUT).await;
         assert_eq!(answer.unwrap(), body);
         assert!(start.elapsed() < Duration::from_millis(1_000), "{:?}", start.elapsed());
     });
 }
 
-/// Carries bytes both ways between two connections.
-fn join_streams(near: TcpStream, far: TcpStream) {
+/// Forwards bytes in both directions between two connections.
+fn forward_both_ways(near: TcpStream, far: TcpStream) {
     let (mut near_in, mut near_out) = near.into_split();
     let (mut far_in, mut far_out) = far.into_split();
-    // Either way ends with its connection.
+    // Each direction ends when its connection closes.
     monoio::spawn(async move { drop(copy(&mut near_in, &mut far_out).await) });
     monoio::spawn(async move { drop(copy(&mut far_in, &mut near_out).await) });
 }
--- a/crates/peer/tests/nothing_sent.rs
+++ b/crates/peer/tests/nothing_sent.rs
@@ -1,5 +1,5 @@
-//! Whether a failed call admits that its bytes may have reached the peer, against listeners that
-//! are no proper peers.
+//! [`PeerError::nothing_sent`] of failed calls, including calls to listeners that do not implement
+//! the protocol.
 
 mod support;
 
@@ -11,10 +11,10 @@
         net::{TcpListener, TcpStream},
     },
     std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration},
-    support::{LONG, TestHandler, block_on, config, config_of, pool, serve},
+    support::{TEST_TIMEOUT, TestHandler, block_on, config, config_of, pool, serve},
 };
 
-/// A listener that hands every connection to `serve`, and its address.
+/// Starts a listener that passes each connection to `serve`, and returns its address.
 fn listen<F, S>(serve: S) -> SocketAddr
 where
     S: Fn(TcpStream) -> F + 'static,
@@ -30,16 +30,16 @@
     address
 }
 
-/// An address that refuses connections: bound once, listened on no more.
+/// Returns an address that refuses connections, whose listener has been closed.
 fn closed_port() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-async fn hang_up(stream: TcpStream) {
+async fn close_connection(stream: TcpStream) {
     drop(stream);
 }
 
-async fn stay_silent(mut stream: TcpStream) {
+async fn never_reply(mut stream: TcpStream) {
     let mut buffer = vec![0; 4096];
     loop {
         let (read, returned) = stream.read(buffer).await;
@@ -50,33 +50,33 @@
     }
 }
 
-async fn speak_http1(mut stream: TcpStream) {
+async fn reply_http1(mut stream: TcpStream) {
     let _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec()).await;
-    stay_silent(stream).await;
+    never_reply(stream).await;
 }
 
 #[test]
-fn a_call_without_a_session_was_not_sent() {
-    // Symptom: a caller is told `unknown` about an order that cannot have run, or worse, `not run`
-    // about one that has.
-    // Events: the peer's port is closed, or something else answers there, before any session.
-    // Cause: only an established session can carry a byte of the call.
+fn call_without_a_session_reports_nothing_sent() {
+    // Guards against callers that get `unknown` for an order that cannot have run, or `not run` for
+    // one that has. If the peer's port is closed or another service listens on it, no session is
+    // established, and only an established session can carry bytes of the call.
     struct Case {
         name: &'static str,
         address: fn() -> SocketAddr,
     }
     let cases = [
         Case { name: "closed port", address: closed_port },
-        Case { name: "hangs up", address: || listen(hang_up) },
-        Case { name: "says nothing", address: || listen(stay_silent) },
-        Case { name: "speaks HTTP/1.1", address: || listen(speak_http1) },
+        Case { name: "closes the connection", address: || listen(close_connection) },
+        Case { name: "never replies", address: || listen(never_reply) },
+        Case { name: "replies with HTTP/1.1", address: || listen(reply_http1) },
     ];
     block_on(async {
         for case in cases {
             let limit = Duration::from_millis(50);
             let pool = pool(config("a").connect_timeout(limit));
             let address = (case.address)();
-            let error = pool.call(address, "test.echo", Bytes::new(), LONG).await.unwrap_err();
+            let error =
+                pool.call(address, "test.echo", Bytes::new(), TEST_TIMEOUT).await.unwrap_err();
             let connect = matches!(&error, PeerError::Connect { .. });
             assert!(connect && error.nothing_sent(), "{}: {error:?}", case.name);
             let error = pool.open(address, "test.echo", Bytes::new()).await.err().unwrap();
@@ -86,10 +86,10 @@
 }
 
 #[test]
-fn a_call_whose_limit_passes_while_dialing_was_not_sent() {
+fn call_that_times_out_while_dialing_reports_nothing_sent() {
     block_on(async {
-        let pool = pool(config("a").connect_timeout(LONG));
-        let address = listen(stay_silent);
+        let pool = pool(config("a").connect_timeout(TEST_TIMEOUT));
+        let address = listen(never_reply);
         let limit = Duration::from_millis(20);
         let answer = pool.call(address, "test.echo", Bytes::new(), limit).await;
         assert_eq!(answer, Err(PeerError::Timeout { address, limit, sent: false }));
@@ -97,67 +97,68 @@
 }
 
 #[test]
-fn a_call_on_a_session_that_dies_may_have_been_sent() {
+fn call_on_a_lost_session_reports_that_it_may_have_been_sent() {
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let server = serve(config("b"), handler.clone());
         let pool = pool(config("a"));
-        let calling = pool.call(server.address, "test.never", Bytes::new(), LONG);
+        let calling = pool.call(server.address, "test.never", Bytes::new(), TEST_TIMEOUT);
         let killing = async {
-            handler.changed_until(|h| h.running.get() == 1).await;
+            handler.wait_until(|h| h.running.get() == 1).await;
             server.handle.abort();
         };
         let (answer, ()) = futures::join!(calling, killing);
         let error = answer.unwrap_err();
         assert!(matches!(error, PeerError::Broken { sent: true, .. }), "{error:?}");
-        handler.changed_until(|h| h.running.get() == 0).await;
+        handler.wait_until(|h| h.running.get() == 0).await;
         server.handle.finished().await;
 
-        let error = pool.call(server.address, "test.echo", Bytes::new(), LONG).await;
+        let error = pool.call(server.address, "test.echo", Bytes::new(), TEST_TIMEOUT).await;
         assert!(matches!(error, Err(PeerError::Connect { .. })), "{error:?}");
     });
 }
 
 #[test]
-fn calls_that_cannot_be_sent_say_so() {
+fn unsendable_calls_report_the_reason() {
     struct Case {
         method: &'static str,
         body: usize,
-        words: &'static str,
+        expected_text: &'static str,
     }
     let cases = [
-        Case { method: "", body: 0, words: "method names" },
-        Case { method: "test/echo", body: 0, words: "method names" },
-        Case { method: "test.echo", body: 1_001, words: "message limit of 1000" },
+        Case { method: "", body: 0, expected_text: "method names" },
+        Case { method: "test/echo", body: 0, expected_text: "method names" },
+        Case { method: "test.echo", body: 1_001, expected_text: "message limit of 1000" },
     ];
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let pool = pool(config("a").message_limit(1_000));
         for case in cases {
             let body = Bytes::from(vec![0; case.body]);
-            let error = pool.call(server.address, case.method, body, LONG).await.unwrap_err();
+            let error =
+                pool.call(server.address, case.method, body, TEST_TIMEOUT).await.unwrap_err();
             assert!(error.nothing_sent(), "{error:?}");
-            assert!(error.to_string().contains(case.words), "{error}");
+            assert!(error.to_string().contains(case.expected_text), "{error}");
         }
     });
 }
 
 #[test]
-fn a_process_that_does_not_belong_is_refused_with_the_remedy() {
+fn process_of_another_cluster_or_secret_is_refused_with_the_remedy() {
     struct Case {
         dialer: (&'static str, &'static str),
         refusal: SessionRefusal,
-        words: &'static str,
+        expected_text: &'static str,
     }
     const SECRET: &str = "a secret for tests only";
     let cluster =
         SessionRefusal::Cluster { ours: "pipeline".to_owned(), theirs: "ballast".to_owned() };
     let cases = [
-        Case { dialer: ("pipeline", SECRET), refusal: cluster, words: "same cluster name" },
+        Case { dialer: ("pipeline", SECRET), refusal: cluster, expected_text: "same cluster name" },
         Case {
             dialer: ("ballast", "another secret, as long"),
             refusal: SessionRefusal::Secret,
-            words: "same secret file",
+            expected_text: "same secret file",
         },
     ];
     block_on(async {
@@ -165,22 +166,25 @@
         let server = serve(config("b"), handler.clone());
         for case in cases {
             let pool = pool(config_of("a", case.dialer.0, case.dialer.1));
-            let error = pool.call(server.address, "test.echo", Bytes::new(), LONG).await;
+            let error = pool.call(server.address, "test.echo", Bytes::new(), TEST_TIMEOUT).await;
             let error = error.unwrap_err();
             let address = server.address;
             assert_eq!(error, PeerError::Refused { address, refusal: case.refusal });
-            assert!(error.nothing_sent() && error.to_string().contains(case.words), "{error}");
+            assert!(
+                error.nothing_sent() && error.to_string().contains(case.expected_text),
+                "{error}"
+            );
         }
         assert_eq!(handler.calls.get(), 0);
     });
 }
 
 #[test]
-fn a_server_refuses_sessions_beyond_its_limit() {
+fn server_refuses_sessions_beyond_its_limit() {
     block_on(async {
         let server = serve(config("b").session_limit(1), Rc::new(TestHandler::default()));
         let call = |pool: gullglade_peer::PeerPool| async move {
-            let answer = pool.call(server.address, "test.echo", Bytes::new(), LONG).await;
+            let answer = pool.call(server.address, "test.echo", Bytes::new(), TEST_TIMEOUT).await;
             (answer, pool)
         };
         let (answer, _first) = call(pool(config("a"))).await;
@@ -192,22 +196,22 @@
 }
 
 #[test]
-fn the_secret_is_never_sent() {
-    // Symptom: whoever listens on the network, or on a port that was a peer's once, can join the
-    // cluster.
-    // Events: a dialer connects to an address where a stranger listens and records.
-    // Cause: a handshake that sends the secret, rather than proof of it.
+fn secret_is_never_sent() {
+    // Guards against disclosure of the secret to an attacker who records the traffic, or who
+    // listens on the former address of a peer. The handshake must send a proof of the secret
+    // instead.
     block_on(async {
-        let heard = Rc::new(RefCell::new(Vec::new()));
+        let received = Rc::new(RefCell::new(Vec::new()));
         let server = serve(config("b"), Rc::new(TestHandler::default()));
-        let (record, target) = (heard.clone(), server.address);
+        let (record, target) = (received.clone(), server.address);
         let address = listen(move |stream| relay_and_record(stream, target, record.clone()));
         let pool = pool(config("a"));
-        let answer = pool.call(address, "test.echo", Bytes::from_static(b"in clear"), LONG).await;
+        let answer =
+            pool.call(address, "test.echo", Bytes::from_static(b"in clear"), TEST_TIMEOUT).await;
         assert_eq!(answer, Ok(Bytes::from_static(b"in clear")));
-        let heard = heard.borrow();
-        let has = |text: &[u8]| heard.windows(text.len()).any(|part| part == text);
-        assert!(has(b"in clear"), "the record holds what travelled");
+        let received = received.borrow();
+        let has = |text: &[u8]| received.windows(text.len()).any(|part| part == text);
+        assert!(has(b"in clear"), "the record must contain the transmitted body");
         assert!(!has(b"a secret for tests only"));
     });
 }
@@ -216,11 +220,11 @@
     let outer = TcpStream::connect_addr(target).await.unwrap();
     let (inner_read, inner_write) = monoio::io::Splitable::into_split(inner);
     let (outer_read, outer_write) = monoio::io::Splitable::into_split(outer);
-    let there = copy(inner_read, outer_write, record.clone());
-    futures::join!(there, copy(outer_read, inner_write, record));
+    let there = copy_and_record(inner_read, outer_write, record.clone());
+    futures::join!(there, copy_and_record(outer_read, inner_write, record));
 }
 
-async fn copy(
+async fn copy_and_record(
     mut from: impl AsyncReadRent,
     mut to: impl AsyncWriteRentExt,
     record: Rc<RefCell<Vec<u8>>>,
--- a/crates/peer/tests/sessions.rs
+++ b/crates/peer/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: bounds of memory and number, idle and stopped ones, dials and backoff.
+//! Sessions: flow control, limits, idle timeout, shutdown, dialing and backoff.
 
 mod support;
 
@@ -10,37 +10,36 @@
     gullglade_units::WallMillis,
     monoio::net::TcpListener,
     std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration},
-    support::{LONG, TestHandler, TestServer, block_on, config, pool, serve, serve_at},
+    support::{TEST_TIMEOUT, TestHandler, TestServer, block_on, config, pool, serve, serve_at},
 };
 
 async fn echo(pool: &PeerPool, server: &TestServer) -> Result<Bytes, PeerError> {
-    pool.call(server.address, "test.echo", Bytes::from_static(b"echo"), LONG).await
+    pool.call(server.address, "test.echo", Bytes::from_static(b"echo"), TEST_TIMEOUT).await
 }
 
-/// Enough round trips on a session for everything queued before on it to have moved.
-async fn settle(pool: &PeerPool, server: &TestServer) {
+/// Makes enough round trips on a session for all previously queued data to be processed.
+async fn drain_queued(pool: &PeerPool, server: &TestServer) {
     for _ in 0..50 {
         echo(pool, server).await.unwrap();
     }
 }
 
-/// A stream that has given its one message and waits; it breaks when its session does.
-async fn witness(pool: &PeerPool, server: &TestServer) -> PeerStream {
+/// Opens a stream that has delivered its only message and stays open until its session is lost.
+async fn open_stalled_stream(pool: &PeerPool, server: &TestServer) -> PeerStream {
     let body = Bytes::from_static(b"here");
     let mut stream = pool.open(server.address, "test.half", body).await.unwrap();
     stream.next().await.unwrap().unwrap();
     stream
 }
 
-fn still_waits(mut witness: PeerStream) -> bool {
-    witness.next().now_or_never().is_none()
+fn is_pending(mut stalled_stream: PeerStream) -> bool {
+    stalled_stream.next().now_or_never().is_none()
 }
 
 #[test]
-fn a_slow_reader_bounds_the_senders_memory() {
-    // Symptom: a gateway's memory grows with each caller on a slow link.
-    // Events: an engine answers faster than the caller reads, through two gateways.
-    // Cause: a relay that accepts messages without room in the reader's window.
+fn slow_reader_applies_backpressure_to_the_sender() {
+    // Guards against unbounded memory use in gateways when an engine generates faster than a caller
+    // on a slow link reads. A sender must wait for capacity in the reader's flow-control window.
     const MESSAGE: usize = 1_000;
     const WINDOW: usize = 64 << 10;
     block_on(async {
@@ -49,30 +48,30 @@
         let pool = pool(config("a").stream_window(WINDOW as u32));
         let body = Bytes::from(vec![1; MESSAGE]);
         let mut stream = pool.open(server.address, "test.flood", body).await.unwrap();
-        handler.changed_until(|h| h.sent.get() * MESSAGE > WINDOW / 2).await;
-        settle(&pool, &server).await;
+        handler.wait_until(|h| h.sent.get() * MESSAGE > WINDOW / 2).await;
+        drain_queued(&pool, &server).await;
         let stalled = handler.sent.get();
         assert!(stalled * MESSAGE <= 2 * WINDOW, "{stalled} messages sent, none read");
-        settle(&pool, &server).await;
-        assert_eq!(handler.sent.get(), stalled, "the sender waits");
+        drain_queued(&pool, &server).await;
+        assert_eq!(handler.sent.get(), stalled, "the sender must wait");
 
         for _ in 0..stalled {
             assert_eq!(stream.next().await.unwrap().unwrap().len(), MESSAGE);
         }
-        handler.changed_until(|h| h.sent.get() > stalled).await;
+        handler.wait_until(|h| h.sent.get() > stalled).await;
     });
 }
 
 #[test]
 fn mass_cancellation_does_not_break_the_session() {
-    // Symptom: all streams between two gateways break at once.
-    // Events: a gateway loses some hundred callers in one moment and resets their streams, whose
-    // messages are on the way; or resets calls that the far side has not yet taken up.
-    // Cause: h2 counts both as attacks and closes the session with ENHANCE_YOUR_CALM.
+    // Guards against the loss of all streams between two gateways when one of them resets hundreds
+    // of streams at once, with messages in flight or before the server has accepted the calls. With
+    // its default limits, h2 treats both as an attack and closes the session with
+    // ENHANCE_YOUR_CALM.
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let pool = pool(config("a"));
-        let witness = witness(&pool, &server).await;
+        let stalled_stream = open_stalled_stream(&pool, &server).await;
         for _ in 0..8 {
             let body = Bytes::from(vec![1; 1_000]);
             let open = |_| pool.open(server.address, "test.flood", body.clone());
@@ -80,69 +79,68 @@
             streams[0].as_mut().unwrap().next().await.unwrap().unwrap();
             drop(streams);
             drop(join_all((0..300).map(open)).await);
-            settle(&pool, &server).await;
+            drain_queued(&pool, &server).await;
         }
-        assert!(still_waits(witness));
+        assert!(is_pending(stalled_stream));
     });
 }
 
 #[test]
 fn slow_readers_of_tiny_messages_do_not_break_the_session() {
-    // Symptom: all streams between two gateways break at once.
-    // Events: a few callers read slowly while their engines send messages of a byte or two.
-    // Cause: h2 counts the overhead of small unread DATA frames over a whole session, and closes
-    // it with ENHANCE_YOUR_CALM when half of the session's window is used up.
+    // Guards against the loss of all streams between two gateways when a few callers slowly read
+    // messages of a byte or two. With its default limits, h2 sums the overhead of small unread DATA
+    // frames per session and closes it with ENHANCE_YOUR_CALM at half of the session's window.
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let server = serve(config("b"), handler.clone());
         let pool = pool(config("a").session_window(1 << 20));
-        let witness = witness(&pool, &server).await;
+        let stalled_stream = open_stalled_stream(&pool, &server).await;
         let open = |_| pool.open(server.address, "test.flood", Bytes::from_static(b"x"));
         let streams = join_all((0..8).map(open)).await;
-        handler.changed_until(|h| h.sent.get() > 20_000).await;
-        settle(&pool, &server).await;
-        assert!(still_waits(witness));
+        handler.wait_until(|h| h.sent.get() > 20_000).await;
+        drain_queued(&pool, &server).await;
+        assert!(is_pending(stalled_stream));
         drop(streams);
     });
 }
 
 #[test]
-fn a_session_carries_no_more_calls_than_its_limit() {
+fn calls_beyond_the_stream_limit_are_not_sent() {
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let server = serve(config("b").stream_limit(2), handler.clone());
         let pool = pool(config("a"));
         echo(&pool, &server).await.unwrap();
-        let first = witness(&pool, &server).await;
-        let _second = witness(&pool, &server).await;
+        let first = open_stalled_stream(&pool, &server).await;
+        let _second = open_stalled_stream(&pool, &server).await;
         let error = echo(&pool, &server).await.unwrap_err();
         assert!(error.nothing_sent() && error.to_string().contains("stream limit"), "{error}");
         drop(first);
-        handler.changed_until(|h| h.running.get() == 1).await;
+        handler.wait_until(|h| h.running.get() == 1).await;
         echo(&pool, &server).await.unwrap();
     });
 }
 
 #[test]
-fn a_message_beyond_either_ends_limit_is_an_error_that_names_it() {
+fn oversized_message_is_an_error_that_names_the_limit() {
     struct Case {
         dialer: usize,
         server: usize,
         fault: Option<FaultKind>,
-        words: &'static str,
+        expected_text: &'static str,
     }
     let cases = [
         Case {
             dialer: 1 << 20,
             server: 1_000,
             fault: Some(FaultKind::Malformed),
-            words: "longer than the limit of 1000 bytes",
+            expected_text: "longer than the limit of 1000 bytes",
         },
         Case {
             dialer: 2_000,
             server: 1 << 20,
             fault: None,
-            words: "longer than the limit of 2000 bytes",
+            expected_text: "longer than the limit of 2000 bytes",
         },
     ];
     block_on(async {
@@ -150,23 +148,24 @@
             let handler = Rc::new(TestHandler::default());
             let server = serve(config("b").message_limit(case.server), handler.clone());
             let pool = pool(config("a").message_limit(case.dialer));
-            // The server's reply to `test.double` is twice as long as the call.
+            // The reply to `test.double` is twice as long as the body of the call.
             let body = Bytes::from(vec![1; 1_500]);
-            let error = pool.call(server.address, "test.double", body, LONG).await.unwrap_err();
+            let error =
+                pool.call(server.address, "test.double", body, TEST_TIMEOUT).await.unwrap_err();
             let fault = match &error {
                 PeerError::Fault { source } => Some(source.kind),
                 PeerError::Broken { sent: true, .. } => None,
                 other => panic!("{other:?}"),
             };
             assert_eq!(fault, case.fault, "{error}");
-            assert!(error.to_string().contains(case.words), "{error}");
+            assert!(error.to_string().contains(case.expected_text), "{error}");
             echo(&pool, &server).await.unwrap();
         }
     });
 }
 
-/// A listener that closes every connection, how many it had, and its address.
-fn count_dials() -> (Rc<Cell<usize>>, SocketAddr) {
+/// Starts a listener that closes every connection; returns the connection count and the address.
+fn start_dial_counter() -> (Rc<Cell<usize>>, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let count = Rc::new(Cell::new(0));
@@ -181,15 +180,14 @@
 }
 
 #[test]
-fn many_calls_share_one_dial_and_a_failed_one_is_not_repeated_at_once() {
-    // Symptom: a restarted VM is met by thousands of connections and falls over again.
-    // Events: every call that finds no session dials; every failed call is tried again.
-    // Cause: dials without one owner and without backoff.
+fn concurrent_calls_share_one_dial_and_failed_dials_back_off() {
+    // Guards against a thundering herd that overloads a restarted VM: without a shared dial and a
+    // backoff, each call without a session dials, and each failed call is retried immediately.
     block_on(async {
-        let (dials, address) = count_dials();
-        let pool = pool(config("a").backoff(LONG, LONG));
+        let (dials, address) = start_dial_counter();
+        let pool = pool(config("a").backoff(TEST_TIMEOUT, TEST_TIMEOUT));
         for _ in 0..3 {
-            let call = |_| pool.call(address, "test.echo", Bytes::new(), LONG);
+            let call = |_| pool.call(address, "test.echo", Bytes::new(), TEST_TIMEOUT);
             for answer in join_all((0..100).map(call)).await {
                 assert!(answer.unwrap_err().nothing_sent());
             }
@@ -199,12 +197,12 @@
 }
 
 #[test]
-fn a_peer_that_comes_back_is_dialed_again() {
+fn restarted_peer_is_redialed() {
     block_on(async {
         let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let backoff = Duration::from_millis(2);
         let pool = pool(config("a").backoff(backoff, backoff));
-        let call = || pool.call(address, "test.echo", Bytes::new(), LONG);
+        let call = || pool.call(address, "test.echo", Bytes::new(), TEST_TIMEOUT);
         assert!(call().await.unwrap_err().nothing_sent());
         let first = serve_at(address, config("b"), Rc::new(TestHandler::default()));
         while call().await.is_err() {
@@ -220,15 +218,18 @@
 }
 
 #[test]
-fn an_idle_session_is_closed_and_a_used_one_kept() {
+fn idle_session_is_closed_and_active_session_is_kept() {
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let idle = Duration::from_millis(20);
         let pool = pool(config("a").idle_timeout(idle));
-        let witness = witness(&pool, &server).await;
+        let stalled_stream = open_stalled_stream(&pool, &server).await;
         monoio::time::sleep(3 * idle).await;
-        assert!(pool.connected_peer(server.address).is_some(), "a stream uses the session");
-        assert!(still_waits(witness));
+        assert!(
+            pool.connected_peer(server.address).is_some(),
+            "an open stream must keep the session open"
+        );
+        assert!(is_pending(stalled_stream));
         while pool.connected_peer(server.address).is_some() {
             monoio::time::sleep(idle).await;
         }
@@ -237,10 +238,9 @@
 }
 
 #[test]
-fn a_graceful_stop_finishes_calls_in_progress_and_takes_no_more() {
-    // Symptom: a planned restart of a gateway cuts off answers.
-    // Events: stop is asked for while a call runs and others arrive.
-    // Cause: closing sessions before their streams have ended.
+fn graceful_stop_completes_calls_in_progress_and_rejects_new_ones() {
+    // Guards against replies that are truncated by a planned restart of a gateway: a stop that
+    // arrives while calls are in progress must not close sessions before their streams have ended.
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let (open_gate, gate) = oneshot::channel();
@@ -248,11 +248,11 @@
         let server = serve(config("b"), handler.clone());
         let pool = pool(config("a"));
         let body = Bytes::from_static(b"answer");
-        let in_progress = pool.call(server.address, "test.gate", body.clone(), LONG);
+        let in_progress = pool.call(server.address, "test.gate", body.clone(), TEST_TIMEOUT);
         let stopping = async {
-            handler.changed_until(|h| h.running.get() == 1).await;
+            handler.wait_until(|h| h.running.get() == 1).await;
             server.handle.stop();
-            // A call may overtake the news of the stop; then it is served.
+            // A call sent before the GOAWAY arrives is still served.
             let error = loop {
                 if let Err(error) = echo(&pool, &server).await {
                     break error;
@@ -269,23 +269,23 @@
 }
 
 #[test]
-fn an_aborted_pool_breaks_its_streams_and_dials_no_more() {
+fn aborted_pool_breaks_its_streams_and_rejects_calls() {
     block_on(async {
         let handler = Rc::new(TestHandler::default());
         let server = serve(config("b"), handler.clone());
         let pool = pool(config("a"));
-        let mut witness = witness(&pool, &server).await;
+        let mut stalled_stream = open_stalled_stream(&pool, &server).await;
         pool.abort();
-        let item = witness.next().await;
+        let item = stalled_stream.next().await;
         assert!(matches!(item, Some(Err(PeerError::Broken { sent: true, .. }))), "{item:?}");
-        assert_eq!(witness.next().await, item, "broken stays broken");
-        handler.changed_until(|h| h.running.get() == 0).await;
+        assert_eq!(stalled_stream.next().await, item, "the error must repeat");
+        handler.wait_until(|h| h.running.get() == 0).await;
         assert!(echo(&pool, &server).await.unwrap_err().nothing_sent());
     });
 }
 
 #[test]
-fn stamps_move_both_hybrid_clocks_forward() {
+fn calls_advance_both_hybrid_clocks() {
     block_on(async {
         let server = serve(config("b"), Rc::new(TestHandler::default()));
         let pool_clock = Rc::<gullglade_units::HybridClock>::default();
@@ -302,13 +302,13 @@
 }
 
 #[test]
-fn beginnings_and_ends_of_sessions_are_events() {
+fn session_starts_and_ends_are_reported_as_events() {
     block_on(async {
         let (dialed, served) = (Rc::new(MemorySink::default()), Rc::new(MemorySink::default()));
         let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let backoff = Duration::from_millis(2);
         let pool = pool(config("a").events(dialed.clone()).backoff(backoff, backoff));
-        let call = || pool.call(address, "test.echo", Bytes::new(), LONG);
+        let call = || pool.call(address, "test.echo", Bytes::new(), TEST_TIMEOUT);
         assert!(call().await.is_err());
         assert_eq!(dialed.count("peer.unreachable"), 1);
         let handler = Rc::new(TestHandler::default());
@@ -327,10 +327,10 @@
         assert!(begins(&connected), "{lines:?}");
         assert!(begins("peer.accepted peer=a peer_region=puget incarnation=1"), "{lines:?}");
         assert!(begins("peer.left peer=a"), "{lines:?}");
-        let stranger =
+        let other_cluster_pool =
             support::pool(support::config_of("c", "pipeline", "a secret for tests only"));
         let server = serve(config("b").events(served.clone()), Rc::new(TestHandler::default()));
-        assert!(echo(&stranger, &server).await.is_err());
+        assert!(echo(&other_cluster_pool, &server).await.is_err());
         assert_eq!(served.count("peer.refused"), 1);
     });
 }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! What the session tests share: a cluster's identities, a handler with knobs, and a runtime.
+//! Helpers of the session tests: identities, clocks, a server, a configurable handler and a
+//! runtime.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use {
     bytes::Bytes,
@@ -24,35 +25,35 @@
     },
 };
 
-/// Far more than any test needs; a test that reaches it has hung.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Time limit of a test, far longer than any test takes.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn block_on<F: Future>(future: F) -> F::Output {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap();
-    let clock = RunningClock::default();
-    runtime.block_on(async { timeout(&clock, LONG, future).await.expect("the test hangs") })
+    let clock = PauseTolerantClock::default();
+    runtime.block_on(async { timeout(&clock, TEST_TIMEOUT, future).await.expect("the test hangs") })
 }
 
-/// The longest time that a [`RunningClock`] passes at once.
-const TICK: Duration = Duration::from_millis(100);
+/// Maximum step by which a [`PauseTolerantClock`] advances between two reads.
+const MAX_CLOCK_STEP: Duration = Duration::from_millis(100);
 
-/// A clock that passes only while the test runs: a machine that stands still for seconds is no peer
-/// that is silent, and no test that hangs.
-struct RunningClock {
+/// Clock that advances only while the test runs, so that a machine that pauses for seconds causes
+/// neither keepalive failures nor test timeouts.
+struct PauseTolerantClock {
     now: Cell<Duration>,
-    looked: Cell<Instant>,
+    last_read: Cell<Instant>,
 }
 
-impl Default for RunningClock {
+impl Default for PauseTolerantClock {
     fn default() -> Self {
-        Self { now: Cell::default(), looked: Cell::new(Instant::now()) }
+        Self { now: Cell::default(), last_read: Cell::new(Instant::now()) }
     }
 }
 
-impl Clock for RunningClock {
+impl Clock for PauseTolerantClock {
     fn now(&self) -> MonotonicTime {
-        let passed = self.looked.replace(Instant::now()).elapsed();
-        self.now.set(self.now.get() + passed.min(TICK));
+        let passed = self.last_read.replace(Instant::now()).elapsed();
+        self.now.set(self.now.get() + passed.min(MAX_CLOCK_STEP));
         MonotonicTime(self.now.get())
     }
 
@@ -64,7 +65,7 @@
         Box::pin(async move {
             let mut left = duration;
             while !left.is_zero() {
-                let step = left.min(TICK);
+                let step = left.min(MAX_CLOCK_STEP);
                 monoio::time::sleep(step).await;
                 left -= step;
             }
@@ -72,9 +73,9 @@
     }
 }
 
-/// The system's context with a clock that passes only while the test runs.
-fn running_context() -> ProcessContext {
-    ProcessContext { clock: Rc::new(RunningClock::default()), ..ProcessContext::system() }
+/// System context with a [`PauseTolerantClock`].
+fn pause_tolerant_context() -> ProcessContext {
+    ProcessContext { clock: Rc::new(PauseTolerantClock::default()), ..ProcessContext::system() }
 }
 
 pub(crate) fn identity(vm: &str) -> PeerIdentity {
@@ -96,21 +97,21 @@
 }
 
 pub(crate) fn pool(config: PeerConfig) -> PeerPool {
-    PeerPool::new(config, running_context(), Rc::default())
+    PeerPool::new(config, pause_tolerant_context(), Rc::default())
 }
 
-/// The system's context with a clock that stands still until the test moves it.
+/// System context with a [`ManualClock`].
 pub(crate) fn manual_context() -> (ProcessContext, Rc<ManualClock>) {
     let clock = Rc::new(ManualClock::default());
     (ProcessContext { clock: clock.clone(), ..ProcessContext::system() }, clock)
 }
 
-/// A clock that stands still until a test moves it.
+/// Clock that advances only when a test calls [`ManualClock::advance`].
 #[derive(Default)]
 pub(crate) struct ManualClock {
     now: Cell<Duration>,
     sleeps: RefCell<Vec<ManualSleep>>,
-    changed: ChangeNotice,
+    changed: ChangeNotifier,
 }
 
 struct ManualSleep {
@@ -120,7 +121,7 @@
 }
 
 impl ManualClock {
-    /// Moves the time on and wakes whoever slept until then.
+    /// Advances the time and wakes the sleeps that have expired.
     pub(crate) fn advance(&self, duration: Duration) {
         let now = self.now.get() + duration;
         self.now.set(now);
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Waits until somebody sleeps who asked for exactly `limit`, and moves the time on by it.
-    pub(crate) async fn expire(&self, limit: Duration) {
+    /// Waits until a sleep of exactly `limit` is pending, and advances the time by `limit`.
+    pub(crate) async fn advance_past_sleep(&self, limit: Duration) {
         let asleep = |sleep: &ManualSleep| sleep.duration == limit && !sleep.wake.is_canceled();
         self.changed.until(|| self.sleeps.borrow().iter().any(asleep)).await;
         self.advance(limit);
@@ -160,7 +161,7 @@
     }
 }
 
-/// A running server.
+/// Running server.
 pub(crate) struct TestServer {
     pub(crate) address: SocketAddr,
     pub(crate) handle: PeerStopHandle,
@@ -179,37 +180,37 @@
     let handlers = Rc::new(HandlerTable::new());
     handlers.register("test", handler);
     let clock = Rc::<HybridClock>::default();
-    let context = running_context();
+    let context = pause_tolerant_context();
     let server = PeerServer::bind(address, config, context, clock.clone(), handlers).unwrap();
     let test = TestServer { address: server.local_addr(), handle: server.stop_handle(), clock };
     monoio::spawn(server.run());
     test
 }
 
-/// Answers by method: `test.echo`, `test.double`, `test.fault`, `test.never`, `test.gate` (once the
-/// test opens it); streams `test.count` (the body's
-/// first byte says how many messages), `test.flood` (until stopped), `test.half` (one message,
-/// then nothing).
+/// Handler with these methods. Calls: `test.echo`, `test.double`, `test.fault`, `test.never` (does
+/// not complete), `test.gate` (completes once the test opens the gate). Streams: `test.count` (as
+/// many messages as the first byte of the body), `test.flood` (until cancelled), `test.half` (one
+/// message, then no end), `test.fault` (one message, then a fault).
 #[derive(Default)]
 pub(crate) struct TestHandler {
     pub(crate) calls: Cell<usize>,
     pub(crate) sent: Cell<usize>,
     pub(crate) running: Rc<Cell<usize>>,
     pub(crate) from: RefCell<Option<PeerIdentity>>,
-    pub(crate) changed: ChangeNotice,
+    pub(crate) changed: ChangeNotifier,
     pub(crate) gate: RefCell<Option<oneshot::Receiver<()>>>,
 }
 
-/// Wakes whoever waits for a change.
+/// Wakes the tasks that wait for a change.
 #[derive(Clone, Default)]
-pub(crate) struct ChangeNotice(Rc<RefCell<Vec<Waker>>>);
+pub(crate) struct ChangeNotifier(Rc<RefCell<Vec<Waker>>>);
 
-impl ChangeNotice {
+impl ChangeNotifier {
     fn notify(&self) {
         self.0.take().into_iter().for_each(Waker::wake);
     }
 
-    /// Completes once `done`, which is asked after every change.
+    /// Completes once `done` returns true; evaluates it after each change.
     async fn until(&self, done: impl Fn() -> bool) {
         poll_fn(|cx| {
             self.0.borrow_mut().push(cx.waker().clone());
@@ -219,13 +220,13 @@
     }
 }
 
-/// Counts a handler future while it lives.
-struct Running {
+/// Guard that counts a handler future in `running` while it exists.
+struct RunningGuard {
     count: Rc<Cell<usize>>,
-    changed: ChangeNotice,
+    changed: ChangeNotifier,
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
         self.changed.notify();
@@ -233,16 +234,16 @@
 }
 
 impl TestHandler {
-    /// Completes once `done`, which is asked after every change of the counts.
-    pub(crate) async fn changed_until(&self, done: impl Fn(&Self) -> bool) {
+    /// Completes once `done` returns true; evaluates it after each change of the counters.
+    pub(crate) async fn wait_until(&self, done: impl Fn(&Self) -> bool) {
         self.changed.until(|| done(self)).await;
     }
 
-    fn start(&self) -> Running {
+    fn start(&self) -> RunningGuard {
         self.calls.set(self.calls.get() + 1);
         self.running.set(self.running.get() + 1);
         self.changed.notify();
-        Running { count: self.running.clone(), changed: self.changed.clone() }
+        RunningGuard { count: self.running.clone(), changed: self.changed.clone() }
     }
 }
 
@@ -262,7 +263,7 @@
                 "test.fault" => Err(PeerFault::refused("ask again tomorrow")),
                 "test.never" => std::future::pending().await,
                 "test.gate" => {
-                    let gate = self.gate.take().expect("the test sets one gate for each call");
+                    let gate = self.gate.take().expect("the test must set a gate for each call");
                     gate.await.map(|()| body).map_err(PeerFault::internal)
                 }
                 _ => Err(PeerFault::unknown_method(method)),
