--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -80,7 +80,10 @@
 
     /// Creates a [`FaultKind::Cancelled`] fault.
     pub fn cancelled() -> Self {
-        Self::new(FaultKind::Cancelled, "the caller went away while it was answered")
+        Self::new(
+            FaultKind::Cancelled,
+            "the caller abandoned the call before the reply was complete",
+        )
     }
 }
 
--- a/crates/peer/src/fake/serve.rs
+++ b/crates/peer/src/fake/serve.rs
@@ -37,12 +37,12 @@
 /// Receiver of a reply. Dropping it cancels the handler.
 pub(super) struct ReplyConsumer {
     items: mpsc::Receiver<ReplyItem>,
-    _alive: oneshot::Receiver<()>,
+    _drop_guard: oneshot::Receiver<()>,
 }
 
 impl ReplyConsumer {
-    /// Waits until the next item is due and returns it. Returns `None` if the serving process is
-    /// gone.
+    /// Waits until the next item is due and returns it. Returns `None` if the serving process was
+    /// killed or has cancelled the reply.
     pub(super) async fn next(&mut self, clock: &dyn Clock) -> Option<ReplyItem> {
         let item = self.items.next().await?;
         clock.sleep(item.due.since(clock.now())).await;
@@ -53,14 +53,17 @@
 /// Sender of a reply.
 pub(super) struct ReplyProducer {
     items: mpsc::Sender<ReplyItem>,
-    alive: oneshot::Sender<()>,
+    consumer_dropped: oneshot::Sender<()>,
 }
 
 /// Creates the channel of a reply.
 pub(super) fn reply_channel() -> (ReplyProducer, ReplyConsumer) {
     let (sender, items) = mpsc::channel(MAX_UNREAD_MESSAGES);
-    let (alive, held) = oneshot::channel();
-    (ReplyProducer { items: sender, alive }, ReplyConsumer { items, _alive: held })
+    let (consumer_dropped, drop_guard) = oneshot::channel();
+    (
+        ReplyProducer { items: sender, consumer_dropped },
+        ReplyConsumer { items, _drop_guard: drop_guard },
+    )
 }
 
 /// Call in transit to its handler.
@@ -93,13 +96,13 @@
     }
 
     async fn run(self, delay: Duration, producer: ReplyProducer) {
-        let ReplyProducer { items, mut alive } = producer;
+        let ReplyProducer { items, mut consumer_dropped } = producer;
         let items = Rc::new(RefCell::new(items));
         let network = self.network.clone();
         let clock = Rc::clone(&self.target.context.clock);
         let writer = FakeWriter { call: Rc::new(self), items, lost: Rc::default() };
         let cancelled = async {
-            alive.cancellation().await;
+            consumer_dropped.cancellation().await;
             clock.sleep(network.cancel_delay()).await;
         };
         select(pin!(serve(writer, delay)), pin!(cancelled)).await;
--- a/crates/peer/src/notice.rs
+++ b/crates/peer/src/notice.rs
@@ -3,8 +3,8 @@
 //!
 //! They carry short-lived information whose loss is harmless. A call takes four system calls and
 //! two tasks; a notice takes one system call on each side. Sending placements to 21 other gateways
-//! as calls used half of a gateway's CPU time (139.7 s of CPU time in a replayed day, against 68.3
-//! s without sending them).
+//! as calls used half of a gateway's CPU time (139.7 s in a replayed day, against 68.3 s without
+//! sending them).
 //!
 //! A notice carries an HMAC-SHA-256 over the cluster name and the body, keyed with the peer secret.
 //! There is no replay protection: an attacker on the network can resend an old notice, so handlers
--- a/crates/peer/src/pool/delay.rs
+++ b/crates/peer/src/pool/delay.rs
@@ -48,7 +48,7 @@
 /// Message that waits for its delay to pass.
 struct QueuedMessage {
     due: MonotonicTime,
-    released: oneshot::Sender<()>,
+    delivery: oneshot::Sender<()>,
 }
 
 /// Delay queue of one direction of a link.
@@ -66,9 +66,9 @@
         context: &ProcessContext,
         closed: Signal,
     ) -> Rc<Self> {
-        let (messages, waiting) = mpsc::unbounded();
+        let (messages, queued) = mpsc::unbounded();
         let clock = context.clock.clone();
-        let delivering = deliver_messages(waiting, address, link.clone(), clock.clone(), closed);
+        let delivering = deliver_messages(queued, address, link.clone(), clock.clone(), closed);
         context.spawner.spawn(Box::pin(delivering));
         Rc::new(Self { address, link, clock, messages })
     }
@@ -76,10 +76,10 @@
     /// Adds a message to the queue. The returned receiver completes when the message is delivered,
     /// and fails if the queue is closed first.
     fn enqueue(&self) -> oneshot::Receiver<()> {
-        let (released, leaving) = oneshot::channel();
+        let (delivery, delivered) = oneshot::channel();
         let due = self.clock.now() + self.link.one_way_delay(self.address);
-        let _ = self.messages.unbounded_send(QueuedMessage { due, released });
-        leaving
+        let _ = self.messages.unbounded_send(QueuedMessage { due, delivery });
+        delivered
     }
 
     /// Adds a message to the queue and waits until it is delivered.
@@ -93,13 +93,13 @@
 /// gracefully has sent its last replies completely. They are lost only if a partition still holds
 /// them back after the session has ended.
 async fn deliver_messages(
-    mut waiting: mpsc::UnboundedReceiver<QueuedMessage>,
+    mut queued: mpsc::UnboundedReceiver<QueuedMessage>,
     address: SocketAddr,
     link: Rc<dyn LinkPolicy>,
     clock: Rc<dyn Clock>,
     closed: Signal,
 ) {
-    while let Some(message) = waiting.next().await {
+    while let Some(message) = queued.next().await {
         let wait = message.due.since(clock.now());
         if !wait.is_zero() {
             clock.sleep(wait).await;
@@ -108,7 +108,7 @@
         if let Either::Right(_) = select(healed, pin!(closed.raised())).await {
             return;
         }
-        let _ = message.released.send(());
+        let _ = message.delivery.send(());
     }
 }
 
@@ -149,7 +149,7 @@
     closed: impl Fn() -> PeerError + Clone + 'static,
 ) -> PeerStream {
     let (mut sender, receiver) = mpsc::channel(MAX_IN_FLIGHT_MESSAGES);
-    let (alive, dropped) = oneshot::channel::<()>();
+    let (drop_guard, dropped) = oneshot::channel::<()>();
     let reading = async move {
         while let Some(item) = messages.next().await {
             let failed = item.is_err();
@@ -162,17 +162,17 @@
     context.spawner.spawn(Box::pin(async move {
         select(pin!(reading), dropped).await;
     }));
-    PeerStream::new(stream::unfold((receiver, alive), move |(mut receiver, alive)| {
+    PeerStream::new(stream::unfold((receiver, drop_guard), move |(mut receiver, drop_guard)| {
         let closed = closed.clone();
         async move {
             let arrived = match receiver.next().await {
-                Some((leaving, item)) => leaving.await.map(|()| item),
+                Some((delivered, item)) => delivered.await.map(|()| item),
                 None => Err(oneshot::Canceled),
             };
             // A partition that outlives the session drops its last messages; the reader gets an
             // error instead of waiting forever.
             let item = arrived.unwrap_or_else(|_| Some(Err(closed())));
-            item.map(|item| (item, (receiver, alive)))
+            item.map(|item| (item, (receiver, drop_guard)))
         }
     }))
 }
--- a/crates/peer/src/pool/dial.rs
+++ b/crates/peer/src/pool/dial.rs
@@ -48,13 +48,13 @@
 #[derive(Debug, Snafu)]
 enum DialError {
     #[snafu(display("{reason}"))]
-    Lost { reason: String },
+    ConnectionLost { reason: String },
     #[snafu(context(false), display("{source}"))]
     Refused { source: SessionRefusal },
 }
 
 fn connection_lost(reason: impl Display) -> DialError {
-    DialError::Lost { reason: reason.to_string() }
+    DialError::ConnectionLost { reason: reason.to_string() }
 }
 
 /// Establishes a session with the process at `address` and starts its task.
@@ -71,7 +71,7 @@
     };
     match outcome {
         Ok(dialed) => Ok(ClientSession::start(address, dialed, shared)),
-        Err(DialError::Lost { reason }) => Err(PeerError::Connect { address, reason }),
+        Err(DialError::ConnectionLost { reason }) => Err(PeerError::Connect { address, reason }),
         Err(DialError::Refused { source }) => Err(PeerError::Refused { address, refusal: source }),
     }
 }
@@ -79,15 +79,15 @@
 /// Hedged connect: starts a further attempt every [`HEDGE_DELAY`] while none has succeeded, and
 /// returns the first success.
 ///
-/// TCP retransmits a SYN that was lost, or sent to a VM without power, only after 1 s.
-/// After a power loss in all regions, a single attempt left gateways without a session to the
-/// control process on their VM for 0.8 s after that process had started.
+/// TCP retransmits a SYN that was lost, or sent to a VM without power, only after 1 s. After a
+/// power loss in all regions, a single attempt left gateways without a session to the control
+/// process on their VM for 0.8 s after that process had started.
 async fn connect_hedged(address: SocketAddr, shared: &PoolShared) -> Result<DialedPeer, DialError> {
     let mut attempts = FuturesUnordered::new();
     loop {
         attempts.push(connect(address, shared));
         let mut failure = None;
-        let ended = timeout(&*shared.context.clock, HEDGE_DELAY, async {
+        let attempts_result = timeout(&*shared.context.clock, HEDGE_DELAY, async {
             while let Some(outcome) = attempts.next().await {
                 match outcome {
                     Ok(dialed) => return Some(dialed),
@@ -96,7 +96,7 @@
             }
             None
         });
-        match (ended.await, failure) {
+        match (attempts_result.await, failure) {
             (Some(Some(dialed)), _) => return Ok(dialed),
             // All attempts have failed. The caller applies the backoff.
             (Some(None), Some(error)) => return Err(error),
--- a/crates/peer/src/pool/reply.rs
+++ b/crates/peer/src/pool/reply.rs
@@ -89,9 +89,9 @@
         }
         match &mut self.state {
             ReplyState::Reading(reader) => {
-                decode_reply_frame(reader.expect("with the end of the reply").await?)
+                decode_reply_frame(reader.next_required("with the trailer of the reply").await?)
             }
-            ReplyState::Waiting(_) => unreachable!("the response has come"),
+            ReplyState::Waiting(_) => unreachable!("the response has been received"),
         }
     }
 
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -133,14 +133,14 @@
     /// Serves until the server is stopped and the last session has ended.
     pub async fn run(self) {
         let Self { listener, shared, handle, signals, finished, .. } = self;
-        let (running, mut ended) = mpsc::channel::<()>(0);
+        let (session_guard, mut sessions_ended) = mpsc::channel::<()>(0);
         {
-            let accepting = accept_sessions(listener, shared, &signals, running);
+            let accepting = accept_sessions(listener, shared, &signals, session_guard);
             let stop = pin!(signals.stop.raised());
             let abort = pin!(signals.abort.raised());
             select(pin!(accepting), select(stop, abort)).await;
         }
-        while ended.next().await.is_some() {}
+        while sessions_ended.next().await.is_some() {}
         finished.raise();
         // Dropping a signal source raises its signal, so the handle must outlive the sessions.
         drop(handle);
@@ -151,14 +151,14 @@
     listener: TcpListener,
     shared: Rc<ServerShared>,
     signals: &ServerSignals,
-    running: mpsc::Sender<()>,
+    session_guard: mpsc::Sender<()>,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let session =
                     ServerSession { shared: shared.clone(), stop: signals.stop.clone(), from };
-                start_session(session, stream, signals.abort.clone(), running.clone());
+                start_session(session, stream, signals.abort.clone(), session_guard.clone());
             }
             Err(_) => shared.context.clock.sleep(ACCEPT_RETRY_DELAY).await,
         }
@@ -169,13 +169,13 @@
     session: ServerSession,
     stream: TcpStream,
     abort: Signal,
-    running: mpsc::Sender<()>,
+    session_guard: mpsc::Sender<()>,
 ) {
     let spawner = session.shared.context.spawner.clone();
     spawner.spawn(Box::pin(async move {
         {
             select(pin!(session.run(stream)), pin!(abort.raised())).await;
         }
-        drop(running);
+        drop(session_guard);
     }));
 }
--- a/crates/peer/src/server/reply.rs
+++ b/crates/peer/src/server/reply.rs
@@ -78,8 +78,8 @@
 
     async fn read_call(&self, body: RecvStream) -> Result<(CallHeader, Bytes), FrameError> {
         let mut reader = FrameReader::new(body, self.shared.config.message_limit);
-        let header = reader.next_as::<CallHeader>("with the head of the call").await?;
-        let body = reader.expect("with the body of the call").await?;
+        let header = reader.next_as::<CallHeader>("with the header of the call").await?;
+        let body = reader.next_required("with the body of the call").await?;
         Ok((header, body))
     }
 }
@@ -101,7 +101,7 @@
 }
 
 impl ReplyWriter {
-    async fn message(&self, message: Bytes) -> Result<(), PeerFault> {
+    async fn send_message(&self, message: Bytes) -> Result<(), PeerFault> {
         let mut bytes = BytesMut::new();
         self.put_message(message, &mut bytes)?;
         self.write(bytes.freeze(), false).await
@@ -177,6 +177,6 @@
 
 impl ReplySender for WireSender {
     fn send(&mut self, message: Bytes) -> LocalFuture<'_, Result<(), PeerFault>> {
-        Box::pin(self.writer.message(message))
+        Box::pin(self.writer.send_message(message))
     }
 }
--- a/crates/peer/src/transport.rs
+++ b/crates/peer/src/transport.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Runs `calling` with a time limit. On a timeout, `sent` tells whether bytes of the call may have
-/// been sent.
+/// Runs `calling` with a time limit. On a timeout, `sent` is true if bytes of the call may
+/// have been sent.
 pub(crate) async fn call_with_limit(
     clock: &dyn Clock,
     address: SocketAddr,
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -167,7 +167,10 @@
     }
 
     /// Returns the next frame, or an error naming `expected` if the stream has ended.
-    pub(crate) async fn expect(&mut self, expected: &'static str) -> Result<Bytes, FrameError> {
+    pub(crate) async fn next_required(
+        &mut self,
+        expected: &'static str,
+    ) -> Result<Bytes, FrameError> {
         self.next().await?.ok_or(FrameError::Missing { expected })
     }
 
@@ -176,6 +179,6 @@
         &mut self,
         expected: &'static str,
     ) -> Result<T, FrameError> {
-        Ok(decode(&self.expect(expected).await?)?)
+        Ok(decode(&self.next_required(expected).await?)?)
     }
 }
--- a/crates/peer/tests/fake.rs
+++ b/crates/peer/tests/fake.rs
@@ -29,7 +29,7 @@
 struct EchoHandler {
     context: ProcessContext,
     runs: Cell<u32>,
-    ended: Rc<Cell<u32>>,
+    ended_count: Rc<Cell<u32>>,
 }
 
 struct EndGuard(Rc<Cell<u32>>);
@@ -48,7 +48,7 @@
         body: Bytes,
     ) -> LocalFuture<'a, Result<Bytes, PeerFault>> {
         Box::pin(async move {
-            let _ended = EndGuard(self.ended.clone());
+            let _ended = EndGuard(self.ended_count.clone());
             self.runs.set(self.runs.get() + 1);
             if method == "echo.slow" {
                 self.context.clock.sleep(Duration::from_secs(1)).await;
@@ -65,7 +65,7 @@
         mut reply: PeerReplySink,
     ) -> LocalFuture<'a, Result<(), PeerFault>> {
         Box::pin(async move {
-            let _ended = EndGuard(self.ended.clone());
+            let _ended = EndGuard(self.ended_count.clone());
             for index in 0..body.len() {
                 reply.send(body.slice(index..=index)).await?;
             }
@@ -93,7 +93,7 @@
     let handler = Rc::new(EchoHandler {
         context: server.context().clone(),
         runs: Cell::new(0),
-        ended: Rc::default(),
+        ended_count: Rc::default(),
     });
     let network = FakeNetwork::new(policy);
     let caller = node(1, &context);
@@ -220,17 +220,17 @@
         stream
     };
     let dropped = pair.world.run_until(open());
-    assert_eq!(pair.handler.ended.get(), 0);
+    assert_eq!(pair.handler.ended_count.get(), 0);
     drop(dropped);
     pair.world.run_for(DELAY);
-    assert_eq!(pair.handler.ended.get(), 1);
+    assert_eq!(pair.handler.ended_count.get(), 1);
 
     let mut broken = pair.world.run_until(open());
     pair.server.kill();
     pair.network.leave(address(2));
     let item = pair.world.run_until(broken.next());
     assert!(matches!(item, Some(Err(PeerError::Broken { sent: true, .. }))), "{item:?}");
-    assert_eq!(pair.handler.ended.get(), 2);
+    assert_eq!(pair.handler.ended_count.get(), 2);
 }
 
 #[test]
--- a/crates/peer/tests/nothing_sent.rs
+++ b/crates/peer/tests/nothing_sent.rs
@@ -220,8 +220,8 @@
     let outer = TcpStream::connect_addr(target).await.unwrap();
     let (inner_read, inner_write) = monoio::io::Splitable::into_split(inner);
     let (outer_read, outer_write) = monoio::io::Splitable::into_split(outer);
-    let there = copy_and_record(inner_read, outer_write, record.clone());
-    futures::join!(there, copy_and_record(outer_read, inner_write, record));
+    let outgoing = copy_and_record(inner_read, outer_write, record.clone());
+    futures::join!(outgoing, copy_and_record(outer_read, inner_write, record));
 }
 
 async fn copy_and_record(
--- a/crates/peer/tests/notices.rs
+++ b/crates/peer/tests/notices.rs
@@ -18,9 +18,9 @@
 fn start_receiver(config: &PeerConfig) -> (SocketAddr, Rc<RefCell<Vec<Vec<u8>>>>) {
     let socket = bind_socket(config);
     let received: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
-    let kept = Rc::clone(&received);
+    let recorded = Rc::clone(&received);
     let address = socket.local_addr();
-    monoio::spawn(socket.run(Rc::new(move |body| kept.borrow_mut().push(body.to_vec()))));
+    monoio::spawn(socket.run(Rc::new(move |body| recorded.borrow_mut().push(body.to_vec()))));
     (address, received)
 }
 
@@ -33,9 +33,9 @@
     block_on(async {
         let (first, received_first) = start_receiver(&config("a"));
         let (second, received_second) = start_receiver(&config("b"));
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
         let sender = bind_socket(&config("c"));
-        sender.notify(&[first, nobody, second], b"one");
+        sender.notify(&[first, unused_address, second], b"one");
         sender.notify(&[second], &[7; MAX_NOTICE_BYTES]);
         wait_for_delivery().await;
         assert_eq!(*received_first.borrow(), [b"one".to_vec()]);
--- a/crates/peer/tests/sessions.rs
+++ b/crates/peer/tests/sessions.rs
@@ -322,11 +322,11 @@
             monoio::time::sleep(backoff).await;
         }
         let lines = [dialed.lines(), served.lines()].concat();
-        let begins = |text: &str| lines.iter().any(|line| line.starts_with(text));
+        let has_line = |text: &str| lines.iter().any(|line| line.starts_with(text));
         let connected = format!("peer.connected peer=b peer_region=puget address={address}");
-        assert!(begins(&connected), "{lines:?}");
-        assert!(begins("peer.accepted peer=a peer_region=puget incarnation=1"), "{lines:?}");
-        assert!(begins("peer.left peer=a"), "{lines:?}");
+        assert!(has_line(&connected), "{lines:?}");
+        assert!(has_line("peer.accepted peer=a peer_region=puget incarnation=1"), "{lines:?}");
+        assert!(has_line("peer.left peer=a"), "{lines:?}");
         let other_cluster_pool =
             support::pool(support::config_of("c", "pipeline", "a secret for tests only"));
         let server = serve(config("b").events(served.clone()), Rc::new(TestHandler::default()));
