--- a/crates/backend/tests/membership/relay.rs
+++ b/crates/backend/tests/membership/relay.rs
@@ -56,7 +56,7 @@
         let cluster = TestCluster::new(3, *size);
         cluster.renew(1, 1..4);
         for other in (0..*size).filter(|other| ![1, 2].contains(other)) {
-            cluster.link.cut(cluster.nodes[1].address, cluster.nodes[other].address);
+            cluster.link.partition(cluster.nodes[1].address, cluster.nodes[other].address);
         }
         let relay = cluster.nodes[1].relay.clone();
         let context = cluster.nodes[1].process.context().clone();
@@ -157,7 +157,7 @@
         cluster.renew(2, 1..4);
         for near in [0, 1] {
             for far in 2..*size {
-                cluster.link.cut(cluster.nodes[near].address, cluster.nodes[far].address);
+                cluster.link.partition(cluster.nodes[near].address, cluster.nodes[far].address);
             }
         }
         cluster.run_millis(5_000);
--- a/crates/control/tests/support/schedule.rs
+++ b/crates/control/tests/support/schedule.rs
@@ -8,7 +8,7 @@
     },
     futures::channel::oneshot,
     gullglade_control::{ChangeOutcome, ChangeRequest, ControlNode, LogIndex},
-    gullglade_peer::fake::{FakePolicy, MessageFate, MessageLeg, MessagePath},
+    gullglade_peer::fake::{FakePolicy, MessageAction, MessageDirection, MessagePath},
     gullglade_units::{MonotonicTime, ProcessContext, RandomSource, SeededRandom, timeout},
     std::{
         cell::{Cell, RefCell},
@@ -56,22 +56,22 @@
 }
 
 impl FakePolicy for FaultyLink {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         if !self.is_faulty.get() {
-            return MessageFate::Deliver(self.delay);
+            return MessageAction::Deliver(self.delay);
         }
         if self.cut.borrow().contains(&(path.from, path.to)) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
         let draw = self.random.below(1_000);
         if draw < self.losses {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
-        if draw < self.losses + self.duplicates && path.leg == MessageLeg::Request {
+        if draw < self.losses + self.duplicates && path.direction == MessageDirection::Request {
             let second_delay = Duration::from_millis(self.random.below(MAX_DUPLICATE_DELAY_MS));
-            return MessageFate::Duplicate(self.delay(), second_delay);
+            return MessageAction::Duplicate(self.delay(), second_delay);
         }
-        MessageFate::Deliver(self.delay())
+        MessageAction::Deliver(self.delay())
     }
 }
 
--- a/crates/proxy/src/hints.rs
+++ b/crates/proxy/src/hints.rs
@@ -10,7 +10,7 @@
     crate::{Dispatcher, notice::encode_hints},
     gullglade_dispatch::{BackendHint, RequestUpdate},
     gullglade_fleet::FleetFollower,
-    gullglade_peer::{NOTICE_LIMIT, NoticeSender},
+    gullglade_peer::{MAX_NOTICE_BYTES, NoticeSender},
     gullglade_units::{MonotonicTime, ProcessContext},
     std::{
         cell::{Cell, RefCell},
@@ -113,10 +113,10 @@
     }
 }
 
-/// Encodes `hints` into as many notices as are needed to stay within [`NOTICE_LIMIT`].
+/// Encodes `hints` into as many notices as are needed to stay within [`MAX_NOTICE_BYTES`].
 fn encode_notices(hints: &[BackendHint]) -> Vec<Vec<u8>> {
     let body = encode_hints(hints);
-    if body.len() <= NOTICE_LIMIT {
+    if body.len() <= MAX_NOTICE_BYTES {
         return vec![body];
     }
     match hints {
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -42,7 +42,7 @@
     let clock = bed.clock();
     let cut = async {
         clock.sleep(ms(cut_after)).await;
-        bed.link.cut(address(2), address(3));
+        bed.link.partition(address(2), address(3));
     };
     let (response, ()) = bed.world.run_until(join(fetch(bed.proxy(), bed.request()), cut));
     response
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -255,7 +255,7 @@
         let clock = bed.clock();
         let cut = async {
             clock.sleep(ms(cut_after)).await;
-            bed.link.cut(support::address(2), support::address(3));
+            bed.link.partition(support::address(2), support::address(3));
         };
         let (response, ()) = bed.world.run_until(join(fetch(bed.proxy(), bed.request()), cut));
         let got = (response.is_incomplete, response.body.as_str());
--- a/crates/proxy/tests/simulation/links.rs
+++ b/crates/proxy/tests/simulation/links.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Window,
-    gullglade_peer::fake::{FakePolicy, MessageFate, MessageLeg, MessagePath},
+    gullglade_peer::fake::{FakePolicy, MessageAction, MessageDirection, MessagePath},
     gullglade_units::{Clock, MonotonicTime, RandomSource, SeededRandom},
     std::{
         cell::{Cell, RefCell},
@@ -65,30 +65,30 @@
 }
 
 impl FakePolicy for SimulatedLinks {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         let (Some(from), Some(to)) = (gateway(path.from), gateway(path.to)) else {
-            return MessageFate::Deliver(self.default_delay);
+            return MessageAction::Deliver(self.default_delay);
         };
         if from % 2 == to % 2 {
-            return MessageFate::Deliver(LOCAL_DELAY);
+            return MessageAction::Deliver(LOCAL_DELAY);
         }
-        if path.method == FORWARD && path.leg == MessageLeg::Request {
+        if path.method == FORWARD && path.direction == MessageDirection::Request {
             self.forward_count.set(self.forward_count.get() + 1);
         }
         let Some(now) = self.clock.borrow().as_ref().map(|clock| clock.now()) else {
-            return MessageFate::Deliver(self.default_delay);
+            return MessageAction::Deliver(self.default_delay);
         };
         let fault = self.faults.iter().find(|(window, _)| window.contains(&now));
         let is_lost = match fault {
-            Some((_, LinkFault::Slow(delay))) => return MessageFate::Deliver(*delay),
+            Some((_, LinkFault::Slow(delay))) => return MessageAction::Deliver(*delay),
             Some((_, LinkFault::Cut)) => true,
             Some((_, LinkFault::Lossy(per_mille))) => self.random.below(1_000) < *per_mille,
             None => false,
         };
         if !is_lost {
-            return MessageFate::Deliver(self.default_delay);
+            return MessageAction::Deliver(self.default_delay);
         }
         self.lost.borrow_mut().push((now, from.min(to), from.max(to)));
-        MessageFate::Drop
+        MessageAction::Drop
     }
 }
