--- a/crates/dispatch/src/caller_deadline.rs
+++ b/crates/dispatch/src/caller_deadline.rs
@@ -16,13 +16,13 @@
 const MARGIN_DIVISOR: u32 = 6;
 
 /// Returns when the answer to a request has to begin that has to end by `deadline`.
-/// `event_patience` is the time for which the caller waits for an event of a stream.
+/// `event_timeout` is the time for which the caller waits for an event of a stream.
 pub fn deadline_for_first_byte(
     arrived: MonotonicTime,
     deadline: MonotonicTime,
-    event_patience: Option<Duration>,
+    event_timeout: Option<Duration>,
 ) -> MonotonicTime {
-    let Some(patience) = event_patience else { return deadline };
+    let Some(patience) = event_timeout else { return deadline };
     let margin = CANCEL_MARGIN.min(patience / MARGIN_DIVISOR);
     deadline.min(arrived + (patience - margin))
 }
--- a/crates/dispatch/src/scheduler/place.rs
+++ b/crates/dispatch/src/scheduler/place.rs
@@ -233,13 +233,13 @@
 
     pub(super) fn is_cold(&self, backend: &Backend, now: MonotonicTime) -> bool {
         let Some(service) = self.services.get(&backend.info.service) else { return false };
-        if service.cold.requests_per_second <= 0.0 {
+        if service.warmup.requests_per_second <= 0.0 {
             return false;
         }
         // The backend servers of a formerly evacuated failure domain may have become cold
         // meanwhile, which only their next announcement will tell.
         let returned = self.returned.get(&backend.info.domain);
-        let may_be_cold = returned.is_some_and(|at| now.since(*at) < service.cold.duration);
+        let may_be_cold = returned.is_some_and(|at| now.since(*at) < service.warmup.duration);
         now < backend.info.cold_until || may_be_cold
     }
 
@@ -271,8 +271,9 @@
         }
         let service = self.services.get(&backend.info.service)?;
         let SchedulerSettings { cold_rate_factor, cold_rate_slack, .. } = &self.settings;
-        let bound =
-            RateBound::cold(service.cold.requests_per_second * cold_rate_factor + cold_rate_slack);
+        let bound = RateBound::cold(
+            service.warmup.requests_per_second * cold_rate_factor + cold_rate_slack,
+        );
         let position = self.gateways.position(&backend.info.name, now);
         let next = self.next_send(backend, &bound, position, now).unwrap_or(now + COLD_RECHECK);
         (next > now).then_some(next)
--- a/crates/dispatch/tests/support/deployment.rs
+++ b/crates/dispatch/tests/support/deployment.rs
@@ -7,7 +7,7 @@
         simulation::Simulation,
     },
     gullglade_dispatch::{BackendInfo, Scheduler, SchedulerSettings},
-    gullglade_traffic::{ColdRules, EngineProfile, RequestKind, ServicePool, TrafficRoute},
+    gullglade_traffic::{EngineProfile, RequestKind, ServicePool, TrafficRoute, WarmupRules},
     gullglade_units::Incarnation,
     std::{collections::BTreeSet, fmt, rc::Rc, time::Duration},
 };
@@ -133,7 +133,7 @@
             name: service("pool"),
             health_path: "/health".to_owned(),
             connection_limit: 100_000,
-            cold: ColdRules { duration: Duration::from_secs(3), requests_per_second: 3.6 },
+            warmup: WarmupRules { duration: Duration::from_secs(3), requests_per_second: 3.6 },
             engine: Some(EngineProfile {
                 slots: self.engine.slots as u32,
                 memory_tokens: self.engine.memory_tokens,
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -16,7 +16,7 @@
         PromptShape, RegionInfo, RequestUpdate, Scheduler, SchedulerSettings, StatedLimit,
         TicketId, WorkItem, WorkOutcome,
     },
-    gullglade_traffic::{ColdRules, EngineProfile, RequestKind, ServicePool, TrafficRoute},
+    gullglade_traffic::{EngineProfile, RequestKind, ServicePool, TrafficRoute, WarmupRules},
     gullglade_units::{
         BackendName, BackendRun, FailureDomain, Incarnation, MonotonicTime, RandomSource,
         RegionName, SeededRandom, ServiceName, VmName,
@@ -121,7 +121,10 @@
         name: service("pool"),
         health_path: "/health".to_owned(),
         connection_limit: 1_000,
-        cold: ColdRules { duration: Duration::from_secs(3), requests_per_second: cold_per_second },
+        warmup: WarmupRules {
+            duration: Duration::from_secs(3),
+            requests_per_second: cold_per_second,
+        },
         engine: Some(EngineProfile {
             slots: 32,
             memory_tokens: 470_000,
@@ -144,7 +147,7 @@
         max_attempts: 2,
         has_affinity: true,
         gap_objective: None,
-        event_patience: None,
+        event_timeout: None,
         homes: Vec::new(),
         is_public: false,
     })
--- a/crates/document/src/check.rs
+++ b/crates/document/src/check.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        BackendRules, DocumentError, IdempotencyRule, LatencyTarget, ModelUse, PlainUse,
+        BackendRules, DocumentError, IdempotencyRule, LatencyTarget, ModelUse, PlainServiceUse,
         RequestLimits, ServiceDocument, WorkspaceRules,
         raw::{RawDocument, RawLimits, RawRule, RawTarget, RawWorkspace},
     },
@@ -42,7 +42,7 @@
         .into_iter()
         .map(|p| {
             let regions = checker.subset("plain_services.regions", p.regions, &raw.regions)?;
-            Ok(PlainUse { name: p.name, regions })
+            Ok(PlainServiceUse { name: p.name, regions })
         })
         .collect::<Result<Vec<_>, _>>()?;
     let non_idempotent = raw
@@ -88,7 +88,7 @@
         reason: impl Display,
         remedy: impl Display,
     ) -> Result<T, DocumentError> {
-        Err(DocumentError::Impossible {
+        Err(DocumentError::InvalidValue {
             line: self.line(at),
             key,
             reason: reason.to_string(),
--- a/crates/document/src/document.rs
+++ b/crates/document/src/document.rs
@@ -24,7 +24,7 @@
     /// Models callers may use.
     pub models: Vec<ModelUse>,
     /// Plain services callers may use.
-    pub plain_services: Vec<PlainUse>,
+    pub plain_services: Vec<PlainServiceUse>,
     /// Which requests are non-idempotent.
     pub non_idempotent: Vec<IdempotencyRule>,
     /// How backend servers join and retire.
@@ -48,7 +48,7 @@
 
 /// A plain service and where it may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlainUse {
+pub struct PlainServiceUse {
     /// Its name, as in `/services/{name}/`.
     pub name: ServiceName,
     /// A subset of the service's regions.
--- a/crates/document/src/error.rs
+++ b/crates/document/src/error.rs
@@ -24,7 +24,7 @@
     },
     /// The values do not go together.
     #[snafu(display("line {line}: {key}: {reason}; {remedy}"))]
-    Impossible {
+    InvalidValue {
         /// Line of the text, from 1, where the key or value first stands.
         line: usize,
         /// The key at fault.
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -12,8 +12,8 @@
 mod view;
 
 pub use document::{
-    BackendRules, IdempotencyRule, LatencyTarget, ModelUse, PlainUse, Priority, RequestLimits,
-    ServiceDocument, ServiceTarget, WorkspaceRules,
+    BackendRules, IdempotencyRule, LatencyTarget, ModelUse, PlainServiceUse, Priority,
+    RequestLimits, ServiceDocument, ServiceTarget, WorkspaceRules,
 };
 pub use error::DocumentError;
 pub use gullglade_units::TokenHash;
--- a/crates/document/tests/document.rs
+++ b/crates/document/tests/document.rs
@@ -149,7 +149,7 @@
         assert_ne!(text, BALLAST, "{}: the example no longer holds {:?}", case.name, case.find);
         let error = ServiceDocument::try_from(text.as_str()).expect_err(case.name);
         let line = match &error {
-            DocumentError::Syntax { line, .. } | DocumentError::Impossible { line, .. } => *line,
+            DocumentError::Syntax { line, .. } | DocumentError::InvalidValue { line, .. } => *line,
             DocumentError::TooLong { .. } => panic!("{}: {error}", case.name),
         };
         let at = text.lines().nth(line - 1).unwrap();
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -9,8 +9,8 @@
     },
     gullglade_poison::CrashNews,
     gullglade_traffic::{
-        CallerLimits, ColdRules, RawRoute, RawService, RawTraffic, RequestKind, TrafficError,
-        TrafficFormat,
+        CallerLimits, RawRoute, RawService, RawTraffic, RequestKind, TrafficError, TrafficFormat,
+        WarmupRules,
     },
     gullglade_units::{
         BackendName, BootTime, FailureDomain, Incarnation, MonotonicTime, RegionName, ServiceName,
@@ -77,14 +77,13 @@
 impl TrafficFormat for DigitFormat {
     fn read(&self, text: &[u8]) -> Result<RawTraffic, TrafficError> {
         let text = String::from_utf8_lossy(text);
-        let version = text
-            .parse()
-            .map_err(|_| TrafficError::Unreadable { reason: "no digits".to_owned() })?;
+        let version =
+            text.parse().map_err(|_| TrafficError::Malformed { reason: "no digits".to_owned() })?;
         let service = RawService {
             name: "pool".to_owned(),
             health_path: String::new(),
             connection_limit: 10,
-            cold: ColdRules { duration: Duration::ZERO, requests_per_second: 0.0 },
+            warmup: WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 },
             engine: None,
         };
         let route = RawRoute {
@@ -99,7 +98,7 @@
             max_attempts: 1,
             has_affinity: false,
             gap_objective: None,
-            event_patience: None,
+            event_timeout: None,
             homes: Vec::new(),
             is_public: false,
         };
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -55,7 +55,7 @@
 
 impl TrafficFormat for NoFormat {
     fn read(&self, _text: &[u8]) -> Result<RawTraffic, TrafficError> {
-        Err(TrafficError::Unreadable { reason: "there is none".to_owned() })
+        Err(TrafficError::Malformed { reason: "there is none".to_owned() })
     }
 }
 
--- a/crates/proxy/src/access.rs
+++ b/crates/proxy/src/access.rs
@@ -85,7 +85,7 @@
             return Err(RequestError::NoAccess(AccessDenial::NoContact));
         }
         let key = key.ok_or(RequestError::NoAccess(AccessDenial::NoKey))?;
-        let holder = config.workspaces().holder(key);
+        let holder = config.workspaces().find_by_key(key);
         let workspace = holder.ok_or(RequestError::NoAccess(AccessDenial::UnknownKey))?;
         Ok(Some(Rc::clone(workspace)))
     }
--- a/crates/proxy/src/execution.rs
+++ b/crates/proxy/src/execution.rs
@@ -187,7 +187,7 @@
         let ends = now + left;
         let first_byte_deadline = match request.resume_after {
             Some(_) => ends,
-            None => deadline_for_first_byte(arrived, ends, route.event_patience),
+            None => deadline_for_first_byte(arrived, ends, route.event_timeout),
         };
         let item = WorkItem {
             service,
--- a/crates/proxy/tests/event_timeout.rs
+++ b/crates/proxy/tests/event_timeout.rs
@@ -65,7 +65,7 @@
     ];
     for EventTimeoutCase { name, kind, backends, actions } in cases {
         let settings =
-            BedSettings { backends, event_patience: Some(EVENT_TIMEOUT), ..BedSettings::of(kind) };
+            BedSettings { backends, event_timeout: Some(EVENT_TIMEOUT), ..BedSettings::of(kind) };
         let bed = TestBed::new(&settings);
         let region = usize::from(backends.0 == 0);
         bed.script(region, &actions);
@@ -95,7 +95,7 @@
     for action in [BackendAction::Hang, slow_event()] {
         let settings = BedSettings {
             backends: (0, 1),
-            event_patience: Some(EVENT_TIMEOUT),
+            event_timeout: Some(EVENT_TIMEOUT),
             ..BedSettings::of(ONCE_ONLY)
         };
         let bed = TestBed::new(&settings);
@@ -117,7 +117,7 @@
     for kind in [ONCE_ONLY, RESUMABLE] {
         let settings = BedSettings {
             backends: (1, 0),
-            event_patience: Some(EVENT_TIMEOUT),
+            event_timeout: Some(EVENT_TIMEOUT),
             ..BedSettings::of(kind)
         };
         let bed = TestBed::new(&settings);
--- a/crates/proxy/tests/replacement.rs
+++ b/crates/proxy/tests/replacement.rs
@@ -6,7 +6,7 @@
     futures::future::{join, join_all},
     gullglade_dispatch::{BackendInfo, Decision, Scheduler, SchedulerSettings, TicketId, WorkItem},
     gullglade_proxy::{CallerRequest, CallerRequestId},
-    gullglade_traffic::{ColdRules, RequestKind, ServicePool, TrafficRoute},
+    gullglade_traffic::{RequestKind, ServicePool, TrafficRoute, WarmupRules},
     gullglade_units::{
         BackendName, FailureDomain, Incarnation, MonotonicTime, RegionName, ServiceName, VmName,
     },
@@ -298,7 +298,7 @@
         name: service.clone(),
         health_path: String::new(),
         connection_limit: 100,
-        cold: ColdRules { duration: Duration::ZERO, requests_per_second: 0.0 },
+        warmup: WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 },
         engine: None,
     };
     scheduler.set_configuration([Rc::new(pool)], &Rc::new(BTreeSet::new()), now(0));
@@ -337,7 +337,7 @@
         max_attempts: 2,
         has_affinity: false,
         gap_objective: Some(ms(300)),
-        event_patience: None,
+        event_timeout: None,
         homes: vec![],
         is_public: true,
     };
--- a/crates/proxy/tests/support/configuration.rs
+++ b/crates/proxy/tests/support/configuration.rs
@@ -5,8 +5,8 @@
     bytes::Bytes,
     gullglade_fleet::{TrafficSnapshot, TrafficSource},
     gullglade_traffic::{
-        CallerLimits, ColdRules, RawRoute, RawService, RawTraffic, RawWorkspace, RequestKind,
-        TrafficError, TrafficFormat,
+        CallerLimits, RawRoute, RawService, RawTraffic, RawWorkspace, RequestKind, TrafficError,
+        TrafficFormat, WarmupRules,
     },
     gullglade_units::LocalFuture,
     std::{cell::Cell, collections::BTreeSet, net::SocketAddr, time::Duration},
@@ -17,7 +17,7 @@
     pub(super) kind: RequestKind,
     pub(super) timeout: Duration,
     pub(super) objective: Duration,
-    pub(super) event_patience: Option<Duration>,
+    pub(super) event_timeout: Option<Duration>,
     /// Timeout in versions after the first.
     pub(super) later_timeout: Option<Duration>,
     pub(super) homes: Vec<String>,
@@ -38,7 +38,7 @@
             name: "pool".to_owned(),
             health_path: String::new(),
             connection_limit: 100,
-            cold: ColdRules { duration: Duration::ZERO, requests_per_second: 0.0 },
+            warmup: WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 },
             engine: None,
         };
         let route = RawRoute {
@@ -53,7 +53,7 @@
             max_attempts: self.max_attempts,
             has_affinity: false,
             gap_objective: Some(Duration::from_millis(300)),
-            event_patience: self.event_patience,
+            event_timeout: self.event_timeout,
             homes: self.homes.clone(),
             is_public: self.is_public,
         };
@@ -62,7 +62,7 @@
             prefix: prefix.to_owned(),
             kind: RequestKind::Idempotent,
             gap_objective: None,
-            event_patience: None,
+            event_timeout: None,
             ..route.clone()
         });
         let limits = CallerLimits {
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -32,7 +32,7 @@
         CallerRequest, CallerRequestId, Dispatcher, ForwardServer, Proxy, ProxyParts,
     },
     gullglade_quota::QuotaTolerance,
-    gullglade_traffic::{ColdRules, RawWorkspace, RequestKind},
+    gullglade_traffic::{RawWorkspace, RequestKind, WarmupRules},
     gullglade_units::{
         BackendName, Clock, FailureDomain, HybridClock, Incarnation, MonotonicTime, ProcessContext,
         RegionName, ServiceName, VmName,
@@ -78,7 +78,7 @@
     pub(crate) timeout: Duration,
     pub(crate) objective: Duration,
     /// Time that callers wait for an event of a stream.
-    pub(crate) event_patience: Option<Duration>,
+    pub(crate) event_timeout: Option<Duration>,
     /// Timeout in every configuration version after the first.
     pub(crate) later_timeout: Option<Duration>,
     pub(crate) homes: &'static [&'static str],
@@ -109,7 +109,7 @@
             kind,
             timeout: Duration::from_secs(5),
             objective: Duration::from_millis(300),
-            event_patience: None,
+            event_timeout: None,
             later_timeout: None,
             homes: &[],
             backends: (2, 0),
@@ -276,7 +276,7 @@
             kind: settings.kind,
             timeout: settings.timeout,
             objective: settings.objective,
-            event_patience: settings.event_patience,
+            event_timeout: settings.event_timeout,
             later_timeout: settings.later_timeout,
             homes: settings.homes.iter().map(|home| (*home).to_owned()).collect(),
             is_public: settings.is_public,
@@ -509,7 +509,7 @@
         name: service.clone(),
         health_path: String::new(),
         connection_limit: 100,
-        cold: ColdRules { duration: Duration::ZERO, requests_per_second: 0.0 },
+        warmup: WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 },
         engine: None,
     };
     scheduler.set_configuration([Rc::new(pool)], &Rc::new(BTreeSet::new()), context.clock.now());
--- a/crates/quota/src/weight.rs
+++ b/crates/quota/src/weight.rs
@@ -8,6 +8,6 @@
     match (unit, tokens) {
         (QuotaUnit::Requests, _) => 1,
         (QuotaUnit::Tokens { .. }, Some((prompt, answer))) => u64::from(prompt) + u64::from(answer),
-        (QuotaUnit::Tokens { plain }, None) => plain,
+        (QuotaUnit::Tokens { default_cost }, None) => default_cost,
     }
 }
--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -79,7 +79,7 @@
                 Entry::Vacant(place) => place.insert(Rc::new(service)),
                 Entry::Occupied(place) => {
                     let service = place.key().to_string();
-                    return Err(TrafficError::SameService { service });
+                    return Err(TrafficError::DuplicateService { service });
                 }
             };
         }
--- a/crates/traffic/src/error.rs
+++ b/crates/traffic/src/error.rs
@@ -8,7 +8,7 @@
 pub enum TrafficError {
     /// The text cannot be read.
     #[snafu(display("the configuration cannot be read ({reason}); send it whole and well-formed"))]
-    Unreadable {
+    Malformed {
         /// The reader's words.
         reason: String,
     },
@@ -30,7 +30,7 @@
     #[snafu(display(
         "routes {first:?} and {second:?} have the same host and prefix; remove one of them"
     ))]
-    SamePlace {
+    DuplicateRoute {
         /// The first of them.
         first: String,
         /// The second.
@@ -38,13 +38,13 @@
     },
     /// Two services have the same name.
     #[snafu(display("service {service:?} stands there twice; remove one of them"))]
-    SameService {
+    DuplicateService {
         /// The service.
         service: String,
     },
     /// Two workspaces have the same name.
     #[snafu(display("workspace {workspace:?} stands there twice; remove one of them"))]
-    SameWorkspace {
+    DuplicateWorkspace {
         /// The workspace.
         workspace: String,
     },
@@ -66,19 +66,19 @@
     },
     /// A route goes nowhere.
     #[snafu(display("the weights of route {route:?} add up to 0; give one of them a weight"))]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: String,
     },
     /// A route's timeout is 0.
     #[snafu(display("route {route:?} has a timeout of 0; give the milliseconds it may take"))]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
     /// A prefix does not begin and end with a slash.
     #[snafu(display("prefix {prefix:?} of route {route:?} must begin and end with a slash"))]
-    BadPrefix {
+    InvalidPrefix {
         /// The route.
         route: String,
         /// The prefix.
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -21,7 +21,7 @@
     error::TrafficError,
     raw::{RawQuota, RawRoute, RawService, RawTraffic, RawWorkspace, TrafficFormat},
     route::{RequestKind, TrafficRoute, WeightedTarget},
-    service::{ColdRules, EngineProfile, ServicePool},
+    service::{EngineProfile, ServicePool, WarmupRules},
     table::RouteTable,
     workspace::{QuotaUnit, TrafficWorkspace, WorkspaceQuota, WorkspaceTable},
 };
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -1,7 +1,7 @@
 //! The configuration as read, not yet checked.
 
 use {
-    crate::{CallerLimits, ColdRules, EngineProfile, QuotaUnit, RequestKind, TrafficError},
+    crate::{CallerLimits, EngineProfile, QuotaUnit, RequestKind, TrafficError, WarmupRules},
     std::{fmt, time::Duration},
 };
 
@@ -52,7 +52,7 @@
     /// The longest pause between two events of a stream that callers accept as prompt.
     pub gap_objective: Option<Duration>,
     /// How long callers wait for an event of a stream before they leave; none: to the end.
-    pub event_patience: Option<Duration>,
+    pub event_timeout: Option<Duration>,
     /// The only regions in which its requests may be served; none: anywhere.
     pub homes: Vec<String>,
     /// Whether its requests need no key.
@@ -69,7 +69,7 @@
     /// The most connections that one of its backend servers takes, from all VMs together.
     pub connection_limit: u32,
     /// How its backend servers warm up.
-    pub cold: ColdRules,
+    pub warmup: WarmupRules,
     /// What its model engines are like; `None` for a plain service.
     pub engine: Option<EngineProfile>,
 }
--- a/crates/traffic/src/route.rs
+++ b/crates/traffic/src/route.rs
@@ -68,7 +68,7 @@
     /// The longest pause between two events of a stream that callers accept as prompt.
     pub gap_objective: Option<Duration>,
     /// How long callers wait for an event of a stream before they leave; none: to the end.
-    pub event_patience: Option<Duration>,
+    pub event_timeout: Option<Duration>,
     /// The only regions in which its requests may be served; none: anywhere.
     pub homes: Vec<RegionName>,
     /// Whether its requests need no key.
@@ -104,13 +104,13 @@
     fn try_from(raw: RawRoute) -> Result<Self, TrafficError> {
         let route = raw.name;
         if raw.timeout.is_zero() {
-            return Err(TrafficError::NoTimeout { route });
+            return Err(TrafficError::ZeroTimeout { route });
         }
         if raw.targets.iter().all(|(_, weight)| *weight == 0) {
-            return Err(TrafficError::NoWeight { route });
+            return Err(TrafficError::ZeroWeight { route });
         }
         if !raw.prefix.starts_with('/') || !raw.prefix.ends_with('/') {
-            return Err(TrafficError::BadPrefix { route, prefix: raw.prefix });
+            return Err(TrafficError::InvalidPrefix { route, prefix: raw.prefix });
         }
         let target = |(service, weight)| {
             Ok(WeightedTarget { service: ServiceName::try_from(service as String)?, weight })
@@ -127,7 +127,7 @@
             max_attempts: raw.max_attempts.max(1),
             has_affinity: raw.has_affinity,
             gap_objective: raw.gap_objective,
-            event_patience: raw.event_patience,
+            event_timeout: raw.event_timeout,
             homes: raw.homes.into_iter().map(RegionName::try_from).collect::<Result<_, _>>()?,
             is_public: raw.is_public,
         })
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -8,7 +8,7 @@
 
 /// How a backend server warms up after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdRules {
+pub struct WarmupRules {
     /// How long it is cold.
     pub duration: Duration,
     /// The requests per second, from all VMs together, that it bears while cold. 0: no rule.
@@ -39,7 +39,7 @@
     /// The most connections that one of its backend servers takes, from all VMs together.
     pub connection_limit: u32,
     /// How its backend servers warm up.
-    pub cold: ColdRules,
+    pub warmup: WarmupRules,
     /// What its model engines are like; `None` for a plain service.
     pub engine: Option<EngineProfile>,
 }
@@ -48,8 +48,8 @@
     type Error = TrafficError;
 
     fn try_from(raw: RawService) -> Result<Self, TrafficError> {
-        let RawService { name, health_path, connection_limit, cold, engine } = raw;
+        let RawService { name, health_path, connection_limit, warmup, engine } = raw;
         let name = ServiceName::try_from(name)?;
-        Ok(Self { name, health_path, connection_limit, cold, engine })
+        Ok(Self { name, health_path, connection_limit, warmup, engine })
     }
 }
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -17,7 +17,7 @@
         let prefixes = self.hosts.entry(route.host.clone()).or_default();
         if let Some(first) = prefixes.get(&route.prefix) {
             let first = first.name.clone();
-            return Err(TrafficError::SamePlace { first, second: route.name });
+            return Err(TrafficError::DuplicateRoute { first, second: route.name });
         }
         prefixes.insert(route.prefix.clone(), Rc::new(route));
         Ok(())
--- a/crates/traffic/src/workspace.rs
+++ b/crates/traffic/src/workspace.rs
@@ -17,7 +17,7 @@
     /// Tokens of the prompt and of the longest answer.
     Tokens {
         /// What a request weighs that does not state them.
-        plain: u64,
+        default_cost: u64,
     },
 }
 
@@ -94,7 +94,7 @@
             Entry::Vacant(place) => place.insert(Rc::clone(&workspace)),
             Entry::Occupied(place) => {
                 let workspace = place.key().to_string();
-                return Err(TrafficError::SameWorkspace { workspace });
+                return Err(TrafficError::DuplicateWorkspace { workspace });
             }
         };
         for key in &workspace.keys {
@@ -111,7 +111,7 @@
     ///
     /// Keys are compared by their hashes, so the time that it takes says nothing of a key that is
     /// almost right.
-    pub fn holder(&self, key: &TokenHash) -> Option<&Rc<TrafficWorkspace>> {
+    pub fn find_by_key(&self, key: &TokenHash) -> Option<&Rc<TrafficWorkspace>> {
         self.keys.get(key)
     }
 
--- a/crates/traffic/tests/traffic.rs
+++ b/crates/traffic/tests/traffic.rs
@@ -2,8 +2,8 @@
 
 use {
     gullglade_traffic::{
-        CallerLimits, ColdRules, QuotaUnit, RawQuota, RawRoute, RawService, RawTraffic,
-        RawWorkspace, RequestKind, TrafficConfig, TrafficError,
+        CallerLimits, QuotaUnit, RawQuota, RawRoute, RawService, RawTraffic, RawWorkspace,
+        RequestKind, TrafficConfig, TrafficError, WarmupRules,
     },
     gullglade_units::TokenHash,
     std::time::Duration,
@@ -22,19 +22,19 @@
         max_attempts: 1,
         has_affinity: false,
         gap_objective: None,
-        event_patience: None,
+        event_timeout: None,
         homes: Vec::new(),
         is_public: false,
     }
 }
 
 fn config(routes: Vec<RawRoute>) -> RawTraffic {
-    let cold = ColdRules { duration: Duration::ZERO, requests_per_second: 0.0 };
+    let warmup = WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 };
     let service = |name: &str| RawService {
         name: name.to_owned(),
         health_path: "/health".to_owned(),
         connection_limit: 100,
-        cold,
+        warmup,
         engine: None,
     };
     let limits = CallerLimits {
@@ -93,27 +93,27 @@
         },
         Case {
             spoil: |c| c.routes[1].prefix = c.routes[0].prefix.clone(),
-            is_expected: |e| matches!(e, TrafficError::SamePlace { .. }),
+            is_expected: |e| matches!(e, TrafficError::DuplicateRoute { .. }),
         },
         Case {
             spoil: |c| c.routes[0].targets[0].1 = 0,
-            is_expected: |e| matches!(e, TrafficError::NoWeight { .. }),
+            is_expected: |e| matches!(e, TrafficError::ZeroWeight { .. }),
         },
         Case {
             spoil: |c| c.routes[0].targets.clear(),
-            is_expected: |e| matches!(e, TrafficError::NoWeight { .. }),
+            is_expected: |e| matches!(e, TrafficError::ZeroWeight { .. }),
         },
         Case {
             spoil: |c| c.routes[1].timeout = Duration::ZERO,
-            is_expected: |e| matches!(e, TrafficError::NoTimeout { .. }),
+            is_expected: |e| matches!(e, TrafficError::ZeroTimeout { .. }),
         },
         Case {
             spoil: |c| c.routes[1].prefix = "/open".to_owned(),
-            is_expected: |e| matches!(e, TrafficError::BadPrefix { .. }),
+            is_expected: |e| matches!(e, TrafficError::InvalidPrefix { .. }),
         },
         Case {
             spoil: |c| c.services[1].name = "desk".to_owned(),
-            is_expected: |e| matches!(e, TrafficError::SameService { .. }),
+            is_expected: |e| matches!(e, TrafficError::DuplicateService { .. }),
         },
     ];
     for (index, case) in cases.iter().enumerate() {
@@ -152,7 +152,7 @@
     raw.workspaces = vec![workspace("clerks", &["a", "b", "a"]), workspace("crews", &["c"])];
     let checked = TrafficConfig::try_from(raw).expect("a good configuration");
     let holder = |key: &str| {
-        let found = checked.workspaces().holder(&TokenHash::of(key));
+        let found = checked.workspaces().find_by_key(&TokenHash::of(key));
         found.map(|workspace| workspace.name.to_string())
     };
     let found = ["a", "b", "c", "d", ""].map(|key| holder(key).unwrap_or_default());
