--- a/crates/traffic/src/config.rs
+++ b/crates/traffic/src/config.rs
@@ -1,4 +1,4 @@
-//! A whole configuration, checked.
+//! The validated traffic configuration.
 
 use {
     crate::{
@@ -13,20 +13,21 @@
     },
 };
 
-/// Bounds on what callers send, and on how long they may take.
+/// Size limits and timeouts that apply to every caller connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// The time for a head, from its first byte to its last.
+    /// Maximum time between the first and the last byte of a request's head.
     pub head_timeout: Duration,
-    /// How long a connection may wait for its next request.
+    /// Maximum time that a connection may stay idle between two requests.
     pub idle_timeout: Duration,
 }
 
-/// A configuration, checked.
+/// A validated traffic configuration: every target of a route is a known service; routes, services
+/// and workspaces are unique; and no two workspaces share a key.
 #[derive(Debug)]
 pub struct TrafficConfig {
     version: u64,
@@ -37,32 +38,32 @@
 }
 
 impl TrafficConfig {
-    /// The operators' number for it.
+    /// Returns the version number that the operators gave to this configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Its routes.
+    /// Returns the table of routes.
     pub fn routes(&self) -> &RouteTable {
         &self.table
     }
 
-    /// The service of this name.
+    /// Returns the service called `name`.
     pub fn service(&self, name: &ServiceName) -> Option<&Rc<ServicePool>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services, ordered by name.
     pub fn services(&self) -> impl Iterator<Item = &Rc<ServicePool>> {
         self.services.values()
     }
 
-    /// Its workspaces.
+    /// Returns the table of workspaces.
     pub fn workspaces(&self) -> &WorkspaceTable {
         &self.workspaces
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on caller connections.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -76,9 +77,9 @@
         for service in raw.services {
             let service = ServicePool::try_from(service)?;
             match services.entry(service.name.clone()) {
-                Entry::Vacant(place) => place.insert(Rc::new(service)),
-                Entry::Occupied(place) => {
-                    let service = place.key().to_string();
+                Entry::Vacant(entry) => entry.insert(Rc::new(service)),
+                Entry::Occupied(entry) => {
+                    let service = entry.key().to_string();
                     return Err(TrafficError::DuplicateService { service });
                 }
             };
--- a/crates/traffic/src/error.rs
+++ b/crates/traffic/src/error.rs
@@ -1,87 +1,93 @@
-//! Why a configuration is refused.
+//! Errors in a traffic configuration.
 
 use {gullglade_units::NameError, snafu::Snafu};
 
-/// Why a traffic configuration is refused.
+/// The reason why a traffic configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TrafficError {
-    /// The text cannot be read.
-    #[snafu(display("the configuration cannot be read ({reason}); send it whole and well-formed"))]
+    /// The text could not be parsed.
+    #[snafu(display(
+        "cannot parse the configuration ({reason}); send it complete and well-formed"
+    ))]
     Malformed {
-        /// The reader's words.
+        /// Message of the parser.
         reason: String,
     },
-    /// A name has characters that names do not have.
+    /// A name is not valid, for example because of a character that names may not contain.
     #[snafu(display("{source}"), context(false))]
     Name {
-        /// What is wrong with it.
+        /// The rule that the name violates.
         source: NameError,
     },
-    /// A route names a service that the configuration does not have.
-    #[snafu(display("route {route:?} names service {service:?}, which is not among the services"))]
+    /// A route has a target that is not among the services of the configuration.
+    #[snafu(display(
+        "route {route:?} has unknown service {service:?} as a target; add it to the services"
+    ))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the service.
         service: String,
     },
-    /// Two routes cover the same place.
+    /// Two routes have the same host and prefix.
     #[snafu(display(
         "routes {first:?} and {second:?} have the same host and prefix; remove one of them"
     ))]
     DuplicateRoute {
-        /// The first of them.
+        /// Name of the first route.
         first: String,
-        /// The second.
+        /// Name of the second route.
         second: String,
     },
     /// Two services have the same name.
-    #[snafu(display("service {service:?} stands there twice; remove one of them"))]
+    #[snafu(display("service {service:?} is defined twice; remove one definition"))]
     DuplicateService {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
     /// Two workspaces have the same name.
-    #[snafu(display("workspace {workspace:?} stands there twice; remove one of them"))]
+    #[snafu(display("workspace {workspace:?} is defined twice; remove one definition"))]
     DuplicateWorkspace {
-        /// The workspace.
+        /// Name of the workspace.
         workspace: String,
     },
-    /// Two workspaces have the same key, which is not named: errors are logged.
+    /// Two workspaces have the same key. The message omits the key because errors are logged.
     #[snafu(display(
-        "workspaces {first:?} and {second:?} have a key in common; give one of them another"
+        "workspaces {first:?} and {second:?} share a key; give each workspace its own keys"
     ))]
     SharedKey {
-        /// The first of them.
+        /// Name of the first workspace.
         first: String,
-        /// The second.
+        /// Name of the second workspace.
         second: String,
     },
     /// A workspace has an empty key.
-    #[snafu(display("workspace {workspace:?} has an empty key; remove it, or write the key"))]
+    #[snafu(display("workspace {workspace:?} has an empty key; remove it or set its value"))]
     EmptyKey {
-        /// The workspace.
+        /// Name of the workspace.
         workspace: String,
     },
-    /// A route goes nowhere.
-    #[snafu(display("the weights of route {route:?} add up to 0; give one of them a weight"))]
+    /// The weights of a route's targets add up to 0, or the route has no target.
+    #[snafu(display(
+        "the target weights of route {route:?} add up to 0; set at least one above 0"
+    ))]
     ZeroWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// A route's timeout is 0.
-    #[snafu(display("route {route:?} has a timeout of 0; give the milliseconds it may take"))]
+    #[snafu(display("route {route:?} has a timeout of 0; set it to 1 ms or more"))]
     ZeroTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// A prefix does not begin and end with a slash.
     #[snafu(display("prefix {prefix:?} of route {route:?} must begin and end with a slash"))]
     InvalidPrefix {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The prefix.
+        /// The invalid prefix.
         prefix: String,
     },
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,10 +1,11 @@
 //! The traffic configuration: which host and path go to which service, and under which rules.
 //!
-//! Where a service document ([`gullglade-document`]) states what a team's callers may ask by the
-//! usual protocols, this configuration routes requests that pass through unchanged. It is one
-//! document for all routes, under version numbers that its operators give. Its text is whatever
-//! format the operators write; a [`TrafficFormat`] reads it into [`RawTraffic`], and
-//! [`TrafficConfig`] is the checked form that everything else works with.
+//! A service document ([`gullglade-document`]) states what one team's callers may request through
+//! the gateway's own API. The traffic configuration, by contrast, routes requests that are
+//! forwarded unchanged. It is a single document for all routes, with version numbers assigned by
+//! the operators. The text format is pluggable: a [`TrafficFormat`] parses the text into
+//! [`RawTraffic`], which is validated by its conversion to [`TrafficConfig`], the form that all
+//! other crates use.
 //!
 //! [`gullglade-document`]: https://docs.rs/gullglade-document
 
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -1,108 +1,114 @@
-//! The configuration as read, not yet checked.
+//! The parsed traffic configuration before validation.
 
 use {
     crate::{CallerLimits, EngineProfile, QuotaUnit, RequestKind, TrafficError, WarmupRules},
     std::{fmt, time::Duration},
 };
 
-/// Reads the operators' text.
+/// Parser for the text format in which operators write the configuration.
 pub trait TrafficFormat {
-    /// The configuration in `text`, as it stands there.
+    /// Parses `text` without validating the values.
+    ///
+    /// # Errors
+    ///
+    /// [`TrafficError::Malformed`] if `text` does not parse.
     fn read(&self, text: &[u8]) -> Result<RawTraffic, TrafficError>;
 }
 
-/// A configuration as read.
+/// A parsed configuration, not yet validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RawTraffic {
-    /// The operators' number for it.
+    /// Version number assigned by the operators.
     pub version: u64,
-    /// Its routes.
+    /// All routes.
     pub routes: Vec<RawRoute>,
-    /// Its services.
+    /// All services.
     pub services: Vec<RawService>,
-    /// Its workspaces; without any, nobody needs a key.
+    /// All workspaces; if empty, requests need no key.
     pub workspaces: Vec<RawWorkspace>,
-    /// Bounds on callers.
+    /// Limits on caller connections.
     pub limits: CallerLimits,
 }
 
-/// A route as read.
+/// A parsed route, not yet validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RawRoute {
-    /// Its name, for people.
+    /// Name of the route, for logs and operators.
     pub name: String,
-    /// The host that callers name.
+    /// Host of the requests, without a port.
     pub host: String,
-    /// The beginning of the paths that it covers.
+    /// Prefix of the paths that the route matches.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of the requests, which decides whether they may run again.
     pub kind: RequestKind,
-    /// The longest time a caller is kept waiting.
+    /// Maximum total time for a request.
     pub timeout: Duration,
-    /// The time within which an answer, or the first event of a stream, is worth all it can be.
+    /// Latency objective: the time within which an answer, or the first event of a stream, has its
+    /// full value.
     pub objective: Duration,
-    /// 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights.
+    /// Names of the target services, each with its weight.
     pub targets: Vec<(String, u32)>,
-    /// The most backend servers that one request may be sent to.
+    /// Maximum number of backend servers to which one request is sent.
     pub max_attempts: u32,
-    /// Whether requests carry prompts whose parts are worth finding in a cache.
+    /// Whether requests carry prompts, so that a backend server with a cached prefix is preferred.
     pub has_affinity: bool,
-    /// The longest pause between two events of a stream that callers accept as prompt.
+    /// Objective for the time between two events of a stream.
     pub gap_objective: Option<Duration>,
-    /// How long callers wait for an event of a stream before they leave; none: to the end.
+    /// Time after which callers disconnect if a stream sends no event; `None` if they wait until
+    /// the request's timeout.
     pub event_timeout: Option<Duration>,
-    /// The only regions in which its requests may be served; none: anywhere.
+    /// Regions in which requests may be served; empty allows every region.
     pub homes: Vec<String>,
-    /// Whether its requests need no key.
+    /// Whether requests need no key.
     pub is_public: bool,
 }
 
-/// A service as read.
+/// A parsed service, not yet validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RawService {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// The path of its backend servers' health check.
+    /// Path of the backend servers' health check.
     pub health_path: String,
-    /// The most connections that one of its backend servers takes, from all VMs together.
+    /// Maximum number of connections to one backend server, summed over all VMs.
     pub connection_limit: u32,
-    /// How its backend servers warm up.
+    /// Limits for backend servers that are still warming up.
     pub warmup: WarmupRules,
-    /// What its model engines are like; `None` for a plain service.
+    /// Properties of the service's model engines; `None` for a plain service.
     pub engine: Option<EngineProfile>,
 }
 
-/// A workspace as read.
+/// A parsed workspace, not yet validated.
 #[derive(Clone, PartialEq)]
 pub struct RawWorkspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its keys, as callers send them.
+    /// API keys in plain text, as callers send them.
     pub keys: Vec<String>,
-    /// The priority of its requests; `None`: that of their routes.
+    /// Priority of the workspace's requests; `None` to use the priority of each route.
     pub priority: Option<u8>,
-    /// The only regions in which its requests may be served; none: anywhere.
+    /// Regions in which requests may be served; empty allows every region.
     pub homes: Vec<String>,
-    /// Its quota.
+    /// Quota of the workspace; `None` for no limit.
     pub quota: Option<RawQuota>,
 }
 
 impl fmt::Debug for RawWorkspace {
-    /// Leaves the keys out.
+    /// Omits the keys, which must not appear in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("RawWorkspace").field("name", &self.name).finish_non_exhaustive()
     }
 }
 
-/// A quota as read.
+/// A parsed quota, not yet validated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RawQuota {
-    /// What it is counted in.
+    /// Unit in which the quota is counted.
     pub unit: QuotaUnit,
-    /// Units a second; 0 for no limit.
+    /// Units per second; 0 for no limit.
     pub rate: f64,
-    /// Units beyond that at once.
+    /// Units that may be used at once in addition to the rate.
     pub burst: f64,
 }
--- a/crates/traffic/src/route.rs
+++ b/crates/traffic/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: what is asked of a request that goes this way.
+//! Routes: the rules for the requests of one host and path prefix.
 
 use {
     crate::{RawRoute, TrafficError},
@@ -6,95 +6,98 @@
     std::time::Duration,
 };
 
-/// What may be repeated of a request.
+/// The kind of a request, which decides whether it may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Idempotent: it may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs once at most.
+    /// The request must run at most once.
     AtMostOnce,
-    /// Its answer is a stream of numbered events.
+    /// The answer is a stream of numbered events.
     Stream {
-        /// Whether another run may go on after the last event that the caller has. A stream that
-        /// may not be resumed runs once at most.
+        /// Whether another run may continue after the last event that the caller received. A
+        /// stream that cannot be resumed must run at most once.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Whether a second run does no harm.
+    /// Returns whether the request may run a second time.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service that a route sends to, and how often.
+/// A target service of a route with its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedTarget {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its part of the route's requests, against the sum of all weights.
+    /// Share of the route's requests, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// A route, checked.
+/// A validated route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficRoute {
-    /// Its name, for people.
+    /// Name of the route, for logs and operators.
     pub name: String,
-    /// The host that callers name, in lower case.
+    /// Host of the requests, in lower case and without a port.
     pub host: String,
-    /// The beginning of the paths that it covers; begins and ends with a slash.
+    /// Prefix of the paths that the route matches; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of the requests, which decides whether they may run again.
     pub kind: RequestKind,
-    /// The longest time a caller is kept waiting.
+    /// Maximum total time for a request.
     pub timeout: Duration,
-    /// The time within which an answer, or the first event of a stream, is worth all it can be.
+    /// Latency objective: the time within which an answer, or the first event of a stream, has its
+    /// full value.
     pub objective: Duration,
-    /// 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Where it sends; the weights add up to more than 0.
+    /// Target services; the sum of their weights is greater than 0.
     pub targets: Vec<WeightedTarget>,
-    /// The most backend servers that one request may be sent to; 1 at least.
+    /// Maximum number of backend servers to which one request is sent; at least 1.
     pub max_attempts: u32,
-    /// Whether requests carry prompts whose parts are worth finding in a cache.
+    /// Whether requests carry prompts, so that a backend server with a cached prefix is preferred.
     pub has_affinity: bool,
-    /// The longest pause between two events of a stream that callers accept as prompt.
+    /// Objective for the time between two events of a stream.
     pub gap_objective: Option<Duration>,
-    /// How long callers wait for an event of a stream before they leave; none: to the end.
+    /// Time after which callers disconnect if a stream sends no event; `None` if they wait until
+    /// the request's timeout.
     pub event_timeout: Option<Duration>,
-    /// The only regions in which its requests may be served; none: anywhere.
+    /// Regions in which requests may be served; empty allows every region.
     pub homes: Vec<RegionName>,
-    /// Whether its requests need no key.
+    /// Whether requests need no key.
     pub is_public: bool,
 }
 
 impl TrafficRoute {
-    /// Whether its requests may be served in `region`.
+    /// Returns whether requests of the route may be served in `region`.
     pub fn allows(&self, region: &RegionName) -> bool {
         self.homes.is_empty() || self.homes.contains(region)
     }
 
-    /// The service for a request that drew `part`, between 0 and 1.
-    pub fn target(&self, part: f64) -> &ServiceName {
+    /// Selects a target service by weighted random choice, where `sample` is a random number in
+    /// `[0, 1)`. Targets of weight 0 are never selected.
+    pub fn target(&self, sample: f64) -> &ServiceName {
         let total: f64 = self.targets.iter().map(|t| f64::from(t.weight)).sum();
-        let mut left = part * total;
+        let mut remaining = sample * total;
         let weighted = self.targets.iter().filter(|t| t.weight > 0);
-        let mut chosen = &self.targets[0].service;
+        let mut selected = &self.targets[0].service;
         for target in weighted {
-            chosen = &target.service;
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            selected = &target.service;
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 break;
             }
         }
-        chosen
+        selected
     }
 }
 
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -1,4 +1,4 @@
-//! Services: pools of backend servers that can stand in for each other.
+//! Services: pools of interchangeable backend servers.
 
 use {
     crate::{RawService, TrafficError},
@@ -6,41 +6,42 @@
     std::time::Duration,
 };
 
-/// How a backend server warms up after its start.
+/// Limits for a backend server that is still warming up after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupRules {
-    /// How long it is cold.
+    /// Time after its start for which a backend server counts as cold.
     pub duration: Duration,
-    /// The requests per second, from all VMs together, that it bears while cold. 0: no rule.
+    /// Requests per second that a cold backend server can handle, summed over all VMs; 0 for no
+    /// limit.
     pub requests_per_second: f64,
 }
 
-/// What the model engines of a service have in common.
+/// Properties shared by all model engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineProfile {
-    /// The requests that one of them runs at once.
+    /// Number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// The tokens that its memory holds.
+    /// Capacity of one engine's key-value cache, in tokens.
     pub memory_tokens: u64,
-    /// The tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// The tokens of a prompt that one of them copies from another of its region in a millisecond;
-    /// 0 where they copy nothing.
+    /// Rate at which one engine copies cached prompt tokens from another engine of its region, in
+    /// tokens per millisecond; 0 if engines do not copy.
     pub copied_tokens_per_ms: f64,
 }
 
-/// A service, checked.
+/// A validated service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePool {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// The path of its backend servers' health check.
+    /// Path of the backend servers' health check.
     pub health_path: String,
-    /// The most connections that one of its backend servers takes, from all VMs together.
+    /// Maximum number of connections to one backend server, summed over all VMs.
     pub connection_limit: u32,
-    /// How its backend servers warm up.
+    /// Limits for backend servers that are still warming up.
     pub warmup: WarmupRules,
-    /// What its model engines are like; `None` for a plain service.
+    /// Properties of the service's model engines; `None` for a plain service.
     pub engine: Option<EngineProfile>,
 }
 
--- a/crates/traffic/src/table.rs
+++ b/crates/traffic/src/table.rs
@@ -1,18 +1,22 @@
-//! Finding a request's route.
+//! The routing table, which maps a host and path to a route.
 
 use {
     crate::{TrafficError, TrafficRoute},
     std::{collections::HashMap, rc::Rc},
 };
 
-/// Routes by host and prefix.
+/// Routes indexed by host and path prefix.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, HashMap<String, Rc<TrafficRoute>>>,
 }
 
 impl RouteTable {
-    /// Adds a route, which must have a place of its own.
+    /// Adds a route.
+    ///
+    /// # Errors
+    ///
+    /// [`TrafficError::DuplicateRoute`] if a route with the same host and prefix exists.
     pub(crate) fn add(&mut self, route: TrafficRoute) -> Result<(), TrafficError> {
         let prefixes = self.hosts.entry(route.host.clone()).or_default();
         if let Some(first) = prefixes.get(&route.prefix) {
@@ -23,10 +27,11 @@
         Ok(())
     }
 
-    /// The route of the longest prefix that begins `path`. `host` may have a port, and any case.
+    /// Returns the route with the longest prefix that matches `path`. `host` may include a port and
+    /// is matched regardless of case.
     ///
-    /// Prefixes end with a slash, so only the parts of `path` that do are looked up: the cost grows
-    /// with the depth of the path and not with the number of routes.
+    /// Prefixes end with a slash, so one lookup for each slash in `path` is enough. The cost grows
+    /// with the depth of the path, not with the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<TrafficRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.hosts.get(name) {
@@ -34,20 +39,20 @@
             None => self.hosts.get(&name.to_ascii_lowercase())?,
         };
         let slashes = path.rmatch_indices('/');
-        slashes.map(|(at, _)| &path[..=at]).find_map(|prefix| prefixes.get(prefix))
+        slashes.map(|(index, _)| &path[..=index]).find_map(|prefix| prefixes.get(prefix))
     }
 
-    /// The routes of `host`.
+    /// Iterates over the routes of `host`, in no particular order.
     pub fn of_host(&self, host: &str) -> impl Iterator<Item = &Rc<TrafficRoute>> {
         self.hosts.get(&host.to_ascii_lowercase()).into_iter().flat_map(HashMap::values)
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.hosts.values().map(HashMap::len).sum()
     }
 
-    /// Whether there are none.
+    /// Returns whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
--- a/crates/traffic/src/workspace.rs
+++ b/crates/traffic/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: who calls, and what they may.
+//! Workspaces: the callers, with their keys, quotas and allowed regions.
 
 use {
     crate::{RawQuota, RawWorkspace, TrafficError},
@@ -9,46 +9,46 @@
     },
 };
 
-/// What a quota is counted in.
+/// The unit in which a quota is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Requests.
+    /// Number of requests.
     Requests,
-    /// Tokens of the prompt and of the longest answer.
+    /// Number of tokens: those of the prompt plus the maximum length of the answer.
     Tokens {
-        /// What a request weighs that does not state them.
+        /// Tokens charged for a request that does not state its token counts.
         default_cost: u64,
     },
 }
 
-/// How much a workspace may ask of all gateways together.
+/// Rate limit of a workspace, applied to all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkspaceQuota {
-    /// What it is counted in.
+    /// Unit in which the quota is counted.
     pub unit: QuotaUnit,
-    /// Units a second; more than 0.
+    /// Units per second; greater than 0.
     pub rate: f64,
-    /// Units beyond that at once.
+    /// Units that may be used at once in addition to the rate.
     pub burst: f64,
 }
 
-/// A workspace, checked.
+/// A validated workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficWorkspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceName,
-    /// The hashes of its keys.
+    /// Hashes of the API keys.
     pub keys: Vec<TokenHash>,
-    /// The priority of its requests; `None`: that of their routes.
+    /// Priority of the workspace's requests; `None` to use the priority of each route.
     pub priority: Option<u8>,
-    /// The only regions in which its requests may be served; none: anywhere.
+    /// Regions in which requests may be served; empty allows every region.
     pub homes: Vec<RegionName>,
-    /// Its quota; `None`: no limit.
+    /// Quota of the workspace; `None` for no limit.
     pub quota: Option<WorkspaceQuota>,
 }
 
 impl TrafficWorkspace {
-    /// Whether its requests may be served in `region`.
+    /// Returns whether requests of the workspace may be served in `region`.
     pub fn allows(&self, region: &RegionName) -> bool {
         self.homes.is_empty() || self.homes.contains(region)
     }
@@ -68,38 +68,43 @@
             keys: keys.iter().map(|key| TokenHash::of(key)).collect(),
             priority,
             homes: homes.into_iter().map(RegionName::try_from).collect::<Result<_, _>>()?,
-            quota: quota.and_then(checked_quota),
+            quota: quota.and_then(validate_quota),
         })
     }
 }
 
-/// The quota, where there is a limit.
-fn checked_quota(raw: RawQuota) -> Option<WorkspaceQuota> {
+/// Returns the validated quota, or `None` if its rate is 0 or less, which means no limit.
+fn validate_quota(raw: RawQuota) -> Option<WorkspaceQuota> {
     let RawQuota { unit, rate, burst } = raw;
     (rate > 0.0).then(|| WorkspaceQuota { unit, rate, burst: burst.max(0.0) })
 }
 
-/// Workspaces by name and by key.
+/// Workspaces indexed by name and by key.
 #[derive(Debug, Default)]
 pub struct WorkspaceTable {
-    names: BTreeMap<WorkspaceName, Rc<TrafficWorkspace>>,
-    keys: HashMap<TokenHash, Rc<TrafficWorkspace>>,
+    by_name: BTreeMap<WorkspaceName, Rc<TrafficWorkspace>>,
+    by_key: HashMap<TokenHash, Rc<TrafficWorkspace>>,
 }
 
 impl WorkspaceTable {
-    /// Adds a workspace, which must have a name and keys of its own.
+    /// Adds a workspace.
+    ///
+    /// # Errors
+    ///
+    /// [`TrafficError::DuplicateWorkspace`] if a workspace of that name exists, and
+    /// [`TrafficError::SharedKey`] if another workspace has one of its keys.
     pub(crate) fn add(&mut self, workspace: TrafficWorkspace) -> Result<(), TrafficError> {
         let workspace = Rc::new(workspace);
-        match self.names.entry(workspace.name.clone()) {
-            Entry::Vacant(place) => place.insert(Rc::clone(&workspace)),
-            Entry::Occupied(place) => {
-                let workspace = place.key().to_string();
+        match self.by_name.entry(workspace.name.clone()) {
+            Entry::Vacant(entry) => entry.insert(Rc::clone(&workspace)),
+            Entry::Occupied(entry) => {
+                let workspace = entry.key().to_string();
                 return Err(TrafficError::DuplicateWorkspace { workspace });
             }
         };
         for key in &workspace.keys {
-            let holder = self.keys.insert(*key, Rc::clone(&workspace));
-            if let Some(first) = holder.filter(|first| first.name != workspace.name) {
+            let previous = self.by_key.insert(*key, Rc::clone(&workspace));
+            if let Some(first) = previous.filter(|first| first.name != workspace.name) {
                 let (first, second) = (first.name.to_string(), workspace.name.to_string());
                 return Err(TrafficError::SharedKey { first, second });
             }
@@ -107,26 +112,26 @@
         Ok(())
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace to which the key with hash `key` belongs.
     ///
-    /// Keys are compared by their hashes, so the time that it takes says nothing of a key that is
-    /// almost right.
+    /// Keys are compared by their hashes, so the duration of the lookup does not reveal how close a
+    /// guessed key is to a valid one.
     pub fn find_by_key(&self, key: &TokenHash) -> Option<&Rc<TrafficWorkspace>> {
-        self.keys.get(key)
+        self.by_key.get(key)
     }
 
-    /// The workspace of this name.
+    /// Returns the workspace called `name`.
     pub fn get(&self, name: &WorkspaceName) -> Option<&Rc<TrafficWorkspace>> {
-        self.names.get(name)
+        self.by_name.get(name)
     }
 
-    /// All workspaces, by name.
+    /// Iterates over all workspaces, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<TrafficWorkspace>> {
-        self.names.values()
+        self.by_name.values()
     }
 
-    /// Whether there are none: then nobody needs a key.
+    /// Returns whether there are no workspaces, in which case requests need no key.
     pub fn is_empty(&self) -> bool {
-        self.names.is_empty()
+        self.by_name.is_empty()
     }
 }
--- a/crates/traffic/tests/traffic.rs
+++ b/crates/traffic/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! The checks of a traffic configuration, and the way to a request's route.
+//! Tests of the validation of a traffic configuration and of route lookup.
 
 use {
     gullglade_traffic::{
@@ -9,7 +9,7 @@
     std::time::Duration,
 };
 
-fn route(name: &str, host: &str, prefix: &str) -> RawRoute {
+fn raw_route(name: &str, host: &str, prefix: &str) -> RawRoute {
     RawRoute {
         name: name.to_owned(),
         host: host.to_owned(),
@@ -28,7 +28,7 @@
     }
 }
 
-fn config(routes: Vec<RawRoute>) -> RawTraffic {
+fn raw_config(routes: Vec<RawRoute>) -> RawTraffic {
     let warmup = WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 };
     let service = |name: &str| RawService {
         name: name.to_owned(),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_request_goes_by_the_longest_prefix_of_its_host() {
+fn route_with_longest_matching_prefix_is_found() {
     struct Case {
         host: &'static str,
         path: &'static str,
@@ -69,11 +69,11 @@
         Case { host: "c.example", path: "/x/1", found: None },
     ];
     let routes = vec![
-        route("a-x", "a.example", "/x/"),
-        route("a-xy", "a.example", "/x/y/"),
-        route("b-all", "b.example", "/"),
+        raw_route("a-x", "a.example", "/x/"),
+        raw_route("a-xy", "a.example", "/x/y/"),
+        raw_route("b-all", "b.example", "/"),
     ];
-    let checked = TrafficConfig::try_from(config(routes)).expect("a good configuration");
+    let checked = TrafficConfig::try_from(raw_config(routes)).expect("a valid configuration");
     for case in cases {
         let found = checked.routes().find(case.host, case.path).map(|r| r.name.as_str());
         assert_eq!(found, case.found, "{} {}", case.host, case.path);
@@ -81,62 +81,62 @@
 }
 
 #[test]
-fn what_cannot_be_obeyed_is_refused() {
+fn inconsistent_configuration_is_rejected() {
     struct Case {
-        spoil: fn(&mut RawTraffic),
+        invalidate: fn(&mut RawTraffic),
         is_expected: fn(&TrafficError) -> bool,
     }
     let cases = [
         Case {
-            spoil: |c| c.routes[0].targets = vec![("nobody".to_owned(), 1)],
+            invalidate: |c| c.routes[0].targets = vec![("nobody".to_owned(), 1)],
             is_expected: |e| matches!(e, TrafficError::UnknownService { .. }),
         },
         Case {
-            spoil: |c| c.routes[1].prefix = c.routes[0].prefix.clone(),
+            invalidate: |c| c.routes[1].prefix = c.routes[0].prefix.clone(),
             is_expected: |e| matches!(e, TrafficError::DuplicateRoute { .. }),
         },
         Case {
-            spoil: |c| c.routes[0].targets[0].1 = 0,
+            invalidate: |c| c.routes[0].targets[0].1 = 0,
             is_expected: |e| matches!(e, TrafficError::ZeroWeight { .. }),
         },
         Case {
-            spoil: |c| c.routes[0].targets.clear(),
+            invalidate: |c| c.routes[0].targets.clear(),
             is_expected: |e| matches!(e, TrafficError::ZeroWeight { .. }),
         },
         Case {
-            spoil: |c| c.routes[1].timeout = Duration::ZERO,
+            invalidate: |c| c.routes[1].timeout = Duration::ZERO,
             is_expected: |e| matches!(e, TrafficError::ZeroTimeout { .. }),
         },
         Case {
-            spoil: |c| c.routes[1].prefix = "/open".to_owned(),
+            invalidate: |c| c.routes[1].prefix = "/open".to_owned(),
             is_expected: |e| matches!(e, TrafficError::InvalidPrefix { .. }),
         },
         Case {
-            spoil: |c| c.services[1].name = "desk".to_owned(),
+            invalidate: |c| c.services[1].name = "desk".to_owned(),
             is_expected: |e| matches!(e, TrafficError::DuplicateService { .. }),
         },
     ];
     for (index, case) in cases.iter().enumerate() {
-        let mut raw = config(vec![route("one", "h", "/a/"), route("two", "h", "/b/")]);
+        let mut raw = raw_config(vec![raw_route("one", "h", "/a/"), raw_route("two", "h", "/b/")]);
         assert!(TrafficConfig::try_from(raw.clone()).is_ok());
-        (case.spoil)(&mut raw);
-        let error = TrafficConfig::try_from(raw).expect_err("a spoilt configuration");
+        (case.invalidate)(&mut raw);
+        let error = TrafficConfig::try_from(raw).expect_err("an invalid configuration");
         assert!((case.is_expected)(&error), "case {index}: {error}");
     }
 }
 
 #[test]
-fn weights_divide_a_routes_requests() {
-    let mut split = route("split", "h", "/");
+fn requests_are_split_by_target_weight() {
+    let mut split = raw_route("split", "h", "/");
     split.targets = vec![("desk".to_owned(), 0), ("pool".to_owned(), 90), ("desk".to_owned(), 10)];
-    let checked = TrafficConfig::try_from(config(vec![split])).expect("a good configuration");
+    let checked = TrafficConfig::try_from(raw_config(vec![split])).expect("a valid configuration");
     let found = checked.routes().find("h", "/1").expect("a route");
     let to_pool =
         (0..1_000).filter(|i| found.target(f64::from(*i) / 1_000.0).as_str() == "pool").count();
     assert_eq!(to_pool, 900);
 }
 
-fn workspace(name: &str, keys: &[&str]) -> RawWorkspace {
+fn raw_workspace(name: &str, keys: &[&str]) -> RawWorkspace {
     RawWorkspace {
         name: name.to_owned(),
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
@@ -147,56 +147,63 @@
 }
 
 #[test]
-fn workspaces_are_found_by_their_keys() {
-    let mut raw = config(Vec::new());
-    raw.workspaces = vec![workspace("clerks", &["a", "b", "a"]), workspace("crews", &["c"])];
-    let checked = TrafficConfig::try_from(raw).expect("a good configuration");
-    let holder = |key: &str| {
+fn workspace_is_found_by_any_of_its_keys() {
+    let mut raw = raw_config(Vec::new());
+    raw.workspaces =
+        vec![raw_workspace("clerks", &["a", "b", "a"]), raw_workspace("crews", &["c"])];
+    let checked = TrafficConfig::try_from(raw).expect("a valid configuration");
+    let find_name = |key: &str| {
         let found = checked.workspaces().find_by_key(&TokenHash::of(key));
         found.map(|workspace| workspace.name.to_string())
     };
-    let found = ["a", "b", "c", "d", ""].map(|key| holder(key).unwrap_or_default());
+    let found = ["a", "b", "c", "d", ""].map(|key| find_name(key).unwrap_or_default());
     assert_eq!(found, ["clerks", "clerks", "crews", "", ""]);
 }
 
 #[test]
-fn bad_workspaces_are_refused_without_telling_a_key() {
+fn invalid_workspaces_are_rejected_without_revealing_keys() {
     struct Case {
         workspaces: Vec<RawWorkspace>,
-        says: &'static str,
+        expected_message: &'static str,
     }
     let cases = [
         Case {
-            workspaces: vec![workspace("clerks", &["secret"]), workspace("crews", &["secret"])],
-            says: "workspaces \"clerks\" and \"crews\" have a key in common",
+            workspaces: vec![
+                raw_workspace("clerks", &["secret"]),
+                raw_workspace("crews", &["secret"]),
+            ],
+            expected_message: "workspaces \"clerks\" and \"crews\" share a key",
         },
         Case {
-            workspaces: vec![workspace("clerks", &["secret", ""])],
-            says: "workspace \"clerks\" has an empty key",
+            workspaces: vec![raw_workspace("clerks", &["secret", ""])],
+            expected_message: "workspace \"clerks\" has an empty key",
         },
         Case {
-            workspaces: vec![workspace("clerks", &["secret"]), workspace("clerks", &[])],
-            says: "workspace \"clerks\" stands there twice",
+            workspaces: vec![raw_workspace("clerks", &["secret"]), raw_workspace("clerks", &[])],
+            expected_message: "workspace \"clerks\" is defined twice",
+        },
+        Case {
+            workspaces: vec![raw_workspace("", &["secret"])],
+            expected_message: "workspace name is empty",
         },
-        Case { workspaces: vec![workspace("", &["secret"])], says: "workspace name is empty" },
     ];
     for case in cases {
-        let mut raw = config(Vec::new());
+        let mut raw = raw_config(Vec::new());
         raw.workspaces = case.workspaces;
-        assert!(!format!("{raw:?}").contains("secret"), "{}", case.says);
-        let error = TrafficConfig::try_from(raw).expect_err("a bad workspace").to_string();
-        assert!(error.contains(case.says) && !error.contains("secret"), "{error}");
+        assert!(!format!("{raw:?}").contains("secret"), "{}", case.expected_message);
+        let error = TrafficConfig::try_from(raw).expect_err("an invalid workspace").to_string();
+        assert!(error.contains(case.expected_message) && !error.contains("secret"), "{error}");
     }
 }
 
 #[test]
-fn a_rate_of_nothing_is_no_limit() {
-    let mut raw = config(Vec::new());
+fn quota_with_rate_zero_is_unlimited() {
+    let mut raw = raw_config(Vec::new());
     let quota = |rate| Some(RawQuota { unit: QuotaUnit::Requests, rate, burst: 5.0 });
-    let limited = RawWorkspace { quota: quota(2.0), ..workspace("limited", &[]) };
-    let free = RawWorkspace { quota: quota(0.0), ..workspace("free", &[]) };
-    raw.workspaces = vec![limited, free];
-    let checked = TrafficConfig::try_from(raw).expect("a good configuration");
+    let limited = RawWorkspace { quota: quota(2.0), ..raw_workspace("limited", &[]) };
+    let unlimited = RawWorkspace { quota: quota(0.0), ..raw_workspace("free", &[]) };
+    raw.workspaces = vec![limited, unlimited];
+    let checked = TrafficConfig::try_from(raw).expect("a valid configuration");
     let limits: Vec<_> = checked.workspaces().iter().map(|w| w.quota.map(|q| q.rate)).collect();
     assert_eq!(limits, [None, Some(2.0)]);
 }
