--- a/crates/document/src/check.rs
+++ b/crates/document/src/check.rs
@@ -1,39 +1,43 @@
-//! The checks that turn a parsed document into one that the system may act on.
+//! Validation of a parsed document.
 
 use {
     crate::{
         BackendRules, DocumentError, IdempotencyRule, LatencyTarget, ModelUse, PlainServiceUse,
         RequestLimits, ServiceDocument, WorkspaceRules,
-        raw::{RawDocument, RawLimits, RawRule, RawTarget, RawWorkspace},
+        raw::{RawDocument, RawIdempotencyRule, RawLatencyTarget, RawLimits, RawWorkspace},
     },
     gullglade_units::{ModelName, RegionName},
     std::{collections::BTreeSet, fmt::Display, time::Duration},
 };
 
-/// Methods that a rule may name.
-const METHODS: [&str; 5] = ["POST", "PUT", "PATCH", "DELETE", "GET"];
+/// HTTP methods that an [`IdempotencyRule`] may name.
+const RULE_METHODS: [&str; 5] = ["POST", "PUT", "PATCH", "DELETE", "GET"];
 
-/// Checks `raw`, which was parsed from `text`; errors name the line of the value at fault.
-pub(crate) fn check_document(
+/// Validates `raw`, which was parsed from `text`.
+///
+/// # Errors
+///
+/// [`DocumentError::InvalidValue`] with the line of the first invalid value.
+pub(crate) fn validate_document(
     text: &str,
     raw: RawDocument,
 ) -> Result<ServiceDocument, DocumentError> {
-    let checker = TextChecker { text };
-    checker.regions(&raw)?;
-    checker.unique("models", raw.models.iter().map(|m| m.name.as_str()))?;
-    checker.unique("plain_services", raw.plain_services.iter().map(|p| p.name.as_str()))?;
-    checker.unique("workspaces", raw.workspaces.iter().map(|w| w.name.as_str()))?;
-    checker.uses_something(&raw)?;
-    checker.share("latency_weight", raw.latency_weight)?;
-    let claim_region = checker.claim_region(&raw)?;
-    let limits = checker.limits(&raw.limits)?;
-    let target = checker.target(&raw.target)?;
-    let backends = checker.backends(&raw)?;
+    let validator = Validator { text };
+    validator.check_regions(&raw)?;
+    validator.check_unique("models", raw.models.iter().map(|m| m.name.as_str()))?;
+    validator.check_unique("plain_services", raw.plain_services.iter().map(|p| p.name.as_str()))?;
+    validator.check_unique("workspaces", raw.workspaces.iter().map(|w| w.name.as_str()))?;
+    validator.check_not_empty(&raw)?;
+    validator.check_share("latency_weight", raw.latency_weight)?;
+    let claim_region = validator.resolve_claim_region(&raw)?;
+    let limits = validator.validate_limits(&raw.limits)?;
+    let target = validator.validate_target(&raw.target)?;
+    let backends = validator.validate_backends(&raw)?;
     let models = raw
         .models
         .into_iter()
         .map(|m| {
-            let regions = checker.subset("models.regions", m.regions, &raw.regions)?;
+            let regions = validator.resolve_regions("models.regions", m.regions, &raw.regions)?;
             Ok(ModelUse { name: m.name, regions })
         })
         .collect::<Result<Vec<_>, _>>()?;
@@ -41,19 +45,20 @@
         .plain_services
         .into_iter()
         .map(|p| {
-            let regions = checker.subset("plain_services.regions", p.regions, &raw.regions)?;
+            let regions =
+                validator.resolve_regions("plain_services.regions", p.regions, &raw.regions)?;
             Ok(PlainServiceUse { name: p.name, regions })
         })
         .collect::<Result<Vec<_>, _>>()?;
     let non_idempotent = raw
         .non_idempotent
         .into_iter()
-        .map(|rule| checker.rule(rule, &models))
+        .map(|rule| validator.validate_rule(rule, &models))
         .collect::<Result<_, _>>()?;
     let workspaces = raw
         .workspaces
         .into_iter()
-        .map(|w| checker.workspace(w, &raw.regions))
+        .map(|w| validator.validate_workspace(w, &raw.regions))
         .collect::<Result<_, _>>()?;
     Ok(ServiceDocument {
         name: raw.service,
@@ -70,45 +75,46 @@
     })
 }
 
-/// Checks values against the text they came from, so that a refusal can name the line.
-struct TextChecker<'a> {
+/// Validates parsed values. Holds the text of the document so that errors can state the line.
+struct Validator<'a> {
     text: &'a str,
 }
 
-impl TextChecker<'_> {
-    /// The first line, from 1, on which `value` stands; 1 where it stands nowhere (a default).
-    fn line(&self, value: &str) -> usize {
+impl Validator<'_> {
+    /// Returns the number, starting at 1, of the first line that contains `value`; 1 if no line
+    /// does, as for a default value.
+    fn find_line(&self, value: &str) -> usize {
         self.text.lines().position(|line| line.contains(value)).map_or(1, |index| index + 1)
     }
 
-    fn refuse<T>(
+    fn reject<T>(
         &self,
-        at: &str,
+        search_text: &str,
         key: &'static str,
         reason: impl Display,
         remedy: impl Display,
     ) -> Result<T, DocumentError> {
         Err(DocumentError::InvalidValue {
-            line: self.line(at),
+            line: self.find_line(search_text),
             key,
             reason: reason.to_string(),
             remedy: remedy.to_string(),
         })
     }
 
-    fn regions(&self, raw: &RawDocument) -> Result<(), DocumentError> {
+    fn check_regions(&self, raw: &RawDocument) -> Result<(), DocumentError> {
         if raw.regions.is_empty() {
-            return self.refuse(
+            return self.reject(
                 "regions",
                 "regions",
-                "no region is allowed, so no request could ever run",
+                "the list is empty, so no request could run",
                 "name at least one region",
             );
         }
-        self.unique("regions", raw.regions.iter().map(RegionName::as_str))
+        self.check_unique("regions", raw.regions.iter().map(RegionName::as_str))
     }
 
-    fn unique<'n>(
+    fn check_unique<'n>(
         &self,
         key: &'static str,
         names: impl Iterator<Item = &'n str>,
@@ -116,43 +122,43 @@
         let mut seen = BTreeSet::new();
         for name in names {
             if !seen.insert(name) {
-                return self.refuse(
+                return self.reject(
                     name,
                     key,
-                    format_args!("{name:?} stands twice"),
-                    "remove one of the two",
+                    format_args!("{name:?} is listed twice"),
+                    "remove one of the entries",
                 );
             }
         }
         Ok(())
     }
 
-    fn uses_something(&self, raw: &RawDocument) -> Result<(), DocumentError> {
+    fn check_not_empty(&self, raw: &RawDocument) -> Result<(), DocumentError> {
         if raw.models.is_empty() && raw.plain_services.is_empty() {
-            return self.refuse(
+            return self.reject(
                 "service",
                 "models",
-                "the service uses neither a model nor a plain service",
+                "the service has neither a model nor a plain service",
                 "add a [[models]] or [[plain_services]] entry",
             );
         }
         if raw.workspaces.is_empty() {
-            return self.refuse(
+            return self.reject(
                 "workspaces",
                 "workspaces",
-                "nobody may call the service",
+                "no workspace may call the service",
                 "add a [[workspaces]] entry with a token hash",
             );
         }
         Ok(())
     }
 
-    fn claim_region(&self, raw: &RawDocument) -> Result<RegionName, DocumentError> {
+    fn resolve_claim_region(&self, raw: &RawDocument) -> Result<RegionName, DocumentError> {
         let Some(region) = &raw.claim_region else { return Ok(raw.regions[0].clone()) };
         if raw.regions.contains(region) {
             return Ok(region.clone());
         }
-        self.refuse(
+        self.reject(
             "claim_region",
             "claim_region",
             format_args!("{region} is not among the service's regions"),
@@ -160,7 +166,7 @@
         )
     }
 
-    fn subset(
+    fn resolve_regions(
         &self,
         key: &'static str,
         regions: Option<Vec<RegionName>>,
@@ -168,16 +174,16 @@
     ) -> Result<Vec<RegionName>, DocumentError> {
         let Some(regions) = regions else { return Ok(allowed.to_vec()) };
         if regions.is_empty() {
-            return self.refuse(
+            return self.reject(
                 "regions = []",
                 key,
-                "the list is empty, so it could never run",
-                "name a region, or leave the key out to allow all of the service's regions",
+                "the list is empty, so it could not run in any region",
+                "name a region, or remove the key to allow all of the service's regions",
             );
         }
-        self.unique(key, regions.iter().map(RegionName::as_str))?;
+        self.check_unique(key, regions.iter().map(RegionName::as_str))?;
         if let Some(region) = regions.iter().find(|r| !allowed.contains(r)) {
-            return self.refuse(
+            return self.reject(
                 region.as_str(),
                 key,
                 format_args!("{region} is not among the service's regions"),
@@ -187,26 +193,36 @@
         Ok(regions)
     }
 
-    fn share(&self, key: &'static str, value: f64) -> Result<(), DocumentError> {
+    fn check_share(&self, key: &'static str, value: f64) -> Result<(), DocumentError> {
         if (0.0..=1.0).contains(&value) {
             return Ok(());
         }
-        self.refuse(key, key, format_args!("{value} is outside 0 to 1"), "give a share from 0 to 1")
+        self.reject(
+            key,
+            key,
+            format_args!("{value} is not between 0 and 1"),
+            "give a value between 0 and 1",
+        )
     }
 
-    fn positive(&self, key: &'static str, value: u64) -> Result<(), DocumentError> {
+    fn check_positive(&self, key: &'static str, value: u64) -> Result<(), DocumentError> {
         if value > 0 {
             return Ok(());
         }
-        self.refuse(key, key, "0 would refuse every request", "give 1 or more, or leave it out")
+        self.reject(
+            key,
+            key,
+            "0 would reject every request",
+            "give 1 or more, or remove the key for the default",
+        )
     }
 
-    fn limits(&self, raw: &RawLimits) -> Result<RequestLimits, DocumentError> {
-        self.positive("body_bytes", raw.body_bytes as u64)?;
-        self.positive("answer_bytes", raw.answer_bytes as u64)?;
-        self.positive("deadline_ms", raw.deadline_ms)?;
-        self.share("retry_share", raw.retry_share)?;
-        self.share("away_share", raw.away_share)?;
+    fn validate_limits(&self, raw: &RawLimits) -> Result<RequestLimits, DocumentError> {
+        self.check_positive("body_bytes", raw.body_bytes as u64)?;
+        self.check_positive("answer_bytes", raw.answer_bytes as u64)?;
+        self.check_positive("deadline_ms", raw.deadline_ms)?;
+        self.check_share("retry_share", raw.retry_share)?;
+        self.check_share("away_share", raw.away_share)?;
         Ok(RequestLimits {
             body_bytes: raw.body_bytes,
             answer_bytes: raw.answer_bytes,
@@ -216,15 +232,15 @@
         })
     }
 
-    fn target(&self, raw: &RawTarget) -> Result<LatencyTarget, DocumentError> {
-        self.positive("first_token_ms", raw.first_token_ms)?;
+    fn validate_target(&self, raw: &RawLatencyTarget) -> Result<LatencyTarget, DocumentError> {
+        self.check_positive("first_token_ms", raw.first_token_ms)?;
         Ok(LatencyTarget { first_token: Duration::from_millis(raw.first_token_ms) })
     }
 
-    fn backends(&self, raw: &RawDocument) -> Result<BackendRules, DocumentError> {
+    fn validate_backends(&self, raw: &RawDocument) -> Result<BackendRules, DocumentError> {
         let rules = &raw.backends;
-        self.unique("backends.names", rules.names.iter().map(|n| n.as_str()))?;
-        self.unique("backends.retired", rules.retired.iter().map(|n| n.as_str()))?;
+        self.check_unique("backends.names", rules.names.iter().map(|n| n.as_str()))?;
+        self.check_unique("backends.retired", rules.retired.iter().map(|n| n.as_str()))?;
         Ok(BackendRules {
             names: rules.names.clone(),
             tokens: rules.token_sha256.clone(),
@@ -232,15 +248,19 @@
         })
     }
 
-    fn rule(&self, rule: RawRule, models: &[ModelUse]) -> Result<IdempotencyRule, DocumentError> {
+    fn validate_rule(
+        &self,
+        rule: RawIdempotencyRule,
+        models: &[ModelUse],
+    ) -> Result<IdempotencyRule, DocumentError> {
         match rule {
-            RawRule { model: Some(model), method: None, path: None } => {
-                self.model_rule(model, models)
+            RawIdempotencyRule { model: Some(model), method: None, path: None } => {
+                self.validate_model_rule(model, models)
             }
-            RawRule { model: None, method: Some(method), path: Some(path) } => {
-                self.path_rule(method, path)
+            RawIdempotencyRule { model: None, method: Some(method), path: Some(path) } => {
+                self.validate_path_rule(method, path)
             }
-            _ => self.refuse(
+            _ => self.reject(
                 "non_idempotent",
                 "non_idempotent",
                 "a rule names either a model, or a method and a path",
@@ -249,7 +269,7 @@
         }
     }
 
-    fn model_rule(
+    fn validate_model_rule(
         &self,
         model: ModelName,
         models: &[ModelUse],
@@ -257,7 +277,7 @@
         if models.iter().any(|m| m.name == model) {
             return Ok(IdempotencyRule::Model(model));
         }
-        self.refuse(
+        self.reject(
             model.as_str(),
             "non_idempotent.model",
             format_args!("the service does not use model {model}"),
@@ -265,33 +285,37 @@
         )
     }
 
-    fn path_rule(&self, method: String, path: String) -> Result<IdempotencyRule, DocumentError> {
-        if !METHODS.contains(&method.as_str()) {
-            return self.refuse(
+    fn validate_path_rule(
+        &self,
+        method: String,
+        path: String,
+    ) -> Result<IdempotencyRule, DocumentError> {
+        if !RULE_METHODS.contains(&method.as_str()) {
+            return self.reject(
                 &method,
                 "non_idempotent.method",
-                format_args!("{method:?} is not a method"),
-                format_args!("give one of {}", METHODS.join(", ")),
+                format_args!("{method:?} is not an allowed method"),
+                format_args!("give one of {}", RULE_METHODS.join(", ")),
             );
         }
         if !path.starts_with('/') {
-            return self.refuse(
+            return self.reject(
                 &path,
                 "non_idempotent.path",
-                format_args!("{path:?} is not absolute, so it would match nothing"),
+                format_args!("{path:?} is not absolute, so it would match no request"),
                 "begin it with '/', as in /services/order-desk/orders",
             );
         }
         Ok(IdempotencyRule::Path { method, path })
     }
 
-    fn workspace(
+    fn validate_workspace(
         &self,
         raw: RawWorkspace,
         regions: &[RegionName],
     ) -> Result<WorkspaceRules, DocumentError> {
         if raw.token_sha256.is_empty() {
-            return self.refuse(
+            return self.reject(
                 raw.name.as_str(),
                 "workspaces.token_sha256",
                 format_args!("workspace {} has no token, so it cannot call", raw.name),
@@ -299,7 +323,7 @@
             );
         }
         if let Some(home) = raw.home.as_ref().filter(|home| !regions.contains(home)) {
-            return self.refuse(
+            return self.reject(
                 home.as_str(),
                 "workspaces.home",
                 format_args!("{home} is not among the service's regions"),
@@ -307,10 +331,10 @@
             );
         }
         if raw.share == 0 {
-            return self.refuse(
+            return self.reject(
                 "share = 0",
                 "workspaces.share",
-                format_args!("workspace {} would wait for ever", raw.name),
+                format_args!("workspace {} would never be served", raw.name),
                 "give 1 or more",
             );
         }
--- a/crates/document/src/document.rs
+++ b/crates/document/src/document.rs
@@ -1,61 +1,63 @@
-//! The checked document.
+//! The validated service document.
 
 use {
-    crate::{DocumentError, TokenHash, check::check_document, raw::RawDocument},
+    crate::{DocumentError, TokenHash, check::validate_document, raw::RawDocument},
     gullglade_units::{BackendName, ModelName, RegionName, ServiceName, WorkspaceName},
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
 
-/// The most bytes of a document's text.
 const MAX_DOCUMENT_BYTES: usize = 256 << 10;
 
-/// One team's service, checked: every region, model and rule named in it goes with the others.
+/// The validated configuration of one team's service. Its references to regions and models are
+/// consistent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceDocument {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Where the service's data may travel; never empty, in the document's order.
+    /// Regions in which the service's data may be processed, in the order of the document; never
+    /// empty.
     pub regions: Vec<RegionName>,
-    /// The region that decides claims on keys that name no region themselves.
+    /// Region that decides claims on idempotency keys that do not name a region.
     pub claim_region: RegionName,
-    /// 1.0 weighs only tail latency, 0.0 only the share sent away.
+    /// Weight of tail latency against the share of requests sent to other regions, from 0.0 (only
+    /// the share counts) to 1.0 (only latency counts).
     pub latency_weight: f64,
-    /// Models callers may use.
+    /// Models that callers may use.
     pub models: Vec<ModelUse>,
-    /// Plain services callers may use.
+    /// Plain services that callers may use.
     pub plain_services: Vec<PlainServiceUse>,
-    /// Which requests are non-idempotent.
+    /// Rules that mark requests as non-idempotent; a request is marked if any rule matches.
     pub non_idempotent: Vec<IdempotencyRule>,
-    /// How backend servers join and retire.
+    /// Rules for the registration and retirement of backend servers.
     pub backends: BackendRules,
-    /// Bounds on each request.
+    /// Limits on each request.
     pub limits: RequestLimits,
-    /// What "fast enough" means.
+    /// Latency objective of the service.
     pub target: LatencyTarget,
-    /// Who may call.
+    /// Workspaces that may call the service.
     pub workspaces: Vec<WorkspaceRules>,
 }
 
-/// A model and where it may run.
+/// A model and the regions in which it may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelUse {
-    /// The model.
+    /// Name of the model.
     pub name: ModelName,
-    /// A subset of the service's regions.
+    /// Regions in which the model may run, a subset of the service's regions.
     pub regions: Vec<RegionName>,
 }
 
-/// A plain service and where it may run.
+/// A plain service, which is not a model engine, and the regions in which it may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlainServiceUse {
-    /// Its name, as in `/services/{name}/`.
+    /// Name of the plain service, as in the path `/services/{name}/`.
     pub name: ServiceName,
-    /// A subset of the service's regions.
+    /// Regions in which the plain service may run, a subset of the service's regions.
     pub regions: Vec<RegionName>,
 }
 
-/// What a request is addressed to.
+/// The destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServiceTarget {
     /// A model engine.
@@ -73,85 +75,86 @@
     }
 }
 
-/// Marks requests that must run at most once.
+/// A rule that marks requests as non-idempotent, so that they run at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdempotencyRule {
-    /// Requests of `method` whose path is `path` or lies below it.
+    /// Matches requests with `method` whose path is `path` or is below it.
     Path {
-        /// Upper-case HTTP method.
+        /// HTTP method, in upper case.
         method: String,
-        /// An absolute path.
+        /// Absolute path.
         path: String,
     },
-    /// Every request to the model.
+    /// Matches every request to the model.
     Model(ModelName),
 }
 
-/// How backend servers join and retire.
+/// Rules for the registration and retirement of backend servers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendRules {
-    /// The only names that may announce themselves; empty allows every name.
+    /// Names of the backend servers that may register; empty allows every name.
     pub names: Vec<BackendName>,
-    /// Hashes of the tokens with which they announce; empty asks for none.
+    /// Hashes of the tokens that authorize a registration; if empty, no token is required.
     pub tokens: Vec<TokenHash>,
-    /// Those that get no new work of this service, whatever they announce.
+    /// Backend servers that receive no new requests of this service, whatever state they announce.
     pub retired: Vec<BackendName>,
 }
 
-/// Bounds on each request.
+/// Limits on each request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestLimits {
-    /// Largest request body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Largest whole answer that is stored for resends of a non-idempotent request.
+    /// Maximum size, in bytes, of a complete answer that is stored so that it can be replayed when
+    /// a non-idempotent request is resent.
     pub answer_bytes: usize,
-    /// How long a caller waits before the answer is worth nothing.
+    /// Maximum time that a caller waits, after which the answer has no value.
     pub deadline: Duration,
-    /// Retries allowed per first attempt, as a share of them.
+    /// Retry budget, as a ratio of retries to first attempts.
     pub retry_share: f64,
-    /// The most of the service's requests that may be sent away from their region.
+    /// Maximum share of the service's requests that may be sent to another region.
     pub away_share: f64,
 }
 
-/// Targets for 95 in 100 requests.
+/// Latency objective for the 95th percentile of requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LatencyTarget {
-    /// Time to the first token.
+    /// Time to first token.
     pub first_token: Duration,
 }
 
-/// A workspace of the service.
+/// Rules for one workspace of the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspaceRules {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceName,
-    /// Hashes of its bearer tokens.
+    /// Hashes of the workspace's bearer tokens.
     pub tokens: Vec<TokenHash>,
-    /// The one region its requests are bound to, if any.
+    /// Region to which the workspace's requests are restricted; `None` for no restriction.
     pub home: Option<RegionName>,
-    /// Its weight among the workspaces where capacity is short.
+    /// Weight of the workspace, relative to the others, when capacity is short.
     pub share: u32,
-    /// The priority of its requests.
+    /// Priority of the workspace's requests.
     pub priority: Priority,
 }
 
-/// How urgent a request is; a lower one waits while a higher one is queued.
+/// The priority of a request. A request waits while one of higher priority is queued.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Someone waits with idle machines.
+    /// A person is waiting, and machines stay idle until the answer arrives.
     High,
-    /// Someone waits.
+    /// A person is waiting for the answer.
     #[default]
     Normal,
-    /// Nobody waits.
+    /// No person is waiting for the answer.
     Low,
 }
 
 impl ServiceDocument {
-    /// The regions `target` may run in, or `None` where the service does not use it.
+    /// Returns the regions in which `target` may run, or `None` if the service does not use it.
     pub fn regions_of(&self, target: &ServiceTarget) -> Option<&[RegionName]> {
         match target {
             ServiceTarget::Model(name) => {
@@ -163,19 +166,19 @@
         }
     }
 
-    /// Whether a request must run at most once.
+    /// Returns whether a request must run at most once.
     pub fn is_non_idempotent(&self, method: &str, path: &str, target: &ServiceTarget) -> bool {
         self.non_idempotent.iter().any(|rule| match rule {
             IdempotencyRule::Model(model) => {
                 matches!(target, ServiceTarget::Model(name) if name == model)
             }
-            IdempotencyRule::Path { method: m, path: p } => m == method && is_below(path, p),
+            IdempotencyRule::Path { method: m, path: p } => m == method && is_at_or_below(path, p),
         })
     }
 }
 
-/// Whether `path` is `prefix` or lies below it.
-fn is_below(path: &str, prefix: &str) -> bool {
+/// Returns whether `path` equals `prefix` or is below it.
+fn is_at_or_below(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else { return false };
     rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
 }
@@ -183,12 +186,13 @@
 impl TryFrom<&str> for ServiceDocument {
     type Error = DocumentError;
 
-    /// Parses and checks a text: JSON where it begins with `{`, else TOML.
+    /// Parses and validates a document: JSON if the text begins with `{` after white space, else
+    /// TOML.
     fn try_from(text: &str) -> Result<Self, DocumentError> {
         if text.len() > MAX_DOCUMENT_BYTES {
             return Err(DocumentError::TooLong { length: text.len(), limit: MAX_DOCUMENT_BYTES });
         }
-        check_document(text, parse(text)?)
+        validate_document(text, parse(text)?)
     }
 }
 
@@ -198,12 +202,12 @@
             .map_err(|e| DocumentError::Syntax { line: e.line(), reason: e.to_string() });
     }
     toml::from_str(text).map_err(|e| DocumentError::Syntax {
-        line: e.span().map_or(1, |span| line_at(text, span.start)),
+        line: e.span().map_or(1, |span| line_number(text, span.start)),
         reason: e.message().to_owned(),
     })
 }
 
-/// The line, from 1, of byte `offset`.
-fn line_at(text: &str, offset: usize) -> usize {
+/// Returns the line number, starting at 1, of the byte at `offset`.
+fn line_number(text: &str, offset: usize) -> usize {
     1 + text.bytes().take(offset).filter(|b| *b == b'\n').count()
 }
--- a/crates/document/src/error.rs
+++ b/crates/document/src/error.rs
@@ -1,37 +1,37 @@
-//! Why a text is not an acceptable service document.
+//! Errors in a service document.
 
 use snafu::Snafu;
 
-/// A refusal: where, why, and what to do about it.
+/// The reason why a service document was rejected. Its message includes the remedy.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DocumentError {
-    /// The text is longer than a document may be.
+    /// The text exceeds the maximum size of a document.
     #[snafu(display("the document has {length} bytes; shorten it to {limit} or fewer"))]
     TooLong {
-        /// Bytes given.
+        /// Size of the text, in bytes.
         length: usize,
-        /// Bytes allowed.
+        /// Maximum size, in bytes.
         limit: usize,
     },
     /// The text does not parse, or a key is unknown, or a value has the wrong type.
     #[snafu(display("line {line}: {reason}; `examples/` shows every key with its type"))]
     Syntax {
-        /// Line of the text, from 1.
+        /// Line number in the text, starting at 1.
         line: usize,
-        /// The parser's words.
+        /// Message of the parser.
         reason: String,
     },
-    /// The values do not go together.
+    /// A value is out of range, duplicated, or inconsistent with another value.
     #[snafu(display("line {line}: {key}: {reason}; {remedy}"))]
     InvalidValue {
-        /// Line of the text, from 1, where the key or value first stands.
+        /// Line number, starting at 1, of the first occurrence of the key or value.
         line: usize,
-        /// The key at fault.
+        /// Key of the invalid value.
         key: &'static str,
-        /// What is wrong.
+        /// Description of the problem.
         reason: String,
-        /// What to write instead.
+        /// Instruction for correcting the document.
         remedy: String,
     },
 }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,9 +1,9 @@
-//! The service document: what one team states about its service, parsed and checked.
+//! The service document: one team's configuration of its service, parsed and validated.
 //!
-//! Documents are text that people write and review (TOML or JSON). They are checked once, on
-//! entry; after that the system works with [`ServiceDocument`] and, for all services together,
-//! with the read-only [`ConfigView`] that a [`ConfigSource`] hands out. The text itself is what
-//! the control processes replicate, so a document reads back exactly as it was accepted.
+//! Documents are text that people write and review, in TOML or JSON. A document is validated once,
+//! when it is submitted. From then on the system uses [`ServiceDocument`] and, for all services
+//! together, the read-only [`ConfigView`] that a [`ConfigSource`] provides. The control processes
+//! replicate the text itself, so a document reads back exactly as it was accepted.
 
 mod check;
 mod document;
--- a/crates/document/src/raw.rs
+++ b/crates/document/src/raw.rs
@@ -1,4 +1,4 @@
-//! The document as written: serde's view of the text, before any check.
+//! The parsed document before validation.
 
 use {
     crate::{Priority, TokenHash},
@@ -6,32 +6,32 @@
     serde::Deserialize,
 };
 
-/// Every key of a document. Unknown keys are refused, because a misspelt limit that is silently
-/// ignored is noticed only when it is needed.
+/// All keys of a document. Unknown keys are rejected, because a misspelt limit that is silently
+/// ignored would go unnoticed until the limit is needed.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawDocument {
     pub(crate) service: ServiceName,
     pub(crate) regions: Vec<RegionName>,
     pub(crate) claim_region: Option<RegionName>,
-    #[serde(default = "default_balance")]
+    #[serde(default = "default_latency_weight")]
     pub(crate) latency_weight: f64,
     #[serde(default)]
     pub(crate) models: Vec<RawModel>,
     #[serde(default)]
-    pub(crate) plain_services: Vec<RawPlain>,
+    pub(crate) plain_services: Vec<RawPlainService>,
     #[serde(default)]
-    pub(crate) non_idempotent: Vec<RawRule>,
+    pub(crate) non_idempotent: Vec<RawIdempotencyRule>,
     #[serde(default)]
     pub(crate) backends: RawBackends,
     #[serde(default)]
     pub(crate) limits: RawLimits,
     #[serde(default)]
-    pub(crate) target: RawTarget,
+    pub(crate) target: RawLatencyTarget,
     pub(crate) workspaces: Vec<RawWorkspace>,
 }
 
-fn default_balance() -> f64 {
+fn default_latency_weight() -> f64 {
     0.5
 }
 
@@ -44,14 +44,14 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct RawPlain {
+pub(crate) struct RawPlainService {
     pub(crate) name: ServiceName,
     pub(crate) regions: Option<Vec<RegionName>>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct RawRule {
+pub(crate) struct RawIdempotencyRule {
     pub(crate) method: Option<String>,
     pub(crate) path: Option<String>,
     pub(crate) model: Option<ModelName>,
@@ -89,11 +89,11 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub(crate) struct RawTarget {
+pub(crate) struct RawLatencyTarget {
     pub(crate) first_token_ms: u64,
 }
 
-impl Default for RawTarget {
+impl Default for RawLatencyTarget {
     fn default() -> Self {
         Self { first_token_ms: 1_200 }
     }
--- a/crates/document/src/view.rs
+++ b/crates/document/src/view.rs
@@ -1,4 +1,4 @@
-//! All documents in force, indexed for the gateway.
+//! The documents currently in effect, indexed by service and by token.
 
 use {
     crate::{ServiceDocument, TokenHash},
@@ -7,27 +7,28 @@
     std::rc::Rc,
 };
 
-/// What a token allows: one workspace of one service.
+/// The access that a token grants: one workspace of one service.
 #[derive(Debug, Clone)]
 pub struct TokenGrant {
-    /// The service's document.
+    /// Document of the service.
     pub document: Rc<ServiceDocument>,
-    /// Index into the document's workspaces.
+    /// Index into [`ServiceDocument::workspaces`].
     pub workspace: usize,
 }
 
 impl TokenGrant {
-    /// The workspace's rules.
+    /// Returns the rules of the workspace.
     pub fn rules(&self) -> &crate::WorkspaceRules {
         &self.document.workspaces[self.workspace]
     }
 }
 
-/// The configuration at one index of the control log.
+/// An immutable snapshot of the configuration at one index of the control log.
 ///
-/// Views share what did not change between them. A process that holds thousands of documents gets
-/// a new view with each change; building it anew stalls every stream of the process meanwhile
-/// (23 ms with 8,900 documents of 16 workspaces, and tokens are due every 31 ms).
+/// Views are persistent data structures and share their unchanged parts. A process that holds
+/// thousands of documents gets a new view with each change. Rebuilding the view from scratch would
+/// block every stream of the process for 23 ms (with 8,900 documents of 16 workspaces), while
+/// streams have to deliver a token every 31 ms.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigView {
     index: u64,
@@ -36,15 +37,15 @@
 }
 
 impl ConfigView {
-    /// The view of `documents` at log index `index`.
+    /// Creates a view of `documents` at log index `index`.
     pub fn new(index: u64, documents: impl IntoIterator<Item = Rc<ServiceDocument>>) -> Self {
         let mut view = Self { index, ..Self::default() };
-        documents.into_iter().for_each(|document| view.put(document));
+        documents.into_iter().for_each(|document| view.insert(document));
         view
     }
 
-    /// The view at log index `index`, where `changed` services have another document than here, or
-    /// none any more.
+    /// Returns a view at log index `index` in which the document of each service in `changed` is
+    /// replaced, or removed if it is `None`.
     pub fn with_changes(
         &self,
         index: u64,
@@ -53,19 +54,19 @@
         let mut view = Self { index, ..self.clone() };
         for (service, document) in changed {
             view.remove(&service);
-            document.into_iter().for_each(|document| view.put(document));
+            document.into_iter().for_each(|document| view.insert(document));
         }
         view
     }
 
-    fn put(&mut self, document: Rc<ServiceDocument>) {
+    fn insert(&mut self, document: Rc<ServiceDocument>) {
         self.remove(&document.name);
         for (workspace, rules) in document.workspaces.iter().enumerate() {
             for token in &rules.tokens {
                 let mut grants = self.grants.get(token).cloned().unwrap_or_default();
                 let grant = TokenGrant { document: Rc::clone(&document), workspace };
-                let at = grants.partition_point(|g| g.document.name <= document.name);
-                grants.insert(at, grant);
+                let position = grants.partition_point(|g| g.document.name <= document.name);
+                grants.insert(position, grant);
                 self.grants.insert_mut(*token, grants);
             }
         }
@@ -73,9 +74,9 @@
     }
 
     fn remove(&mut self, service: &ServiceName) {
-        let Some(old) = self.documents.get(service).cloned() else { return };
+        let Some(document) = self.documents.get(service).cloned() else { return };
         self.documents.remove_mut(service);
-        for token in old.workspaces.iter().flat_map(|rules| &rules.tokens) {
+        for token in document.workspaces.iter().flat_map(|rules| &rules.tokens) {
             let mut grants = self.grants.get(token).cloned().unwrap_or_default();
             grants.retain(|grant| grant.document.name != *service);
             match grants.is_empty() {
@@ -85,45 +86,48 @@
         }
     }
 
-    /// The control log's index of the last change in this view.
+    /// Returns the control log index of the last change that this view includes.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// The document of `service`.
+    /// Returns the document of `service`.
     pub fn document(&self, service: &ServiceName) -> Option<&Rc<ServiceDocument>> {
         self.documents.get(service)
     }
 
-    /// All documents, by service.
+    /// Iterates over all documents, ordered by service name.
     pub fn documents(&self) -> impl Iterator<Item = &Rc<ServiceDocument>> {
         self.documents.values()
     }
 
-    /// What a bearer token allows, one grant per service that lists it.
+    /// Returns the grants of a bearer token, ordered by service name: one for each workspace that
+    /// lists the token.
     pub fn grants(&self, token: &str) -> &[TokenGrant] {
         self.grants.get(&TokenHash::of(token)).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Hands out the configuration in force.
+/// Provides the configuration currently in effect.
 pub trait ConfigSource {
-    /// The newest view this process has, or `None` where it has none and must serve nothing.
+    /// Returns the newest view known to this process, or `None` if there is none yet, in which case
+    /// the process must not serve requests.
     fn current(&self) -> Option<Rc<ConfigView>>;
 
-    /// Whether the view may be older than what control has accepted. A gateway that may be stale
-    /// keeps work in its own region, since the rules that allowed it to travel may be gone.
+    /// Returns whether the control processes may have accepted changes that the view lacks. A
+    /// gateway with a possibly stale view keeps requests in its own region, because the rules that
+    /// allowed them to leave it may have been revoked.
     fn may_be_stale(&self) -> bool;
 }
 
-/// A configuration that never changes: for tests and for deployments without control processes.
+/// A configuration that never changes, for tests and for deployments without control processes.
 #[derive(Debug, Default)]
 pub struct FixedConfig {
     view: Option<Rc<ConfigView>>,
 }
 
 impl FixedConfig {
-    /// Always `view`.
+    /// Creates a source that always returns `view`.
     pub fn new(view: ConfigView) -> Self {
         Self { view: Some(Rc::new(view)) }
     }
--- a/crates/document/tests/document.rs
+++ b/crates/document/tests/document.rs
@@ -1,4 +1,5 @@
-//! Documents are accepted whole or refused with the line, the reason and the remedy.
+//! Tests of the parsing and validation of documents. An invalid document is rejected with the line,
+//! the reason and the remedy.
 
 use {
     gullglade_document::{
@@ -8,154 +9,162 @@
     std::rc::Rc,
 };
 
-const BALLAST: &str = include_str!("../../../examples/ballast-order-desk.toml");
-const PIPELINE: &str = include_str!("../../../examples/pipeline-inspection-runs.toml");
-const HASH: &str = "8d969eef6ecad3c29a3a629280e686cf0c3f5d5a86aff3ca12020c923adc6c92";
+const BALLAST_EXAMPLE: &str = include_str!("../../../examples/ballast-order-desk.toml");
+const PIPELINE_EXAMPLE: &str = include_str!("../../../examples/pipeline-inspection-runs.toml");
+const TOKEN_HASH: &str = "8d969eef6ecad3c29a3a629280e686cf0c3f5d5a86aff3ca12020c923adc6c92";
 
 #[test]
-fn examples_are_accepted() {
-    let ballast = ServiceDocument::try_from(BALLAST).unwrap();
+fn example_documents_are_accepted() {
+    let ballast = ServiceDocument::try_from(BALLAST_EXAMPLE).unwrap();
     assert_eq!(ballast.workspaces[0].priority, Priority::High);
-    let pipeline = ServiceDocument::try_from(PIPELINE).unwrap();
+    let pipeline = ServiceDocument::try_from(PIPELINE_EXAMPLE).unwrap();
     assert!(ballast.latency_weight > pipeline.latency_weight);
 }
 
 #[test]
-fn json_says_the_same_as_toml() {
+fn equivalent_json_and_toml_parse_to_equal_documents() {
     let json = format!(
         r#"{{"service":"s","regions":["a"],"models":[{{"name":"m"}}],
-            "workspaces":[{{"name":"w","token_sha256":["{HASH}"]}}]}}"#
+            "workspaces":[{{"name":"w","token_sha256":["{TOKEN_HASH}"]}}]}}"#
     );
     let toml = format!(
         "service = \"s\"\nregions = [\"a\"]\n[[models]]\nname = \"m\"\n\
-         [[workspaces]]\nname = \"w\"\ntoken_sha256 = [\"{HASH}\"]\n"
+         [[workspaces]]\nname = \"w\"\ntoken_sha256 = [\"{TOKEN_HASH}\"]\n"
     );
     let from_json = ServiceDocument::try_from(json.as_str()).unwrap();
     assert_eq!(from_json, ServiceDocument::try_from(toml.as_str()).unwrap());
 }
 
-struct RefusalCase {
+struct RejectionCase {
     name: &'static str,
     find: &'static str,
     replace: &'static str,
-    line_holds: &'static str,
-    message_holds: &'static str,
+    expected_line: &'static str,
+    expected_message: &'static str,
 }
 
 #[test]
-fn faults_are_refused_with_line_reason_and_remedy() {
+fn invalid_documents_are_rejected_with_line_reason_and_remedy() {
     let cases = [
-        RefusalCase {
+        RejectionCase {
             name: "unknown key",
             find: "away_share = 0.6",
             replace: "away_shore = 0.6",
-            line_holds: "away_shore",
-            message_holds: "unknown field `away_shore`",
+            expected_line: "away_shore",
+            expected_message: "unknown field `away_shore`",
         },
-        RefusalCase {
+        RejectionCase {
             name: "wrong type",
             find: "deadline_ms = 20000",
             replace: "deadline_ms = \"soon\"",
-            line_holds: "soon",
-            message_holds: "invalid type",
+            expected_line: "soon",
+            expected_message: "invalid type",
         },
-        RefusalCase {
+        RejectionCase {
             name: "claim region outside the regions",
             find: "claim_region = \"puget\"",
             replace: "claim_region = \"okanagan\"",
-            line_holds: "claim_region",
-            message_holds: "name one of `regions`",
+            expected_line: "claim_region",
+            expected_message: "name one of `regions`",
         },
-        RefusalCase {
+        RejectionCase {
             name: "home outside the regions",
             find: "home = \"puget\"",
             replace: "home = \"okanagan\"",
-            line_holds: "okanagan",
-            message_holds: "workspaces.home",
+            expected_line: "okanagan",
+            expected_message: "workspaces.home",
         },
-        RefusalCase {
+        RejectionCase {
             name: "no region",
             find: "regions = [\"puget\", \"columbia\", \"inland\"]",
             replace: "regions = []",
-            line_holds: "regions",
-            message_holds: "name at least one region",
+            expected_line: "regions",
+            expected_message: "name at least one region",
         },
-        RefusalCase {
-            name: "share outside 0 to 1",
+        RejectionCase {
+            name: "share not between 0 and 1",
             find: "retry_share = 0.1",
             replace: "retry_share = 3.0",
-            line_holds: "retry_share",
-            message_holds: "outside 0 to 1",
+            expected_line: "retry_share",
+            expected_message: "is not between 0 and 1",
         },
-        RefusalCase {
+        RejectionCase {
             name: "not a number",
             find: "latency_weight = 0.9",
             replace: "latency_weight = nan",
-            line_holds: "latency_weight",
-            message_holds: "outside 0 to 1",
+            expected_line: "latency_weight",
+            expected_message: "is not between 0 and 1",
         },
-        RefusalCase {
+        RejectionCase {
             name: "rule for a model that is not used",
             find: "method = \"POST\"\npath = \"/services/order-desk/orders\"",
             replace: "model = \"gravel\"",
-            line_holds: "gravel",
-            message_holds: "add it to [[models]]",
+            expected_line: "gravel",
+            expected_message: "add it to [[models]]",
         },
-        RefusalCase {
-            name: "rule with half its keys",
+        RejectionCase {
+            name: "rule with a path but no method",
             find: "method = \"POST\"\n",
             replace: "",
-            line_holds: "non_idempotent",
-            message_holds: "both `method` and `path`",
+            expected_line: "non_idempotent",
+            expected_message: "both `method` and `path`",
         },
-        RefusalCase {
+        RejectionCase {
             name: "relative path",
             find: "path = \"/services",
             replace: "path = \"services",
-            line_holds: "\"services",
-            message_holds: "not absolute",
+            expected_line: "\"services",
+            expected_message: "not absolute",
         },
-        RefusalCase {
-            name: "workspace twice",
+        RejectionCase {
+            name: "duplicate workspace",
             find: "name = \"clerks\"",
             replace: "name = \"roadmasters\"",
-            line_holds: "roadmasters",
-            message_holds: "stands twice",
+            expected_line: "roadmasters",
+            expected_message: "is listed twice",
         },
-        RefusalCase {
+        RejectionCase {
             name: "short hash",
             find: "token_sha256 = [\"",
             replace: "token_sha256 = [\"ab",
-            line_holds: "ab",
-            message_holds: "64 hexadecimal digits",
+            expected_line: "ab",
+            expected_message: "64 hexadecimal digits",
         },
-        RefusalCase {
+        RejectionCase {
             name: "name with a space",
             find: "name = \"clerks\"",
             replace: "name = \"our clerks\"",
-            line_holds: "our clerks",
-            message_holds: "use letters, digits",
+            expected_line: "our clerks",
+            expected_message: "use letters, digits",
         },
-        RefusalCase {
-            name: "retired twice",
+        RejectionCase {
+            name: "duplicate retired backend server",
             find: "retired = []",
             replace: "retired = [\"old-1\", \"old-1\"]",
-            line_holds: "old-1",
-            message_holds: "stands twice",
+            expected_line: "old-1",
+            expected_message: "is listed twice",
         },
     ];
     for case in cases {
-        let text = BALLAST.replacen(case.find, case.replace, 1);
-        assert_ne!(text, BALLAST, "{}: the example no longer holds {:?}", case.name, case.find);
+        let text = BALLAST_EXAMPLE.replacen(case.find, case.replace, 1);
+        assert_ne!(
+            text, BALLAST_EXAMPLE,
+            "{}: the example no longer contains {:?}",
+            case.name, case.find
+        );
         let error = ServiceDocument::try_from(text.as_str()).expect_err(case.name);
         let line = match &error {
             DocumentError::Syntax { line, .. } | DocumentError::InvalidValue { line, .. } => *line,
             DocumentError::TooLong { .. } => panic!("{}: {error}", case.name),
         };
-        let at = text.lines().nth(line - 1).unwrap();
-        assert!(at.contains(case.line_holds), "{}: line {line} is {at:?}: {error}", case.name);
+        let line_text = text.lines().nth(line - 1).unwrap();
+        assert!(
+            line_text.contains(case.expected_line),
+            "{}: line {line} is {line_text:?}: {error}",
+            case.name
+        );
         let message = error.to_string();
-        assert!(message.contains(case.message_holds), "{}: {message}", case.name);
+        assert!(message.contains(case.expected_message), "{}: {message}", case.name);
     }
 }
 
@@ -166,8 +175,8 @@
 }
 
 #[test]
-fn rules_mark_a_path_and_what_lies_below_it() {
-    let document = ServiceDocument::try_from(BALLAST).unwrap();
+fn path_rule_matches_the_path_and_paths_below_it() {
+    let document = ServiceDocument::try_from(BALLAST_EXAMPLE).unwrap();
     let target = ServiceTarget::Plain(ServiceName::try_from("order-desk").unwrap());
     let cases = [
         RuleCase { method: "POST", path: "/services/order-desk/orders", non_idempotent: true },
@@ -177,14 +186,14 @@
         RuleCase { method: "POST", path: "/services/order-desk", non_idempotent: false },
     ];
     for case in cases {
-        let marked = document.is_non_idempotent(case.method, case.path, &target);
-        assert_eq!(marked, case.non_idempotent, "{} {}", case.method, case.path);
+        let is_non_idempotent = document.is_non_idempotent(case.method, case.path, &target);
+        assert_eq!(is_non_idempotent, case.non_idempotent, "{} {}", case.method, case.path);
     }
 }
 
 #[test]
-fn tokens_lead_to_their_workspace_only() {
-    let document = Rc::new(ServiceDocument::try_from(BALLAST).unwrap());
+fn token_grants_access_to_its_workspace_only() {
+    let document = Rc::new(ServiceDocument::try_from(BALLAST_EXAMPLE).unwrap());
     let view = ConfigView::new(7, [document]);
     let grants = view.grants("demo-clerks");
     assert_eq!(grants.len(), 1);
@@ -194,8 +203,8 @@
 }
 
 #[test]
-fn regions_of_unknown_targets_are_none() {
-    let document = ServiceDocument::try_from(BALLAST).unwrap();
+fn regions_of_unknown_target_are_none() {
+    let document = ServiceDocument::try_from(BALLAST_EXAMPLE).unwrap();
     let known = ServiceTarget::Model(ModelName::try_from("ballast").unwrap());
     assert_eq!(document.regions_of(&known).map(<[_]>::len), Some(3));
     let unknown = ServiceTarget::Model(ModelName::try_from("order-desk").unwrap());
@@ -203,7 +212,7 @@
 }
 
 #[test]
-fn hashes_do_not_show_in_debug_output() {
-    let shown = format!("{:?}", TokenHash::of("demo-clerks"));
-    assert!(shown.len() < 30, "{shown}");
+fn debug_output_omits_token_hashes() {
+    let output = format!("{:?}", TokenHash::of("demo-clerks"));
+    assert!(output.len() < 30, "{output}");
 }
