--- a/crates/event/examples/event_cost.rs
+++ b/crates/event/examples/event_cost.rs
@@ -1,8 +1,8 @@
-//! What events and metrics cost at a steady rate of requests, in pairs within one run.
+//! Measures the CPU cost of events and metrics at a constant request rate, in paired runs.
 //!
 //! Each pair runs the same paced loop twice, once without events and metrics, once with the real
-//! log (files in a temporary folder) and metrics, and takes the processor time of all threads
-//! from the kernel's accounts. Prints each pair and the median difference.
+//! log (files in a temporary folder) and metrics, and reads the CPU time of all threads from the
+//! kernel's statistics. Prints each pair and the median difference.
 //!
 //! `cargo run --release -p gullglade-event --example event_cost [-- requests-per-second]`
 
@@ -23,20 +23,20 @@
     },
 };
 
-/// The rate where none is given.
+/// Default request rate per second.
 const DEFAULT_RATE: u32 = 10_000;
 
-/// How long each half of a pair runs.
-const HALF: Duration = Duration::from_secs(1);
+/// Duration of each run of a pair.
+const RUN_DURATION: Duration = Duration::from_secs(1);
 
-/// How many pairs run.
+/// Number of pairs.
 const PAIRS: usize = 9;
 
 /// Pieces of a streamed answer, each observed by a histogram.
-const PIECES: u32 = 8;
+const PIECES_PER_ANSWER: u32 = 8;
 
-/// Requests handled between two looks at the clock.
-const BATCH: u32 = 50;
+/// Requests handled between two readings of the clock.
+const BATCH_REQUESTS: u32 = 50;
 
 struct Bench {
     context: ProcessContext,
@@ -46,10 +46,10 @@
 }
 
 impl Bench {
-    /// What a gateway says of one request: four events, eleven metric updates.
-    fn request(&self, told: Option<(&EventLog, &MetricSet)>) {
+    /// Emits the events and metrics of one typical request: four events and eleven metric updates.
+    fn request(&self, observers: Option<(&EventLog, &MetricSet)>) {
         let id = black_box(RequestId::new(&self.context));
-        let Some((sink, metrics)) = told else { return };
+        let Some((sink, metrics)) = observers else { return };
         let event = |kind| EventDraft::new(kind).field("request", id);
         sink.emit(event("request.received").field("service", &self.service));
         sink.emit(event("request.dispatched").field("backend", &self.backend).field("attempt", 1));
@@ -59,36 +59,37 @@
         let series = metrics.model(&self.model);
         series.engine_time(Duration::from_millis(80));
         series.first_token(Duration::from_millis(8));
-        for _ in 0..PIECES {
+        for _ in 0..PIECES_PER_ANSWER {
             series.inter_token(Duration::from_millis(9));
         }
     }
 
-    /// Processor time over wall time of a paced run.
-    fn run(&self, rate: u32, told: Option<(&EventLog, &MetricSet)>) -> f64 {
+    /// Runs one paced loop and returns its CPU time over wall time.
+    fn run(&self, rate: u32, observers: Option<(&EventLog, &MetricSet)>) -> f64 {
         let start = Instant::now();
-        let before = processor_time();
+        let before = cpu_time();
         let mut done = 0;
-        while start.elapsed() < HALF {
-            for _ in 0..BATCH {
-                self.request(told);
+        while start.elapsed() < RUN_DURATION {
+            for _ in 0..BATCH_REQUESTS {
+                self.request(observers);
             }
-            done += BATCH;
+            done += BATCH_REQUESTS;
             let due = Duration::from_secs(1) * done / rate;
             thread::sleep(due.saturating_sub(start.elapsed()));
         }
-        let spent = processor_time() - before;
+        let spent = cpu_time() - before;
         spent.as_secs_f64() / start.elapsed().as_secs_f64()
     }
 }
 
-/// Processor time of all threads so far: the first number of each thread's `schedstat`, ns.
-fn processor_time() -> Duration {
+/// Returns the CPU time of all threads so far: the sum of the first field, in nanoseconds, of each
+/// thread's `schedstat`.
+fn cpu_time() -> Duration {
     let read = |task: fs::DirEntry| -> Option<u64> {
         let text = fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split(' ').next()?.parse().ok()
     };
-    let tasks = fs::read_dir("/proc/self/task").expect("Linux keeps accounts of threads");
+    let tasks = fs::read_dir("/proc/self/task").expect("/proc/self/task must be readable");
     Duration::from_nanos(tasks.flatten().filter_map(read).sum())
 }
 
@@ -107,21 +108,21 @@
     let events = EventLog::new(vm, hybrid, bench.context.clone(), 10_000);
     let metrics = MetricSet::new()?;
 
-    let mut added = Vec::new();
+    let mut differences = Vec::new();
     for pair in 1..=PAIRS {
         let without = bench.run(rate, None);
         let with = bench.run(rate, Some((&events, &metrics)));
-        added.push(with - without);
+        differences.push(with - without);
         println!(
             "pair {pair}: without {:.2}%, with log and metrics {:.2}% of one core",
             without * 100.0,
             with * 100.0
         );
     }
-    added.sort_by(f64::total_cmp);
+    differences.sort_by(f64::total_cmp);
     println!(
         "median difference at {rate} requests/s: {:.2}% of one core",
-        added[PAIRS / 2] * 100.0
+        differences[PAIRS / 2] * 100.0
     );
     log.flush();
     fs::remove_dir_all(folder)?;
--- a/crates/event/src/bounded_writer.rs
+++ b/crates/event/src/bounded_writer.rs
@@ -1,8 +1,8 @@
-//! Lines to standard output without ever waiting for whoever reads it.
+//! Non-blocking log writer for standard output.
 //!
-//! A reader that stands still fills the pipe, and the next write would block the thread of the
-//! event loop, and with it every request. So lines go through a bounded queue to a thread of
-//! their own; what does not fit is left out and counted.
+//! If the reader of standard output stalls, the pipe fills up and the next write blocks. On the
+//! event loop's thread that would stall every request, so lines go through a bounded queue to a
+//! dedicated writer thread. Lines that do not fit into the queue are dropped and counted.
 
 use {
     flexi_logger::{DeferredNow, FlexiLoggerError, FormatFunction, writers::LogWriter},
@@ -18,10 +18,10 @@
     },
 };
 
-/// The most lines that wait. At a few hundred bytes a line, about a megabyte.
+/// Capacity of the queue in lines. At a few hundred bytes per line, about 1 MB.
 const QUEUE_LINES: usize = 4_096;
 
-/// The most bytes that are written at once.
+/// Batch size in bytes from which the writer thread stops collecting lines and writes.
 const BATCH_BYTES: usize = 64 << 10;
 
 enum LogJob {
@@ -29,39 +29,39 @@
     Flush(SyncSender<()>),
 }
 
-/// Writes log lines from a thread of its own.
+/// [`LogWriter`] that queues lines for a dedicated writer thread.
 pub(crate) struct BoundedWriter {
     jobs: SyncSender<LogJob>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
     format: FormatFunction,
 }
 
 impl BoundedWriter {
-    /// Starts the thread that writes to `target`.
+    /// Starts the thread that writes to `target`. Fails if the thread cannot be spawned.
     pub(crate) fn start(
         target: impl Write + Send + 'static,
         format: FormatFunction,
     ) -> io::Result<Self> {
         let (jobs, queue) = sync_channel(QUEUE_LINES);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let count = Arc::clone(&left_out);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let count = Arc::clone(&dropped_lines);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(target, &queue, &count))?;
-        Ok(Self { jobs, left_out, format })
+            .spawn(move || run_writer(target, &queue, &count))?;
+        Ok(Self { jobs, dropped_lines, format })
     }
 
-    fn put(&self, line: Vec<u8>) {
+    fn enqueue(&self, line: Vec<u8>) {
         if self.jobs.try_send(LogJob::Line(line)).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-fn write_all(mut target: impl Write, queue: &Receiver<LogJob>, left_out: &AtomicU64) {
+fn run_writer(mut target: impl Write, queue: &Receiver<LogJob>, dropped_lines: &AtomicU64) {
     let mut batch = Vec::with_capacity(BATCH_BYTES);
     while let Ok(first) = queue.recv() {
-        let mut flushed = Vec::new();
+        let mut flush_waiters = Vec::new();
         let mut next = Some(first);
         while let Some(job) = next {
             match job {
@@ -69,20 +69,20 @@
                     batch.extend_from_slice(&line);
                     batch.push(b'\n');
                 }
-                LogJob::Flush(done) => flushed.push(done),
+                LogJob::Flush(done) => flush_waiters.push(done),
             }
             next = if batch.len() < BATCH_BYTES { queue.try_recv().ok() } else { None };
         }
-        let missing = left_out.swap(0, Ordering::Relaxed);
-        if missing > 0 {
+        let dropped = dropped_lines.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
             batch.extend_from_slice(
-                format!("level=WARN kind=log.left_out lines={missing}\n").as_bytes(),
+                format!("level=WARN kind=log.left_out lines={dropped}\n").as_bytes(),
             );
         }
-        // Nobody reads standard output any more: there is no other place to say so.
+        // Ignored: standard output is closed, and there is no other place to report the error.
         let _: io::Result<()> = target.write_all(&batch).and_then(|()| target.flush());
         batch.clear();
-        for done in flushed {
+        for done in flush_waiters {
             let _: Result<(), _> = done.send(());
         }
     }
@@ -92,13 +92,13 @@
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let mut line = Vec::with_capacity(256);
         (self.format)(&mut line, now, record)?;
-        self.put(line);
+        self.enqueue(line);
         Ok(())
     }
 
     fn flush(&self) -> io::Result<()> {
         let (done, flushed) = sync_channel(1);
-        // A full queue is not waited for: its reader stands still.
+        // A full queue means that the reader has stalled, so the flush is skipped.
         if self.jobs.try_send(LogJob::Flush(done)).is_ok() {
             let _: Result<(), _> = flushed.recv_timeout(std::time::Duration::from_millis(200));
         }
--- a/crates/event/src/draft.rs
+++ b/crates/event/src/draft.rs
@@ -1,4 +1,4 @@
-//! An event before its process stamps it.
+//! Events that have not been stamped yet, and the types of value that they may hold.
 
 use {
     crate::line::{push_field, push_text_field},
@@ -14,18 +14,18 @@
     },
 };
 
-/// The bytes reserved for the fields of one event; most events need no second allocation.
+/// Initial capacity in bytes of an event's fields; most events need no reallocation.
 const FIELDS_CAPACITY: usize = 192;
 
-/// A value that may stand in a log line.
+/// A value that may appear in a log line.
 ///
-/// Logs are copied to places that a service's document knows nothing of, so text that came from a
+/// Logs are copied to locations that a service's residency rules do not cover, so text from a
 /// caller or a backend server must not reach them. `String`, `&str` (other than literals) and
-/// `Bytes` therefore have no implementation: log an id, a name, a length or a count instead. An
-/// enum of fixed words implements this by `impl FieldValue for Reason {}`.
+/// `Bytes` therefore do not implement this trait: log an id, a name, a length or a count instead.
+/// An enum whose variants print fixed words implements it with `impl FieldValue for Reason {}`.
 #[diagnostic::on_unimplemented(
-    message = "`{Self}` may not stand in a log line",
-    note = "log a checked name, an id, a number or a literal; errors go through \
+    message = "`{Self}` may not appear in a log line",
+    note = "log a validated name, an id, a number or a literal; errors go through \
             `EventDraft::error`; enums of fixed words `impl FieldValue`"
 )]
 pub trait FieldValue: Display {}
@@ -66,7 +66,7 @@
 
 impl<T: FieldValue> FieldValue for &T {}
 
-/// One event without its stamp: a dotted kind, a level and fields in the order they were given.
+/// One event without its stamp: a dotted kind, a level and fields in insertion order.
 #[derive(Clone, Debug)]
 pub struct EventDraft {
     pub(crate) kind: &'static str,
@@ -75,8 +75,8 @@
 }
 
 impl EventDraft {
-    /// An event of level `Info`. `kind` is a dotted name such as `request.dispatched`; its first
-    /// word is the module that log levels are set for.
+    /// Creates an event of level `Info`. `kind` is a dotted name such as `request.dispatched`; its
+    /// first segment is the module for which log levels are set.
     pub fn new(kind: &'static str) -> Self {
         Self { kind, level: Level::Info, fields: String::with_capacity(FIELDS_CAPACITY) }
     }
@@ -87,7 +87,7 @@
         self
     }
 
-    /// Adds `key=value`. Keys are literals of `[a-z0-9_]`.
+    /// Adds `key=value`. Keys are literals that match `[a-z0-9_]+`.
     ///
     /// ```
     /// # use gullglade_event::EventDraft;
@@ -95,7 +95,7 @@
     /// assert_eq!(event.fields(), " reason=queue-full queued=7");
     /// ```
     ///
-    /// Text of a caller does not compile:
+    /// Arbitrary text, such as a prompt, does not compile:
     ///
     /// ```compile_fail,E0277
     /// # use gullglade_event::EventDraft;
@@ -113,7 +113,7 @@
         self
     }
 
-    /// Adds `key=value` where there is a value.
+    /// Adds `key=value` if `value` is `Some`.
     pub fn optional(self, key: &'static str, value: Option<impl FieldValue>) -> Self {
         match value {
             Some(value) => self.field(key, value),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Adds a duration in milliseconds, to the microsecond, as `key=12.345`.
+    /// Adds a duration in milliseconds with microsecond precision, as in `key=12.345`.
     pub fn millis(mut self, key: &'static str, duration: Duration) -> Self {
         let micros = duration.as_micros();
         push_field(
@@ -132,19 +132,20 @@
         self
     }
 
-    /// Adds the message of an error, quoted and cut to a bound. Messages of the system's typed
-    /// errors name identifiers and limits, never a body.
+    /// Adds the message of an error, truncated to the maximum length of a value and quoted where
+    /// necessary. Messages of the system's typed errors contain identifiers and limits, never a
+    /// request or response body.
     pub fn error(mut self, key: &'static str, error: &dyn std::error::Error) -> Self {
         push_text_field(&mut self.fields, key, error);
         self
     }
 
-    /// The kind.
+    /// Returns the dotted kind, such as `request.dispatched`.
     pub fn kind(&self) -> &'static str {
         self.kind
     }
 
-    /// The fields as they will stand in the line, each after a space.
+    /// The encoded fields as they appear in the line, each preceded by a space.
     pub fn fields(&self) -> &str {
         &self.fields
     }
--- a/crates/event/src/labels.rs
+++ b/crates/event/src/labels.rs
@@ -1,37 +1,38 @@
-//! Bounds on label values.
+//! Bounded cardinality of metric labels.
 
 use std::{cell::RefCell, collections::HashSet};
 
-/// Stands for every value beyond the bound.
+/// Label value that replaces every value beyond the limit.
 pub(crate) const OTHER: &str = "other";
 
-/// Lets a bounded number of values of one label through and folds the rest into `other`.
+/// Limits the number of distinct values of one label; further values become `other`.
 ///
-/// Each label value costs a time series in the process and in the operators' database for ever. A
-/// team that deploys a model under a new name every hour, or a caller that can choose a label,
-/// would grow both without end; one would notice by scrapes that grow and time out.
+/// Each label value costs a time series that is never removed, in the process and in the operators'
+/// metrics database. Without a limit, a team that deploys a model under a new name every hour, or a
+/// caller that can choose a label value, would grow both until scrapes time out.
 #[derive(Debug)]
 pub struct LabelGuard {
     limit: usize,
-    known: RefCell<HashSet<Box<str>>>,
+    admitted: RefCell<HashSet<Box<str>>>,
 }
 
 impl LabelGuard {
-    /// Lets the first `limit` different values through.
+    /// Creates a guard that admits the first `limit` distinct values.
     pub fn new(limit: usize) -> Self {
-        Self { limit, known: RefCell::default() }
+        Self { limit, admitted: RefCell::default() }
     }
 
-    /// `value`, or `other` where the bound is reached and `value` is new.
+    /// Returns `value`, or `other` if the limit is reached and `value` has not been admitted
+    /// before.
     pub fn admit<'a>(&self, value: &'a str) -> &'a str {
-        let mut known = self.known.borrow_mut();
-        if known.contains(value) {
+        let mut admitted = self.admitted.borrow_mut();
+        if admitted.contains(value) {
             return value;
         }
-        if known.len() >= self.limit {
+        if admitted.len() >= self.limit {
             return OTHER;
         }
-        known.insert(Box::from(value));
+        admitted.insert(Box::from(value));
         value
     }
 }
--- a/crates/event/src/line.rs
+++ b/crates/event/src/line.rs
@@ -1,18 +1,19 @@
-//! Writing and reading key=value lines.
+//! Encoding and decoding of key=value lines.
 //!
-//! A value of plain visible characters stands bare; any other is written as a JSON string, with
-//! everything outside printable ASCII escaped. So a value holds no space, quote, newline or
-//! terminal control sequence as such, and cannot pass for a further field or line.
+//! A value of visible ASCII characters other than `"`, `\` and `=` is written unquoted. Any other
+//! value is written as a JSON string with everything outside printable ASCII escaped. A value
+//! therefore cannot inject a field, a line or a terminal control sequence.
 
 use std::fmt::{Display, Write};
 
-/// The most bytes of one value; longer ones are cut and end in [`CUT_MARK`].
+/// Maximum length of a value in bytes; longer values are truncated and end in
+/// [`TRUNCATION_MARK`].
 const MAX_VALUE_BYTES: usize = 240;
 
-/// Ends a value that was cut.
-const CUT_MARK: &str = "...";
+/// Suffix of a truncated value.
+const TRUNCATION_MARK: &str = "...";
 
-/// Appends ` key=value`.
+/// Appends ` key=value`, quoted and truncated as necessary.
 pub(crate) fn push_field(line: &mut String, key: &str, value: &dyn Display) {
     debug_assert!(is_key(key), "field key {key:?} must be of a-z, 0-9 and '_'");
     line.push(' ');
@@ -20,14 +21,14 @@
     line.push('=');
     let start = line.len();
     write!(line, "{value}").expect("a String takes every write");
-    let plain = line.len() - start <= MAX_VALUE_BYTES && is_bare(&line[start..]);
-    if !plain {
+    let unquoted = line.len() - start <= MAX_VALUE_BYTES && is_unquoted(&line[start..]);
+    if !unquoted {
         let raw = line.split_off(start);
         push_quoted(line, &raw);
     }
 }
 
-/// Appends ` key=value`, where the value is free text.
+/// Appends ` key=value` for free text, such as an error message.
 pub(crate) fn push_text_field(line: &mut String, key: &str, value: &dyn Display) {
     push_field(line, key, value);
 }
@@ -37,16 +38,17 @@
     !key.is_empty() && key.bytes().all(allowed)
 }
 
-fn is_bare(value: &str) -> bool {
+fn is_unquoted(value: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_graphic() & (b != b'"') & (b != b'\\') & (b != b'=');
-    // Without an early exit the loop compiles to vector instructions; the longest values are ids.
-    value.bytes().fold(!value.is_empty(), |bare, b| bare & allowed(b))
+    // A fold without early exit lets the compiler vectorize the loop. Most values are short, so an
+    // early exit would save little.
+    value.bytes().fold(!value.is_empty(), |unquoted, b| unquoted & allowed(b))
 }
 
 fn push_quoted(line: &mut String, raw: &str) {
     let json = match raw.len() <= MAX_VALUE_BYTES {
         true => serde_json::Value::from(raw).to_string(),
-        false => serde_json::Value::from(format!("{}{CUT_MARK}", cut(raw))).to_string(),
+        false => serde_json::Value::from(format!("{}{TRUNCATION_MARK}", truncate(raw))).to_string(),
     };
     for c in json.chars() {
         match c {
@@ -62,7 +64,7 @@
     }
 }
 
-fn cut(raw: &str) -> &str {
+fn truncate(raw: &str) -> &str {
     let mut end = MAX_VALUE_BYTES;
     while !raw.is_char_boundary(end) {
         end -= 1;
@@ -70,7 +72,8 @@
     &raw[..end]
 }
 
-/// Splits the first `key=value` off `rest`; `None` where `rest` begins otherwise.
+/// Splits the first `key=value` off `rest` and returns the key, the decoded value and the
+/// remainder; `None` if `rest` does not begin with a valid pair.
 pub(crate) fn take_field(rest: &str) -> Option<(&str, String, &str)> {
     let (key, rest) = rest.split_once('=')?;
     if !is_key(key) {
@@ -78,7 +81,7 @@
     }
     let (value, rest) = match rest.starts_with('"') {
         true => take_quoted(rest)?,
-        false => take_bare(rest)?,
+        false => take_unquoted(rest)?,
     };
     match rest.strip_prefix(' ') {
         Some(rest) => Some((key, value, rest)),
@@ -93,8 +96,8 @@
     Some((value, &text[end..]))
 }
 
-fn take_bare(text: &str) -> Option<(String, &str)> {
+fn take_unquoted(text: &str) -> Option<(String, &str)> {
     let end = text.find(' ').unwrap_or(text.len());
     let (value, rest) = text.split_at(end);
-    is_bare(value).then(|| (value.to_owned(), rest))
+    is_unquoted(value).then(|| (value.to_owned(), rest))
 }
--- a/crates/event/src/log_settings.rs
+++ b/crates/event/src/log_settings.rs
@@ -1,4 +1,4 @@
-//! Where log lines go and which levels.
+//! Log levels and output of a process.
 
 use {
     crate::{bounded_writer::BoundedWriter, line::push_field, sink::EVENT_MODULE},
@@ -12,49 +12,49 @@
     std::{io, path::PathBuf, str::FromStr},
 };
 
-/// The size at which a log file is closed and a new one begun, where the settings say nothing.
+/// Default size at which log files are rotated.
 const DEFAULT_FILE_BYTES: u64 = 64 << 20;
 
-/// How many closed log files are kept, where the settings say nothing.
+/// Default number of rotated log files to keep.
 const DEFAULT_KEPT_FILES: usize = 8;
 
-/// Why the log cannot be started.
+/// Error in the log settings or in starting the log.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The levels cannot be read.
+    /// The levels cannot be parsed.
     #[snafu(display(
         "log levels {text:?} cannot be read ({reason}); write for example \
          \"info, request=warn, control=debug\""
     ))]
     BadLevels {
-        /// The text given.
+        /// The rejected text.
         text: String,
-        /// The library's words.
+        /// The parser's error message.
         reason: String,
     },
-    /// The log cannot be opened.
+    /// The log output cannot be opened.
     #[snafu(display("the log cannot be started; is the log folder there and writable? {source}"))]
     NotStarted {
-        /// The library's error.
+        /// The logger's error.
         source: FlexiLoggerError,
     },
 }
 
-/// Where lines go.
+/// Destination of log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum LogOutput {
-    /// To the standard error stream, for a service manager to collect.
+    /// Standard error, for a service manager to collect.
     #[default]
     Stderr,
-    /// To the standard output stream, without ever waiting for its reader: lines that it does not
-    /// take in time are left out and counted in a line of their own.
+    /// Standard output, without blocking on its reader: if the reader falls behind, lines are
+    /// dropped and a separate line reports their number.
     Stdout,
-    /// To `gullglade.log` files in this folder, with rotation.
+    /// Rotated log files in this folder, with the base name `gullglade`.
     Folder(PathBuf),
 }
 
-/// The settings of a process's log. Defaults: level `info`, standard error; files of 64 MiB, eight
-/// closed ones kept.
+/// Log settings of a process. Defaults: level `info`, output to standard error, rotation at 64 MiB,
+/// eight rotated files kept.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
     levels: LogSpecification,
@@ -77,8 +77,8 @@
 impl FromStr for LogSettings {
     type Err = SettingsError;
 
-    /// Reads levels such as `info, request=warn, control=debug`: a level for everything, then one
-    /// for each module, which is the first word of an event's kind.
+    /// Parses levels such as `info, request=warn, control=debug`: a default level, then levels for
+    /// single modules. The module of an event is the first segment of its kind.
     fn from_str(text: &str) -> Result<Self, SettingsError> {
         let levels = LogSpecification::parse(text)
             .map_err(|e| BadLevelsSnafu { text, reason: e.to_string() }.build())?;
@@ -87,25 +87,26 @@
 }
 
 impl LogSettings {
-    /// Sets where lines go.
+    /// Sets the destination of log lines.
     pub fn output(mut self, output: LogOutput) -> Self {
         self.output = output;
         self
     }
 
-    /// Sets the size at which a file is closed, bytes.
+    /// Sets the size in bytes at which log files are rotated.
     pub fn file_bytes(mut self, bytes: u64) -> Self {
         self.file_bytes = bytes;
         self
     }
 
-    /// Sets how many closed files are kept.
+    /// Sets the number of rotated files to keep.
     pub fn kept_files(mut self, files: usize) -> Self {
         self.kept_files = files;
         self
     }
 
-    /// Starts the process's log. Once a process; the log stops when the handle is dropped.
+    /// Starts the process's log, which stops when the handle is dropped. Fails if the output cannot
+    /// be opened or a log was already started in this process.
     pub fn start(self) -> Result<LogHandle, SettingsError> {
         let logger = Logger::with(self.levels)
             .use_utc()
@@ -126,8 +127,8 @@
                     Naming::Numbers,
                     Cleanup::KeepLogFiles(self.kept_files),
                 )
-                // In the background a burst of lines can leave more files than the disk has room
-                // for; removing one file at a rotation costs little.
+                // A background thread can fall behind a burst of lines, so that the files exceed
+                // the disk space. Removing one file per rotation costs little.
                 .cleanup_in_background_thread(false)
                 .append()
                 .write_mode(WriteMode::BufferAndFlush),
@@ -136,18 +137,18 @@
     }
 }
 
-/// Keeps the log running.
+/// Keeps the log running until it is dropped.
 pub struct LogHandle(LoggerHandle);
 
 impl LogHandle {
-    /// Writes out what is buffered; to be called before the process ends.
+    /// Writes out buffered lines. Call this before the process exits.
     pub fn flush(&self) {
         self.0.flush();
     }
 }
 
-/// Drops what libraries say below a warning: their debug lines may quote bodies, and no level that
-/// an operator sets may bring a prompt into a log.
+/// Drops records of libraries below level `Warn`, whatever levels the operator sets: debug lines of
+/// libraries may quote request bodies, and prompts must not reach the log.
 struct LibraryFilter;
 
 impl LogLineFilter for LibraryFilter {
--- a/crates/event/src/metrics.rs
+++ b/crates/event/src/metrics.rs
@@ -1,7 +1,7 @@
-//! The metrics of a gateway or control process.
+//! Prometheus metrics of a gateway or control process.
 
 use {
-    crate::{LabelGuard, Promise},
+    crate::{Invariant, LabelGuard},
     gullglade_units::{ModelName, RegionName, ServiceName, WorkspaceName},
     prometheus::{
         Counter, CounterVec, Encoder, Gauge, Histogram, HistogramOpts, HistogramVec, IntCounter,
@@ -17,39 +17,41 @@
     },
 };
 
-/// The most models that have time series of their own; the letter plans for 26.
+/// Maximum number of models with their own time series; deployments are planned for 26 models.
 const MODEL_LIMIT: usize = 64;
 
-/// The most services that have time series of their own.
+/// Maximum number of services with their own time series.
 const SERVICE_LIMIT: usize = 128;
 
-/// The most regions that have time series of their own; the letter plans for 20.
+/// Maximum number of regions with their own time series; deployments are planned for 20 regions.
 const REGION_LIMIT: usize = 64;
 
-/// The most workspaces that have time series of their own: those that were first over their quotas.
+/// Maximum number of workspaces with their own time series; the first to exceed their quotas get
+/// them.
 const WORKSPACE_LIMIT: usize = 64;
 
-/// Upper bounds of time to first token, seconds; 1.2 s is the letter's target.
+/// Bucket bounds of the time to first token in seconds; 1.2 s is the design target.
 const FIRST_TOKEN_BOUNDS: [f64; 14] =
     [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.9, 1.2, 2.0, 4.0, 10.0, 30.0];
 
-/// Upper bounds of the time between tokens, seconds; 31 ms is the letter's target.
+/// Bucket bounds of the time between tokens in seconds; 31 ms is the design target.
 const INTER_TOKEN_BOUNDS: [f64; 11] =
     [0.005, 0.01, 0.015, 0.02, 0.025, 0.031, 0.045, 0.07, 0.15, 0.5, 2.0];
 
-/// Upper bounds of pauses in streams, seconds: from what callers accept to what makes them leave.
+/// Bucket bounds of stream pauses in seconds, from pauses that callers tolerate to those after
+/// which they disconnect.
 const PAUSE_BOUNDS: [f64; 8] = [0.3, 0.6, 1.2, 2.0, 3.0, 4.5, 6.0, 10.0];
 
-/// Why the metrics cannot be built or printed.
+/// Error in registering or encoding the metrics.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// A metric is declared wrongly or twice.
+    /// A metric's declaration is invalid or a duplicate.
     #[snafu(display("a metric cannot be registered; report this as a fault: {source}"))]
     Register {
         /// The library's error.
         source: prometheus::Error,
     },
-    /// The text cannot be made.
+    /// The text format cannot be encoded.
     #[snafu(display("the metrics cannot be written as text; report this as a fault: {source}"))]
     Print {
         /// The library's error.
@@ -57,21 +59,21 @@
     },
 }
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer was sent.
+    /// The complete answer was sent.
     Answered,
-    /// The answer broke off, or the backend server failed.
+    /// The answer was incomplete, or the backend server failed.
     Failed,
-    /// Refused and not run.
+    /// The request was refused without being run.
     Refused,
-    /// The caller hung up.
+    /// The caller disconnected.
     Cancelled,
 }
 
 impl RequestOutcome {
-    /// The value of the `outcome` label.
+    /// Returns the value of the `outcome` label.
     pub fn label(self) -> &'static str {
         match self {
             RequestOutcome::Answered => "answered",
@@ -82,21 +84,21 @@
     }
 }
 
-/// Requests since the process started.
+/// Request counts since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests that ended, however they did.
+    /// Requests that ended, with any outcome.
     pub ended: u64,
-    /// Requests sent to another region.
+    /// Requests forwarded to another region.
     pub away: u64,
 }
 
-/// All metrics of one process, in a registry of their own.
+/// All metrics of one process, in a dedicated registry.
 ///
-/// The three measures are cost (engine-seconds and requests), tail latency (time to first token
-/// and time between tokens) and the share sent away (requests answered by another region over all
-/// requests). No label takes a value that a caller chooses, and each is bounded by a
-/// [`LabelGuard`].
+/// The three key measures are cost (engine-seconds and requests), tail latency (time to first token
+/// and time between tokens) and the forwarded share (requests sent to another region over all
+/// requests). Callers cannot choose label values, and a [`LabelGuard`] bounds the labels that hold
+/// names.
 pub struct MetricSet {
     registry: Registry,
     requests: IntCounterVec,
@@ -109,7 +111,7 @@
     repeats_settled: IntCounterVec,
     streams_broken_off: IntCounterVec,
     stream_pauses: HistogramVec,
-    breaches: IntCounterVec,
+    violations: IntCounterVec,
     open_requests: IntGauge,
     configuration_index: IntGauge,
     backends: IntGaugeVec,
@@ -126,7 +128,7 @@
     regions: LabelGuard,
 }
 
-/// The metrics of one model.
+/// Metrics of one model, with the label lookup already done.
 pub struct ModelSeries {
     engine_seconds: Counter,
     first_token: Histogram,
@@ -134,24 +136,25 @@
 }
 
 impl ModelSeries {
-    /// A request occupied a slot of a backend server for `time`.
+    /// Records that a request occupied a slot of a backend server for `time`.
     pub fn engine_time(&self, time: Duration) {
         self.engine_seconds.inc_by(time.as_secs_f64());
     }
 
-    /// The first byte of an answer left `time` after its request arrived.
+    /// Records that the first byte of an answer was sent `time` after its request arrived.
     pub fn first_token(&self, time: Duration) {
         self.first_token.observe(time.as_secs_f64());
     }
 
-    /// A piece of a streamed answer left `time` after the one before.
+    /// Records that a piece of a streamed answer was sent `time` after the previous one.
     pub fn inter_token(&self, time: Duration) {
         self.inter_token.observe(time.as_secs_f64());
     }
 }
 
 impl MetricSet {
-    /// Registers every metric; promise counters begin at 0, so that an alert sees them rise.
+    /// Registers every metric. The violation counters are exported as 0 from the start, so that an
+    /// alert detects the first increase.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let set = Self {
@@ -215,7 +218,7 @@
                 "service",
                 &PAUSE_BOUNDS,
             )?,
-            breaches: counters(
+            violations: counters(
                 &registry,
                 "promise_breaches_total",
                 "Times a check found a promise broken or about to be; must stay 0",
@@ -276,13 +279,13 @@
             regions: LabelGuard::new(REGION_LIMIT),
             registry,
         };
-        for promise in Promise::ALL {
-            set.breaches.with_label_values(&[promise.label()]).reset();
+        for invariant in Invariant::ALL {
+            set.violations.with_label_values(&[invariant.label()]).reset();
         }
         Ok(set)
     }
 
-    /// A request ended.
+    /// Records the outcome of a request.
     pub fn request_ended(&self, service: &ServiceName, outcome: RequestOutcome) {
         let service = self.services.admit(service.as_str());
         self.requests.with_label_values(&[service, outcome.label()]).inc();
@@ -290,12 +293,13 @@
         self.totals.set(RequestTotals { ended: totals.ended + 1, ..totals });
     }
 
-    /// Requests of all services together.
+    /// Returns the request counts over all services.
     pub fn totals(&self) -> RequestTotals {
         self.totals.get()
     }
 
-    /// The series of `model`. Take them once a request and keep them while it streams.
+    /// Returns the series of `model`. Look them up once per request and reuse them while it
+    /// streams.
     pub fn model(&self, model: &ModelName) -> Rc<ModelSeries> {
         if let Some(series) = self.model_series.borrow().get(model) {
             return series.clone();
@@ -312,22 +316,22 @@
         series
     }
 
-    /// A request occupied a slot of a backend server for `time`.
+    /// Records that a request occupied a slot of a backend server for `time`.
     pub fn engine_time(&self, model: &ModelName, time: Duration) {
         self.model(model).engine_time(time);
     }
 
-    /// The first byte of an answer left `time` after its request arrived.
+    /// Records that the first byte of an answer was sent `time` after its request arrived.
     pub fn first_token(&self, model: &ModelName, time: Duration) {
         self.model(model).first_token(time);
     }
 
-    /// A piece of a streamed answer left `time` after the one before.
+    /// Records that a piece of a streamed answer was sent `time` after the previous one.
     pub fn inter_token(&self, model: &ModelName, time: Duration) {
         self.model(model).inter_token(time);
     }
 
-    /// A request was sent to another region.
+    /// Counts a request that was sent to another region.
     pub fn sent_away(&self, service: &ServiceName, region: &RegionName) {
         let service = self.services.admit(service.as_str());
         let region = self.regions.admit(region.as_str());
@@ -336,21 +340,24 @@
         self.totals.set(RequestTotals { away: totals.away + 1, ..totals });
     }
 
-    /// A request was to be sent once more; `granted`: the service's budget allowed it.
+    /// Counts a request that needs to be retried; `granted` is true if the service's retry budget
+    /// allowed the retry.
     pub fn repeat(&self, service: &ServiceName, reason: &'static str, granted: bool) {
         let service = self.services.admit(service.as_str());
         let granted = if granted { "true" } else { "false" };
         self.repeats.with_label_values(&[service, reason, granted]).inc();
     }
 
-    /// A repeat that was granted is over; `arrival`: what is known of it.
+    /// Counts a granted retry that has ended. `arrival` is `past` if all sends of the request have
+    /// arrived, and `unknown` if one may arrive later.
     pub fn repeat_settled(&self, service: &ServiceName, arrival: &'static str) {
         let service = self.services.admit(service.as_str());
         self.repeats_settled.with_label_values(&[service, arrival]).inc();
     }
 
-    /// A stream ended before its last event. `limit`: what ended the wait for its run; `is_at_work`:
-    /// whether the run's backend server had answered anybody lately, where that is known.
+    /// Counts a stream that ended before its last event. `limit` names the limit that ended the
+    /// wait for the run; `is_at_work` tells whether the run's backend server had recently answered
+    /// any request, if known.
     pub fn stream_broke_off(
         &self,
         service: &ServiceName,
@@ -366,74 +373,77 @@
         self.streams_broken_off.with_label_values(&[service, limit, at_work]).inc();
     }
 
-    /// A stream went on after a pause that was longer than its route's objective.
+    /// Records a pause in a stream that exceeded its route's objective.
     pub fn stream_pause(&self, service: &ServiceName, pause: Duration) {
         let service = self.services.admit(service.as_str());
         self.stream_pauses.with_label_values(&[service]).observe(pause.as_secs_f64());
     }
 
-    /// A check found a promise broken, or a peer about to break it.
-    pub fn breached(&self, promise: Promise) {
-        self.breaches.with_label_values(&[promise.label()]).inc();
+    /// Counts a violation of an invariant, or an attempt by a peer that was prevented.
+    pub fn record_violation(&self, invariant: Invariant) {
+        self.violations.with_label_values(&[invariant.label()]).inc();
     }
 
-    /// How often a promise was found broken.
-    pub fn breaches(&self, promise: Promise) -> u64 {
-        self.breaches.with_label_values(&[promise.label()]).get()
+    /// Returns the number of violations of an invariant.
+    pub fn violations(&self, invariant: Invariant) -> u64 {
+        self.violations.with_label_values(&[invariant.label()]).get()
     }
 
-    /// The connection to a backend server broke while it had a request.
+    /// Counts a send that ended because the connection to the backend server broke.
     pub fn cut_off(&self) {
         self.cut_off.inc();
     }
 
-    /// A request was not sent because backend servers ended under the same one before.
+    /// Counts a request that was not sent because backend servers had crashed while running an
+    /// identical one.
     pub fn held_back(&self) {
         self.held_back.inc();
     }
 
-    /// A request was refused for its key, or because no key can be checked.
+    /// Counts a request that was refused for its key, or because no key can be checked.
     pub fn access_denied(&self, reason: &'static str) {
         self.access_denied.with_label_values(&[reason]).inc();
     }
 
-    /// A request was refused because its workspace has used up its quota.
+    /// Counts a request that was refused because its workspace has used up its quota.
     pub fn over_quota(&self, workspace: &WorkspaceName) {
         let workspace = self.workspaces.admit(workspace.as_str());
         self.over_quota.with_label_values(&[workspace]).inc();
     }
 
-    /// Sets how long ago the configuration in force is known to have been the newest.
+    /// Sets the time since the configuration in force was last confirmed to be the newest.
     pub fn configuration_confirmed(&self, age: Duration) {
         self.confirmed_age.set(age.as_secs_f64());
     }
 
-    /// Sets how many different requests are held back.
+    /// Sets the number of distinct requests that are held back.
     pub fn fingerprints_held(&self, count: usize) {
         self.fingerprints_held.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// The number of requests in progress.
+    /// Returns the gauge of requests in progress.
     pub fn open_requests(&self) -> &IntGauge {
         &self.open_requests
     }
 
-    /// Notes the index of the configuration in force; a lower one than before breaks a promise.
+    /// Sets the index of the configuration in force. A decrease counts as a violation of
+    /// [`Invariant::NoRevert`].
     pub fn configuration_in_force(&self, index: u64) {
         let index = i64::try_from(index).unwrap_or(i64::MAX);
         if index < self.configuration_index.get() {
-            self.breached(Promise::NoRevert);
+            self.record_violation(Invariant::NoRevert);
         }
         self.configuration_index.set(index);
     }
 
-    /// Sets how many backend servers are known in `state`.
+    /// Sets the number of known backend servers in `state`.
     pub fn backends(&self, state: &'static str, count: usize) {
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         self.backends.with_label_values(&[state]).set(count);
     }
 
-    /// The sum of a counter over all its labels; 0 where there is no counter of that full name.
+    /// Returns the sum of a counter over all its label values, or 0 if no counter has that full
+    /// name.
     pub fn total(&self, name: &str) -> f64 {
         let families = self.registry.gather();
         let family = families.iter().find(|family| family.name() == name);
@@ -441,7 +451,7 @@
         metrics.map(|metric| metric.get_counter().get_value()).sum()
     }
 
-    /// All metrics in Prometheus' text format, for `GET /metrics`.
+    /// Encodes all metrics in the Prometheus text format, for `GET /metrics`.
     pub fn text(&self) -> Result<String, MetricsError> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text).context(PrintSnafu)?;
--- a/crates/event/src/query.rs
+++ b/crates/event/src/query.rs
@@ -1,63 +1,63 @@
-//! What a caller of the operators' port asks of the events in memory.
+//! Query parameters of the operator port's event endpoint.
 
 use {
     gullglade_units::{HybridStamp, StampError},
     snafu::{ResultExt, Snafu},
 };
 
-/// The most events of one page, so that a page stays below a few megabytes.
-const MAX_PAGE: usize = 10_000;
+/// Maximum number of events per page; keeps a page below a few megabytes.
+const MAX_PAGE_EVENTS: usize = 10_000;
 
-/// Why a query is refused.
+/// Error in the query parameters of an event request.
 #[derive(Debug, Snafu)]
 pub enum QueryError {
-    /// A parameter that events have not.
-    #[snafu(display("{name:?} is no parameter of events; give since=STAMP and limit=NUMBER"))]
+    /// The endpoint has no such parameter.
+    #[snafu(display("unknown parameter {name:?}; events take since=STAMP and limit=NUMBER"))]
     Unknown {
-        /// The name given.
+        /// The parameter as given in the query.
         name: String,
     },
-    /// The stamp cannot be read.
+    /// `since` is not a valid stamp.
     #[snafu(display("since: {source}"))]
     BadSince {
-        /// What is wrong with it.
+        /// The parse error.
         source: StampError,
     },
-    /// The limit cannot be read.
-    #[snafu(display("limit: {source}; give 1 to {MAX_PAGE}"))]
+    /// `limit` is not a valid number.
+    #[snafu(display("limit: {source}; give 1 to {MAX_PAGE_EVENTS}"))]
     BadLimit {
-        /// What is wrong with it.
+        /// The parse error.
         source: std::num::ParseIntError,
     },
 }
 
-/// Which part of the events to send: `since=STAMP&limit=NUMBER`, both optional.
+/// The range of events to return: `since=STAMP&limit=NUMBER`, both optional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventQuery {
-    /// Only events after this.
+    /// Exclusive lower bound on the events' stamps.
     pub since: Option<HybridStamp>,
-    /// At most this many.
+    /// Maximum number of events to return.
     pub limit: usize,
 }
 
 impl TryFrom<Option<&str>> for EventQuery {
     type Error = QueryError;
 
-    /// Reads the query part of a URI.
+    /// Parses the query part of a URI. A limit outside the allowed range is clamped.
     fn try_from(query: Option<&str>) -> Result<Self, QueryError> {
-        let mut found = Self { since: None, limit: MAX_PAGE };
+        let mut parsed = Self { since: None, limit: MAX_PAGE_EVENTS };
         for pair in query.unwrap_or_default().split('&').filter(|pair| !pair.is_empty()) {
             match pair.split_once('=') {
                 Some(("since", stamp)) => {
-                    found.since = Some(stamp.parse().context(BadSinceSnafu)?);
+                    parsed.since = Some(stamp.parse().context(BadSinceSnafu)?);
                 }
                 Some(("limit", limit)) => {
                     let limit: usize = limit.parse().context(BadLimitSnafu)?;
-                    found.limit = limit.clamp(1, MAX_PAGE);
+                    parsed.limit = limit.clamp(1, MAX_PAGE_EVENTS);
                 }
                 _ => return UnknownSnafu { name: pair }.fail(),
             }
         }
-        Ok(found)
+        Ok(parsed)
     }
 }
--- a/crates/event/src/record.rs
+++ b/crates/event/src/record.rs
@@ -1,4 +1,4 @@
-//! One event as read back from a log line.
+//! Events parsed from log lines.
 
 use {
     crate::line::{push_field, take_field},
@@ -8,33 +8,33 @@
     std::fmt::{self, Write},
 };
 
-/// Why a line is not an event.
+/// Reason why a line cannot be parsed as an event.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// The line is not of key=value pairs.
-    #[snafu(display("column {column}: no key=value pair; is this a log of gullglade, uncut?"))]
+    /// The line does not consist of key=value pairs.
+    #[snafu(display("column {column}: not a key=value pair; is this a complete gullglade log?"))]
     NotFields {
-        /// Where the first unreadable pair begins, from 1.
+        /// Byte position of the first malformed pair, counted from 1.
         column: usize,
     },
-    /// A leading field is missing.
-    #[snafu(display("no {key}= where every event has one; a line of a library, not an event"))]
+    /// A header field is missing or out of order.
+    #[snafu(display("no {key}= header field; the line comes from a library and is not an event"))]
     Missing {
         /// The field's key.
         key: &'static str,
     },
-    /// A leading field cannot be read.
-    #[snafu(display("{key}={value} cannot be read; was the line edited?"))]
+    /// A header field has an invalid value.
+    #[snafu(display("{key}={value} cannot be parsed; was the line edited?"))]
     BadValue {
         /// The field's key.
         key: &'static str,
         /// The value found.
         value: String,
     },
-    /// The VM's name is not a name.
-    #[snafu(display("vm= cannot be read: {source}"))]
+    /// The VM name is invalid.
+    #[snafu(display("vm= cannot be parsed: {source}"))]
     BadVm {
-        /// What is wrong with it.
+        /// The reason why the name is invalid.
         source: gullglade_units::NameError,
     },
 }
@@ -42,20 +42,20 @@
 /// One stamped event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventRecord {
-    /// The hybrid stamp of the process.
+    /// Stamp from the hybrid logical clock of the process.
     pub stamp: HybridStamp,
-    /// The VM whose process wrote it.
+    /// The VM of the process that emitted the event.
     pub vm: VmName,
-    /// The level.
+    /// Severity of the event.
     pub level: Level,
-    /// The dotted kind.
+    /// Dotted kind, such as `request.dispatched`.
     pub kind: String,
-    /// The further fields, in order.
+    /// Fields after the header, in the order of the line.
     pub fields: Vec<(String, String)>,
 }
 
 impl EventRecord {
-    /// The value of the first field of this key.
+    /// Returns the value of the first field with this key.
     pub fn field(&self, key: &str) -> Option<&str> {
         self.fields.iter().find(|(k, _)| k == key).map(|(_, value)| value.as_str())
     }
@@ -66,14 +66,14 @@
 
     fn try_from(line: &str) -> Result<Self, RecordError> {
         let mut fields = read_fields(line)?.into_iter();
-        let mut lead = |key: &'static str| {
+        let mut header_value = |key: &'static str| {
             let (found, value) = fields.next().context(MissingSnafu { key })?;
             if found == key { Ok(value) } else { MissingSnafu { key }.fail() }
         };
-        let stamp = lead("stamp")?;
-        let vm = lead("vm")?;
-        let level = lead("level")?;
-        let kind = lead("kind")?;
+        let stamp = header_value("stamp")?;
+        let vm = header_value("vm")?;
+        let level = header_value("level")?;
+        let kind = header_value("kind")?;
         Ok(Self {
             stamp: stamp
                 .parse()
@@ -105,7 +105,7 @@
 impl fmt::Display for EventRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut line = String::new();
-        push_lead(&mut line, self.stamp, &self.vm, self.level, &self.kind);
+        push_header(&mut line, self.stamp, &self.vm, self.level, &self.kind);
         for (key, value) in &self.fields {
             push_field(&mut line, key, value);
         }
@@ -113,8 +113,8 @@
     }
 }
 
-/// Appends the fields that begin every event's line.
-pub(crate) fn push_lead(
+/// Appends the header of an event line: `stamp`, `vm`, `level` and `kind`.
+pub(crate) fn push_header(
     line: &mut String,
     stamp: HybridStamp,
     vm: &VmName,
--- a/crates/event/src/sink.rs
+++ b/crates/event/src/sink.rs
@@ -1,22 +1,22 @@
-//! Where events go.
+//! Event sinks: the process's event log, and sinks for tests.
 
 use {
-    crate::{EventDraft, EventQuery, record::push_lead},
+    crate::{EventDraft, EventQuery, record::push_header},
     gullglade_units::{HybridClock, HybridStamp, ProcessContext, VmName},
     log::{Level, Record},
     std::{cell::RefCell, collections::VecDeque, rc::Rc},
 };
 
-/// Marks a log record whose text is a whole event line already.
+/// Module path that marks a log record whose message is a complete event line.
 pub(crate) const EVENT_MODULE: &str = "gullglade::event";
 
-/// Takes events. At every module border that tells what it did.
+/// Destination of events; modules receive one at their interface to report what they did.
 pub trait EventSink {
-    /// Takes one event. Never blocks on the network and never fails.
+    /// Records one event. Never fails and never waits for the network.
     fn emit(&self, event: EventDraft);
 }
 
-/// Drops every event.
+/// Discards every event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NullSink;
 
@@ -24,19 +24,19 @@
     fn emit(&self, _event: EventDraft) {}
 }
 
-/// Keeps every event as `kind key=value ...`, for tests.
+/// Stores every event as `kind key=value ...`, for tests.
 #[derive(Debug, Default)]
 pub struct MemorySink {
     lines: RefCell<Vec<String>>,
 }
 
 impl MemorySink {
-    /// The events so far, oldest first.
+    /// Returns the recorded events, oldest first.
     pub fn lines(&self) -> Vec<String> {
         self.lines.borrow().clone()
     }
 
-    /// How many events of `kind` there were.
+    /// Returns the number of recorded events of `kind`.
     pub fn count(&self, kind: &str) -> usize {
         let of_kind = |line: &&String| line.split(' ').next() == Some(kind);
         self.lines.borrow().iter().filter(of_kind).count()
@@ -49,8 +49,8 @@
     }
 }
 
-/// The time line of one process: stamps each event, writes its line to the log and keeps the last
-/// ones in memory for the operators' port.
+/// The event log of one process: stamps each event, writes its line to the log and retains the most
+/// recent events in memory for the operator port.
 pub struct EventLog {
     vm: VmName,
     hybrid: Rc<HybridClock>,
@@ -60,26 +60,26 @@
     line: RefCell<String>,
 }
 
-/// The last events. Lines are made when they are asked for: an event is written at each request
-/// and asked for hardly ever.
+/// Ring buffer of the most recent events. Lines are formatted on retrieval, because every request
+/// emits events but operators rarely query them.
 #[derive(Default)]
 struct EventRing {
     events: VecDeque<(HybridStamp, EventDraft)>,
     dropped: Option<HybridStamp>,
 }
 
-/// A part of a process's time line.
+/// A contiguous range of a process's retained events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventPage {
-    /// Lines, oldest first.
+    /// Event lines, oldest first.
     pub lines: Vec<String>,
-    /// Whether events between the time asked for and the first line are no longer in memory.
+    /// True if events after the requested stamp have been evicted from memory.
     pub dropped: bool,
 }
 
 impl EventPage {
-    /// The page as the operators' port sends it: one line an event, and a comment line first
-    /// where events are missing.
+    /// Formats the page for the operator port: one line per event, preceded by a comment line if
+    /// events are missing.
     pub fn into_text(self) -> String {
         let mut text = String::new();
         if self.dropped {
@@ -94,8 +94,8 @@
 }
 
 impl EventLog {
-    /// The time line of the process on `vm`; keeps the last `capacity` events in memory. `hybrid`
-    /// is the clock that the peer sessions carry, the same one for all of the process.
+    /// Creates the event log of the process on `vm`, which retains the last `capacity` events.
+    /// `hybrid` is the process-wide clock whose stamps the peer sessions exchange.
     pub fn new(
         vm: VmName,
         hybrid: Rc<HybridClock>,
@@ -105,13 +105,13 @@
         Self { vm, hybrid, context, capacity, ring: RefCell::default(), line: RefCell::default() }
     }
 
-    /// The page that an operator asks for.
+    /// Returns the page that `query` selects.
     pub fn answer(&self, query: EventQuery) -> EventPage {
         self.page(query.since, query.limit)
     }
 
-    /// Up to `limit` events stamped after `since`, oldest first. Ask again with the last stamp for
-    /// the next page.
+    /// Returns up to `limit` events stamped after `since`, oldest first. Pass the last stamp of a
+    /// page as `since` to get the next one.
     pub fn page(&self, since: Option<HybridStamp>, limit: usize) -> EventPage {
         let ring = self.ring.borrow();
         let after = since.unwrap_or_default();
@@ -128,7 +128,7 @@
     }
 
     fn push_line(&self, line: &mut String, stamp: HybridStamp, event: &EventDraft) {
-        push_lead(line, stamp, &self.vm, event.level, event.kind);
+        push_header(line, stamp, &self.vm, event.level, event.kind);
         line.push_str(&event.fields);
     }
 
@@ -142,7 +142,7 @@
         write_line(event.kind, event.level, &line);
     }
 
-    fn keep(&self, stamp: HybridStamp, event: EventDraft) {
+    fn retain(&self, stamp: HybridStamp, event: EventDraft) {
         let mut ring = self.ring.borrow_mut();
         ring.events.push_back((stamp, event));
         if ring.events.len() > self.capacity {
@@ -156,13 +156,13 @@
         let stamp = self.hybrid.stamp(self.context.clock.wall());
         self.write(stamp, &event);
         if event.level <= Level::Info {
-            self.keep(stamp, event);
+            self.retain(stamp, event);
         }
     }
 }
 
-/// Hands the line to the logger under the kind as target, so that a level set for `request`
-/// governs `request.dispatched`.
+/// Passes the line to the logger with the kind as target, so that a level set for `request` applies
+/// to `request.dispatched`.
 fn write_line(kind: &str, level: Level, line: &str) {
     let mut builder = Record::builder();
     builder.target(kind).level(level).module_path_static(Some(EVENT_MODULE));
--- a/crates/event/src/throttle.rs
+++ b/crates/event/src/throttle.rs
@@ -1,8 +1,8 @@
-//! Bounds the lines of each kind of event.
+//! Rate limiting of events, with one token bucket per kind.
 //!
-//! Under load or in an outage every request may be worth a line, and writing them would take the
-//! processor time that the requests need. Each kind of event has a rate of its own, so a flood of
-//! one kind hides no other; what was left out is told in a line.
+//! Under load or in an outage every request may emit an event, and writing them all would take CPU
+//! time that the requests need. Each kind has its own limit, so that a flood of one kind does not
+//! suppress another. The number of suppressed events is reported in a `log.throttled` event.
 
 use {
     crate::{EventDraft, EventSink},
@@ -10,67 +10,67 @@
     std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration},
 };
 
-/// Lines of one kind at once. Enough for each member of a large deployment to appear once.
-const BURST: f64 = 200.0;
+/// Bucket capacity per kind; enough for each member of a large deployment to appear once.
+const BURST_EVENTS: f64 = 200.0;
 
-/// Lines of one kind a second after that. At 10 us a line, 0.05% of a core for each kind.
-const RATE: f64 = 50.0;
+/// Refill rate per kind. At 10 us per line, this costs at most 0.05% of a core for each kind.
+const EVENTS_PER_SECOND: f64 = 50.0;
 
-/// How often what was left out is told.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between two reports of suppressed events of one kind.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-struct KindBudget {
+struct TokenBucket {
     tokens: f64,
     refilled: MonotonicTime,
-    left_out: u64,
-    told: MonotonicTime,
+    suppressed: u64,
+    last_report: MonotonicTime,
 }
 
-/// Passes events on, within a rate for each kind.
+/// Forwards events to another sink, rate-limited per kind.
 pub struct ThrottledSink {
     target: Rc<dyn EventSink>,
     clock: Rc<dyn Clock>,
-    budgets: RefCell<HashMap<&'static str, KindBudget>>,
+    buckets: RefCell<HashMap<&'static str, TokenBucket>>,
 }
 
 impl ThrottledSink {
-    /// A sink that passes events on to `target`.
+    /// Creates a sink that forwards events to `target`.
     pub fn new(target: Rc<dyn EventSink>, clock: Rc<dyn Clock>) -> Self {
-        Self { target, clock, budgets: RefCell::default() }
+        Self { target, clock, buckets: RefCell::default() }
     }
 
-    /// Whether one more event of `kind` may pass, and how many were left out before it, where it
-    /// is time to tell.
-    fn take(&self, kind: &'static str) -> (bool, Option<u64>) {
+    /// Tries to take a token for an event of `kind`. Returns true if the event may pass, and the
+    /// number of events suppressed since the last report if a report is due.
+    fn try_acquire(&self, kind: &'static str) -> (bool, Option<u64>) {
         let now = self.clock.now();
-        let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets.entry(kind).or_insert(KindBudget {
-            tokens: BURST,
+        let mut buckets = self.buckets.borrow_mut();
+        let bucket = buckets.entry(kind).or_insert(TokenBucket {
+            tokens: BURST_EVENTS,
             refilled: now,
-            left_out: 0,
-            told: now,
+            suppressed: 0,
+            last_report: now,
         });
-        let passed = now.since(budget.refilled).as_secs_f64();
-        budget.refilled = now;
-        budget.tokens = (budget.tokens + passed * RATE).min(BURST);
-        let has_room = budget.tokens >= 1.0;
+        let elapsed = now.since(bucket.refilled).as_secs_f64();
+        bucket.refilled = now;
+        bucket.tokens = (bucket.tokens + elapsed * EVENTS_PER_SECOND).min(BURST_EVENTS);
+        let has_room = bucket.tokens >= 1.0;
         match has_room {
-            true => budget.tokens -= 1.0,
-            false => budget.left_out += 1,
+            true => bucket.tokens -= 1.0,
+            false => bucket.suppressed += 1,
         }
-        let is_due = budget.left_out > 0 && now.since(budget.told) >= TELL_INTERVAL;
+        let is_due = bucket.suppressed > 0 && now.since(bucket.last_report) >= REPORT_INTERVAL;
         if !is_due {
             return (has_room, None);
         }
-        budget.told = now;
-        (has_room, Some(std::mem::take(&mut budget.left_out)))
+        bucket.last_report = now;
+        (has_room, Some(std::mem::take(&mut bucket.suppressed)))
     }
 }
 
 impl EventSink for ThrottledSink {
     fn emit(&self, event: EventDraft) {
-        let (has_room, left_out) = self.take(event.kind());
-        if let Some(count) = left_out {
+        let (has_room, suppressed) = self.try_acquire(event.kind());
+        if let Some(count) = suppressed {
             let summary = EventDraft::new("log.throttled").field("of", event.kind());
             self.target.emit(summary.field("lines", count));
         }
--- a/crates/event/src/timeline.rs
+++ b/crates/event/src/timeline.rs
@@ -1,8 +1,8 @@
-//! One causal order out of the logs and the live processes of a whole deployment.
+//! Merges the events of all logs and live processes of a deployment into one causal order.
 //!
-//! Hybrid stamps order every cause before its effect, so the merge is a sort; no clock of any VM
-//! needs to be right. Only events that no message connects may stand in an order that did not
-//! happen, within the error of the wall clocks.
+//! Hybrid logical clocks stamp every cause before its effect, so the merge is a sort by stamp and
+//! does not depend on correct wall clocks. Only events that no chain of messages connects may be
+//! out of their real order, by up to the error of the wall clocks.
 
 mod filter;
 mod html;
@@ -15,23 +15,23 @@
     std::collections::BTreeSet,
 };
 
-/// Begins a comment line of a page of events.
-const COMMENT: char = '#';
+/// Prefix of comment lines in a page of events.
+const COMMENT_PREFIX: char = '#';
 
-/// Events of many processes in one causal order, without doubles.
+/// Events of many processes; [`sort`](Self::sort) puts them into causal order.
 #[derive(Debug, Default)]
-pub struct TimeLine {
+pub struct Timeline {
     events: Vec<EventRecord>,
     notes: Vec<String>,
 }
 
-impl TimeLine {
-    /// Takes the lines of one log file or one live process. Lines that are no events are counted
-    /// in a note, never dropped in silence.
+impl Timeline {
+    /// Adds the lines of one log file or live process. Comment lines become notes, and lines that
+    /// are not events are counted in a note.
     pub fn add(&mut self, source: &str, lines: &str) {
         let mut refused: Option<(usize, RecordError)> = None;
         for line in lines.lines().filter(|line| !line.is_empty()) {
-            if let Some(comment) = line.strip_prefix(COMMENT) {
+            if let Some(comment) = line.strip_prefix(COMMENT_PREFIX) {
                 self.note(format!("{source}: {}", comment.trim()));
                 continue;
             }
@@ -48,46 +48,46 @@
         }
     }
 
-    /// Notes what the time line lacks, such as a process that did not answer.
+    /// Adds a note on missing data, such as a process that did not answer.
     pub fn note(&mut self, note: String) {
         self.notes.push(note);
     }
 
-    /// What is missing or was not read.
+    /// Notes on data that is missing or could not be parsed.
     pub fn notes(&self) -> &[String] {
         &self.notes
     }
 
-    /// Puts the events into causal order and removes doubles: the same event comes from a log file
-    /// and from the live process.
+    /// Sorts the events into causal order and removes duplicates, which arise when an event comes
+    /// from both a log file and the live process.
     pub fn sort(&mut self) {
         self.events.sort_by(|a, b| (a.stamp, &a.vm).cmp(&(b.stamp, &b.vm)));
         self.events.dedup();
     }
 
-    /// The events that pass `filter`, in order.
+    /// Returns the events that `filter` selects, in order.
     pub fn select(&self, filter: &EventFilter) -> Vec<&EventRecord> {
         filter.select(&self.events)
     }
 
-    /// `events` as text, one a line, then the notes.
+    /// Renders `events` as text, one per line, followed by the notes.
     pub fn text(&self, events: &[&EventRecord]) -> String {
         text::render(events, &self.notes)
     }
 
-    /// `events` as one self-contained HTML page with a lane for each VM.
+    /// Renders `events` as a self-contained HTML page with one column per VM.
     pub fn html(&self, title: &str, events: &[&EventRecord]) -> String {
         html::render(title, events, &self.notes)
     }
 }
 
-/// The VMs of `events`, by name.
+/// Returns the VMs of `events`, sorted by name; each is a column of the HTML page.
 fn lanes<'a>(events: &[&'a EventRecord]) -> Vec<&'a str> {
     let names: BTreeSet<&str> = events.iter().map(|event| event.vm.as_str()).collect();
     names.into_iter().collect()
 }
 
-/// The time of day of a stamp, UTC, RFC 3339, with the counter that orders equal times.
+/// Formats an event's stamp as RFC 3339 UTC time plus the logical counter that orders equal times.
 fn time_text(event: &EventRecord) -> String {
     let millis = i64::try_from(event.stamp.wall.0).unwrap_or(i64::MAX);
     match chrono::DateTime::from_timestamp_millis(millis) {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The fields as they stand in the line.
+/// Formats the fields as they appear in the event line.
 fn fields_text(event: &EventRecord) -> String {
     let mut text = String::new();
     for (key, value) in &event.fields {
--- a/crates/event/src/timeline/filter.rs
+++ b/crates/event/src/timeline/filter.rs
@@ -1,4 +1,4 @@
-//! Which events to show.
+//! Selection of the events to display.
 
 use {
     crate::EventRecord,
@@ -6,16 +6,17 @@
     std::collections::HashSet,
 };
 
-/// The field that names a request.
+/// Key of the field that holds a request id.
 const REQUEST: &str = "request";
 
-/// The field that names a change of configuration.
+/// Key of the field that holds the id of a configuration change.
 const CHANGE: &str = "change";
 
-/// The field that names a backend server.
+/// Key of the field that holds the name of a backend server.
 const BACKEND: &str = "backend";
 
-/// Which events to show. By default all; each setting narrows further.
+/// Criteria that an event must meet to be displayed. The default selects all events; each criterion
+/// narrows the selection, and [`context`](Self::context) widens it.
 #[derive(Clone, Debug, Default)]
 pub struct EventFilter {
     request: Option<String>,
@@ -28,64 +29,65 @@
 }
 
 impl EventFilter {
-    /// Only events of this request.
+    /// Selects only events of this request.
     pub fn request(mut self, request: Option<String>) -> Self {
         self.request = request;
         self
     }
 
-    /// Only events of this change of configuration.
+    /// Selects only events of this configuration change.
     pub fn change(mut self, change: Option<String>) -> Self {
         self.change = change;
         self
     }
 
-    /// Only events that name this backend server.
+    /// Selects only events that name this backend server.
     pub fn backend(mut self, backend: Option<String>) -> Self {
         self.backend = backend;
         self
     }
 
-    /// Only events of this VM, or that name it in `vm_to`, `vm_from` or another `vm_` field.
+    /// Selects only events of this VM, or that name it in `vm_to`, `vm_from` or another `vm_`
+    /// field.
     pub fn vm(mut self, vm: Option<VmName>) -> Self {
         self.vm = vm;
         self
     }
 
-    /// Only events of this kind, or of the kinds below it: `request` takes `request.dispatched`.
+    /// Selects only events of this kind or its sub-kinds: `request` includes `request.dispatched`.
     pub fn kind(mut self, kind: Option<String>) -> Self {
         self.kind = kind;
         self
     }
 
-    /// Only events stamped after this.
+    /// Selects only events stamped after `since`.
     pub fn since(mut self, since: Option<HybridStamp>) -> Self {
         self.since = since;
         self
     }
 
-    /// Adds what happened meanwhile to the backend servers that the chosen events name: why a
-    /// request was retried stands in the events of its backend server.
+    /// Adds the events of the backend servers that the selected events name, within the time span
+    /// of the selection. The reason for a retry, for example, is in the backend server's events.
     pub fn context(mut self, context: bool) -> Self {
         self.context = context;
         self
     }
 
-    /// The events that pass, in the order given.
+    /// Returns the selected events in their given order.
     pub(super) fn select<'a>(&self, events: &'a [EventRecord]) -> Vec<&'a EventRecord> {
-        let chosen: Vec<&EventRecord> = events.iter().filter(|e| self.passes(e)).collect();
-        match (self.context, chosen.first(), chosen.last()) {
+        let matching: Vec<&EventRecord> = events.iter().filter(|e| self.passes(e)).collect();
+        match (self.context, matching.first(), matching.last()) {
             (true, Some(first), Some(last)) => {
                 let backends: HashSet<&str> =
-                    chosen.iter().filter_map(|e| e.field(BACKEND)).collect();
+                    matching.iter().filter_map(|e| e.field(BACKEND)).collect();
                 let span = first.stamp..=last.stamp;
-                let explains = |e: &EventRecord| {
+                let is_context = |e: &EventRecord| {
                     let of_backend = e.field(BACKEND).is_some_and(|b| backends.contains(b));
                     of_backend && e.field(REQUEST).is_none() && span.contains(&e.stamp)
                 };
-                events.iter().filter(|e| self.passes(e) || explains(e)).collect()
+                events.iter().filter(|e| self.passes(e) || is_context(e)).collect()
             }
-            _ => chosen,
+            _ => matching,
         }
     }
 
@@ -97,7 +99,7 @@
             && field_is(CHANGE, &self.change)
             && field_is(BACKEND, &self.backend)
             && self.vm.as_ref().is_none_or(|vm| concerns_vm(event, vm))
-            && self.kind.as_deref().is_none_or(|kind| is_below(&event.kind, kind))
+            && self.kind.as_deref().is_none_or(|kind| matches_kind(&event.kind, kind))
             && self.since.is_none_or(|since| event.stamp > since)
     }
 }
@@ -107,7 +109,7 @@
     event.vm == *vm || event.fields.iter().any(named)
 }
 
-fn is_below(kind: &str, wanted: &str) -> bool {
+fn matches_kind(kind: &str, wanted: &str) -> bool {
     let rest = kind.strip_prefix(wanted);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
 }
--- a/crates/event/src/timeline/html.rs
+++ b/crates/event/src/timeline/html.rs
@@ -1,7 +1,7 @@
-//! The time line as one HTML page.
+//! HTML rendering of the timeline.
 //!
-//! The page loads nothing and runs nothing; a content security policy in it says so to the
-//! browser, so that even a value that slipped through the template's escaping could not act.
+//! The page loads no resources and runs no scripts. Its content security policy enforces this in
+//! the browser, as a second line of defence behind the template's escaping.
 
 use {
     super::{lanes, time_text},
@@ -11,8 +11,8 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// What the browser may load: the style in the page, nothing else.
-const POLICY: &str = "default-src 'none'; style-src 'unsafe-inline'";
+/// Content security policy that allows only the inline style sheet.
+const CONTENT_SECURITY_POLICY: &str = "default-src 'none'; style-src 'unsafe-inline'";
 
 const STYLE: &str = "
 body { font: 13px/1.4 system-ui, sans-serif; margin: 1em; color: #1a1a1a; background: #fff }
@@ -32,7 +32,7 @@
 dd { margin: 0; overflow-wrap: anywhere; min-width: 6em; max-width: 26em }
 ";
 
-/// The page: a row an event, a lane a VM, a colour a request or change.
+/// Renders the page: one row per event, one column per VM, one colour per request or change.
 pub(super) fn render(title: &str, events: &[&EventRecord], notes: &[String]) -> String {
     let lanes = lanes(events);
     let page = html! {
@@ -40,7 +40,7 @@
         html lang="en" {
             head {
                 meta charset="utf-8";
-                meta http-equiv="Content-Security-Policy" content=(POLICY);
+                meta http-equiv="Content-Security-Policy" content=(CONTENT_SECURITY_POLICY);
                 title { (title) }
                 style { (maud::PreEscaped(STYLE)) }
             }
@@ -75,19 +75,19 @@
 }
 
 fn cell(event: &EventRecord) -> Markup {
-    let thread = event.field("request").or_else(|| event.field("change"));
-    let plain = thread.is_none();
+    let trace_id = event.field("request").or_else(|| event.field("change"));
+    let plain = trace_id.is_none();
     let warn = event.level == Level::Warn;
     let error = event.level == Level::Error;
     html! {
-        td.event.plain[plain].warn[warn].error[error] style=[thread.map(|id| format!("--hue:{}", hue(id)))] {
+        td.event.plain[plain].warn[warn].error[error] style=[trace_id.map(|id| format!("--hue:{}", hue(id)))] {
             b { (event.kind) }
             dl { @for (key, value) in &event.fields { dt { (key) } dd { (value) } } }
         }
     }
 }
 
-/// A colour that stays the same for the same id.
+/// Derives a stable hue in degrees from an id.
 fn hue(id: &str) -> u64 {
     xxh3_64(id.as_bytes()) % 360
 }
--- a/crates/event/src/timeline/text.rs
+++ b/crates/event/src/timeline/text.rs
@@ -1,4 +1,4 @@
-//! The time line as text for a terminal.
+//! Plain-text rendering of the timeline for terminals.
 
 use {
     super::{fields_text, time_text},
@@ -6,7 +6,7 @@
     log::Level,
 };
 
-/// One line an event, with columns as wide as their widest entry; then the notes.
+/// Renders one line per event, with aligned columns, followed by the notes.
 pub(super) fn render(events: &[&EventRecord], notes: &[String]) -> String {
     let vm_width = widest(events, |event| event.vm.as_str().len());
     let kind_width = widest(events, |event| event.kind.len());
@@ -32,7 +32,7 @@
     events.iter().map(|event| width(event)).max().unwrap_or(0)
 }
 
-/// Only what asks for attention is named.
+/// Returns the text of the level column, which is empty for levels below warning.
 fn level_text(level: Level) -> &'static str {
     match level {
         Level::Error => "ERROR",
--- a/crates/event/tests/event/alerts.rs
+++ b/crates/event/tests/event/alerts.rs
@@ -1,4 +1,5 @@
-//! The example alerts ask for metrics that exist, and each has a section for operators.
+//! Checks that the example alerts use existing metrics and that each has a section in the operator
+//! documentation.
 
 use {
     gullglade_event::{MetricSet, RequestOutcome},
@@ -9,14 +10,14 @@
 const ALERTS: &str = include_str!("../../../../examples/alerts.yml");
 const PAGE: &str = include_str!("../../../../docs/operators/alerts.md");
 
-/// The words of `text` that begin with `prefix`.
+/// Returns the words of `text` that begin with `prefix`.
 fn words<'a>(text: &'a str, prefix: &str) -> BTreeSet<&'a str> {
     let is_word = |c: char| c.is_ascii_alphanumeric() || c == '_';
     text.split(|c| !is_word(c)).filter(|word| word.starts_with(prefix)).collect()
 }
 
 #[test]
-fn alerts_ask_for_metrics_that_exist() {
+fn alerts_use_existing_metrics() {
     let metrics = MetricSet::new().unwrap();
     let service = ServiceName::try_from("quotes").unwrap();
     let model = ModelName::try_from("ballast").unwrap();
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn each_alert_has_a_section() {
+fn each_alert_is_documented() {
     let alerts = words(ALERTS, "Gullglade");
     assert!(alerts.len() >= 9, "{alerts:?}");
     let headings: String = PAGE.lines().filter(|line| line.starts_with("## ")).collect();
--- a/crates/event/tests/event/bounds.rs
+++ b/crates/event/tests/event/bounds.rs
@@ -1,4 +1,4 @@
-//! The volume of the log under load, and a reader that stands still.
+//! Rate limits on events under load.
 
 use {
     gullglade_event::{EventDraft, EventSink, MemorySink, ThrottledSink},
@@ -7,9 +7,9 @@
 };
 
 #[test]
-fn a_flood_of_one_kind_is_bounded_counted_and_hides_no_other() {
-    // Symptom: a gateway spends its processor on log lines while callers wait. Sequence: every
-    // request is refused for a second.
+fn each_kind_is_rate_limited_separately_and_suppressed_events_are_counted() {
+    // Guards against a gateway that spends its CPU time on log lines while callers wait, for
+    // example when it refuses every request for a second.
     let (world, context) = FakeWorld::new(1);
     let memory: Rc<MemorySink> = Rc::default();
     let sink = ThrottledSink::new(Rc::clone(&memory) as _, context.clock);
@@ -22,14 +22,18 @@
     sink.emit(EventDraft::new("control.lost"));
     world.run_for(Duration::from_secs(2));
     sink.emit(EventDraft::new("request.refused"));
-    let kept = memory.count("request.refused");
-    assert!((200..=300).contains(&kept), "{kept} of 10,000");
+    let passed = memory.count("request.refused");
+    assert!((200..=300).contains(&passed), "{passed} of 10,000");
     assert_eq!(memory.count("control.lost"), 1);
-    let told: u64 = memory
+    let reported: u64 = memory
         .lines()
         .iter()
         .filter(|line| line.starts_with("log.throttled"))
         .filter_map(|line| line.rsplit_once("lines=")?.1.parse::<u64>().ok())
         .sum();
-    assert_eq!(told + kept as u64, 10_001, "what was left out is told");
+    assert_eq!(
+        reported + passed as u64,
+        10_001,
+        "passed and reported events must add up to all events"
+    );
 }
--- a/crates/event/tests/event/lines.rs
+++ b/crates/event/tests/event/lines.rs
@@ -1,4 +1,4 @@
-//! Lines are written so that they read back, and no value passes for another field or line.
+//! Encoding of event lines: values round-trip and cannot inject another field or line.
 
 use {
     crate::support::Process,
@@ -8,27 +8,27 @@
     std::fmt,
 };
 
-/// An error whose message is whatever the test says.
+/// An error with an arbitrary message.
 #[derive(Debug)]
-struct FreeError(String);
+struct ArbitraryError(String);
 
-impl fmt::Display for FreeError {
+impl fmt::Display for ArbitraryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for FreeError {}
+impl std::error::Error for ArbitraryError {}
 
 fn line_of(message: &str) -> String {
     let process = Process::new("puget-1", 1);
-    let error = FreeError(message.to_owned());
+    let error = ArbitraryError(message.to_owned());
     process.emit(EventDraft::new("test.error").error("reason", &error).field("after", 7_u64));
     process.log.page(None, 1).lines.remove(0)
 }
 
 #[test]
-fn lines_have_one_form() {
+fn values_are_quoted_and_escaped_only_where_necessary() {
     struct Case {
         message: &'static str,
         value: &'static str,
@@ -55,7 +55,7 @@
 }
 
 quickcheck! {
-    fn every_value_reads_back(message: String) -> bool {
+    fn every_value_round_trips(message: String) -> bool {
         let line = line_of(&message);
         let record = EventRecord::try_from(line.as_str()).unwrap();
         let short = message.len() <= 240;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn long_values_are_cut() {
+fn long_values_are_truncated() {
     let record = EventRecord::try_from(line_of(&"é".repeat(4_000)).as_str()).unwrap();
     let value = record.field("reason").unwrap();
     assert!(value.ends_with("..."));
@@ -74,34 +74,34 @@
 }
 
 #[test]
-fn lines_that_are_no_events_are_refused() {
+fn lines_that_are_not_events_are_rejected() {
     struct Case {
         line: &'static str,
-        remedy: &'static str,
+        expected_text: &'static str,
     }
     let cases = [
-        Case { line: "", remedy: "no stamp=" },
-        Case { line: "hello", remedy: "column 1" },
-        Case { line: "wall=1 level=warn library=x message=y", remedy: "no stamp=" },
-        Case { line: "stamp=1.0000 vm=a level=info", remedy: "no kind=" },
-        Case { line: "stamp=1 vm=a level=info kind=k", remedy: "stamp=1 cannot" },
-        Case { line: "stamp=1.0000 vm=! level=info kind=k", remedy: "vm= cannot" },
-        Case { line: "stamp=1.0000 vm=a level=loud kind=k", remedy: "level=loud cannot" },
-        Case { line: "stamp=1.0000 vm=a level=info kind=k x=\"open", remedy: "column 37" },
-        Case { line: "stamp=1.0000 vm=a level=info kind=k x=\"a\"y=2", remedy: "column 37" },
-        Case { line: "stamp=1.0000 vm=a level=info kind=k  x=1", remedy: "column 37" },
+        Case { line: "", expected_text: "no stamp=" },
+        Case { line: "hello", expected_text: "column 1" },
+        Case { line: "wall=1 level=warn library=x message=y", expected_text: "no stamp=" },
+        Case { line: "stamp=1.0000 vm=a level=info", expected_text: "no kind=" },
+        Case { line: "stamp=1 vm=a level=info kind=k", expected_text: "stamp=1 cannot" },
+        Case { line: "stamp=1.0000 vm=! level=info kind=k", expected_text: "vm= cannot" },
+        Case { line: "stamp=1.0000 vm=a level=loud kind=k", expected_text: "level=loud cannot" },
+        Case { line: "stamp=1.0000 vm=a level=info kind=k x=\"open", expected_text: "column 37" },
+        Case { line: "stamp=1.0000 vm=a level=info kind=k x=\"a\"y=2", expected_text: "column 37" },
+        Case { line: "stamp=1.0000 vm=a level=info kind=k  x=1", expected_text: "column 37" },
     ];
     for case in cases {
         let error = EventRecord::try_from(case.line).unwrap_err().to_string();
-        assert!(error.contains(case.remedy), "{:?} gave {error:?}", case.line);
+        assert!(error.contains(case.expected_text), "{:?} gave {error:?}", case.line);
     }
 }
 
 #[test]
-fn stamps_follow_messages_and_never_step_back() {
-    // Symptom: the time line shows an answer before its request.
-    // Sequence: a message arrives from a VM whose clock is 5 s ahead; then our clock steps back.
-    // Cause: stamps taken from the wall clock alone.
+fn stamps_follow_messages_and_never_decrease() {
+    // Guards against a timeline that shows an answer before its request. With stamps from the wall
+    // clock alone, this happens when a message arrives from a VM whose clock is 5 s ahead, or when
+    // the local clock steps back.
     let process = Process::new("puget-1", 8);
     process.clock.0.set(10_000);
     process.emit(EventDraft::new("test.first"));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn memory_keeps_the_last_events_and_says_what_is_gone() {
+fn memory_retains_the_last_events_and_reports_evicted_ones() {
     let process = Process::new("puget-1", 2);
     for wall in 1..=4 {
         process.clock.0.set(wall);
@@ -125,16 +125,16 @@
     let page = process.log.page(None, 10);
     assert!(page.dropped);
     assert_eq!(page.lines.len(), 2);
-    let last_gone = HybridStamp { wall: WallMillis(2), counter: 0 };
-    assert!(!process.log.page(Some(last_gone), 10).dropped);
+    let last_evicted = HybridStamp { wall: WallMillis(2), counter: 0 };
+    assert!(!process.log.page(Some(last_evicted), 10).dropped);
     let newest = HybridStamp { wall: WallMillis(4), counter: 0 };
     assert_eq!(process.log.page(Some(newest), 10).lines, Vec::<String>::new());
-    assert_eq!(process.log.page(Some(last_gone), 1).lines.len(), 1);
+    assert_eq!(process.log.page(Some(last_evicted), 1).lines.len(), 1);
     assert!(page.into_text().starts_with("# older events"));
 }
 
 #[test]
-fn queries_of_events_are_checked() {
+fn event_queries_are_validated() {
     struct Case {
         query: Option<&'static str>,
         found: Result<(Option<&'static str>, usize), &'static str>,
--- a/crates/event/tests/event/main.rs
+++ b/crates/event/tests/event/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the event crate, in one program that shares its support.
+//! Tests of the event crate, in one program with shared support code.
 
 mod alerts;
 mod bounds;
--- a/crates/event/tests/event/metrics.rs
+++ b/crates/event/tests/event/metrics.rs
@@ -1,13 +1,13 @@
-//! Metrics print as Prometheus reads them, and their labels are bounded.
+//! Metrics in the Prometheus text format, and the limits on their label values.
 
 use {
-    gullglade_event::{LabelGuard, MetricSet, Promise, RequestOutcome},
+    gullglade_event::{Invariant, LabelGuard, MetricSet, RequestOutcome},
     gullglade_units::{ModelName, RegionName, ServiceName},
     std::time::Duration,
 };
 
 #[test]
-fn the_text_holds_the_measures() {
+fn text_contains_the_recorded_values() {
     let metrics = MetricSet::new().unwrap();
     let service = ServiceName::try_from("quotes").unwrap();
     let model = ModelName::try_from("ballast").unwrap();
@@ -44,37 +44,36 @@
 }
 
 #[test]
-fn every_promise_is_exported_before_it_breaks() {
-    // The first breach raised no alert: Prometheus sees no rise in a series that is new.
+fn every_violation_counter_is_exported_at_zero() {
+    // Guards against a first violation that raises no alert: Prometheus detects no increase in a
+    // series that appears with its first value.
     let metrics = MetricSet::new().unwrap();
     let before = metrics.text().unwrap();
-    for promise in Promise::ALL {
-        let line = format!("gullglade_promise_breaches_total{{promise=\"{}\"}}", promise.label());
+    for invariant in Invariant::ALL {
+        let line = format!("gullglade_promise_breaches_total{{promise=\"{}\"}}", invariant.label());
         assert!(before.lines().any(|l| l == format!("{line} 0")), "{line} is missing");
-        metrics.breached(promise);
-        assert_eq!(metrics.breaches(promise), 1);
+        metrics.record_violation(invariant);
+        assert_eq!(metrics.violations(invariant), 1);
         let after = metrics.text().unwrap();
         assert!(after.lines().any(|l| l == format!("{line} 1")));
     }
 }
 
 #[test]
-fn a_configuration_that_goes_back_is_counted() {
-    // Symptom: a withdrawn permission to travel is in force again.
-    // Sequence: a replica takes an answer of a process that is behind.
-    // Cause: an answer's index that nobody compared with the one in force.
+fn a_decreasing_configuration_index_is_counted() {
+    // Guards against a revoked forwarding permission that takes effect again: a replica accepts the
+    // answer of a process that lags behind, without comparing its index with the one in force.
     let metrics = MetricSet::new().unwrap();
     [3, 3, 5].into_iter().for_each(|index| metrics.configuration_in_force(index));
-    assert_eq!(metrics.breaches(Promise::NoRevert), 0);
+    assert_eq!(metrics.violations(Invariant::NoRevert), 0);
     metrics.configuration_in_force(4);
-    assert_eq!(metrics.breaches(Promise::NoRevert), 1);
+    assert_eq!(metrics.violations(Invariant::NoRevert), 1);
 }
 
 #[test]
-fn labels_are_bounded() {
-    // Symptom: scrapes grow until they time out.
-    // Sequence: a team deploys a model under a new name every hour.
-    // Cause: each label value makes a time series that never goes away.
+fn label_values_are_limited() {
+    // Guards against scrapes that grow until they time out: each label value creates a time series
+    // that is never removed, and a team may deploy a model under a new name every hour.
     let guard = LabelGuard::new(2);
     let admitted: Vec<&str> = ["a", "b", "c", "a", "d"].iter().map(|v| guard.admit(v)).collect();
     assert_eq!(admitted, ["a", "b", "other", "a", "other"]);
--- a/crates/event/tests/event/support.rs
+++ b/crates/event/tests/event/support.rs
@@ -1,4 +1,4 @@
-//! A few processes whose clocks a test sets, and messages that carry hybrid stamps between them.
+//! Processes with clocks that the test sets and with messages that carry hybrid stamps.
 
 use {
     gullglade_event::{EventDraft, EventLog, EventSink},
@@ -27,7 +27,7 @@
     }
 }
 
-/// One process with a clock of its own.
+/// One process with its own clock.
 pub(crate) struct Process {
     pub(crate) clock: Rc<SetClock>,
     pub(crate) hybrid: Rc<HybridClock>,
@@ -35,7 +35,7 @@
 }
 
 impl Process {
-    /// A process that keeps `capacity` events.
+    /// Creates a process that retains `capacity` events.
     pub(crate) fn new(vm: &str, capacity: usize) -> Self {
         let clock = Rc::new(SetClock::default());
         let context = ProcessContext {
@@ -48,18 +48,17 @@
         Self { log: EventLog::new(vm, hybrid.clone(), context, capacity), clock, hybrid }
     }
 
-    /// Writes an event.
     pub(crate) fn emit(&self, event: EventDraft) {
         self.log.emit(event);
     }
 
-    /// Everything in memory, as the operators' port would send it.
+    /// Returns all retained events as the operator port sends them.
     pub(crate) fn text(&self) -> String {
         self.log.page(None, usize::MAX).into_text()
     }
 
-    /// The stamp that a message sent now carries.
-    pub(crate) fn send(&self) -> HybridStamp {
+    /// Returns the stamp of a message that is sent now.
+    pub(crate) fn stamp_message(&self) -> HybridStamp {
         self.hybrid.stamp(self.clock.wall())
     }
 }
--- a/crates/event/tests/event/timeline.rs
+++ b/crates/event/tests/event/timeline.rs
@@ -1,29 +1,29 @@
-//! The time line of a whole session, kept as golden files. `GULLGLADE_BLESS=1 cargo test` writes
-//! them anew; read the difference before committing it.
+//! The timeline of a complete session, compared with golden files. `GULLGLADE_BLESS=1 cargo test`
+//! rewrites the files; review the difference before committing it.
 
 use {
     crate::support::Process,
-    gullglade_event::{EventDraft, EventFilter, Level, TimeLine},
+    gullglade_event::{EventDraft, EventFilter, Level, Timeline},
     gullglade_units::{BackendName, ChangeId, RegionName, RequestId, ServiceName, VmName},
     std::{collections::BTreeMap, fmt, fs, path::PathBuf},
 };
 
 /// The true time at which the session begins: 2026-03-02 08:00 UTC.
-const START: u64 = 1_772_438_400_000;
+const START_MILLIS: u64 = 1_772_438_400_000;
 
 const REQUEST: &str = "0195544a-8c00-7000-8000-000000000001";
 
-/// The processes of a session. Time and messages are the test's.
+/// The processes of a session, with simulated time and messages.
 struct Session {
     processes: BTreeMap<&'static str, (i64, Process)>,
     now: u64,
 }
 
 impl Session {
-    /// Processes whose wall clocks are off by so many milliseconds.
+    /// Creates processes whose wall clocks are off by the given milliseconds.
     fn new(skews: &[(&'static str, i64)]) -> Self {
         let process = |(name, skew): &(&'static str, i64)| (*name, (*skew, Process::new(name, 99)));
-        Self { processes: skews.iter().map(process).collect(), now: START }
+        Self { processes: skews.iter().map(process).collect(), now: START_MILLIS }
     }
 
     fn process(&self, vm: &str) -> &Process {
@@ -37,20 +37,20 @@
         self.process(vm).emit(event);
     }
 
-    /// A message that takes `millis`.
+    /// Sends a message that takes `millis` milliseconds.
     fn message(&mut self, from: &str, to: &str, millis: u64) {
-        let stamp = self.process(from).send();
+        let stamp = self.process(from).stamp_message();
         self.now += millis;
         self.process(to).hybrid.observe(stamp);
     }
 
-    fn time_line(&self) -> TimeLine {
-        let mut line = TimeLine::default();
+    fn timeline(&self) -> Timeline {
+        let mut timeline = Timeline::default();
         for (vm, (_, process)) in &self.processes {
-            line.add(vm, &process.text());
+            timeline.add(vm, &process.text());
         }
-        line.sort();
-        line
+        timeline.sort();
+        timeline
     }
 }
 
@@ -65,8 +65,8 @@
 
 impl std::error::Error for LinkError {}
 
-/// A change of configuration reaches a region; then a request is sent away, its engine dies after
-/// the first tokens, and the answer is resumed on another engine.
+/// A configuration change reaches two regions; then a request is forwarded to another region, its
+/// engine crashes after the first tokens, and the answer is resumed on another engine.
 fn play_failover(session: &mut Session) {
     let change = ChangeId::try_from("raise-share-7".to_owned()).unwrap();
     let request: RequestId = REQUEST.parse().unwrap();
@@ -99,15 +99,16 @@
     session.emit("columbia-1", unrelated);
 }
 
-fn played(skews: &[(&'static str, i64)]) -> TimeLine {
+fn failover_timeline(skews: &[(&'static str, i64)]) -> Timeline {
     let mut session = Session::new(skews);
     play_failover(&mut session);
-    session.time_line()
+    session.timeline()
 }
 
-/// Clocks ten seconds apart from end to end: every message goes from a VM that is ahead to one
-/// that is behind, or back.
-const APART: [(&str, i64); 3] = [("puget-1", 5_000), ("columbia-1", 0), ("inland-1", -5_000)];
+/// Clock offsets in milliseconds, up to 10 s apart: every message goes from a VM whose clock is
+/// ahead to one whose clock is behind, or back.
+const SKEWED_CLOCKS: [(&str, i64); 3] =
+    [("puget-1", 5_000), ("columbia-1", 0), ("inland-1", -5_000)];
 
 fn expect_golden(name: &str, found: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/event/golden").join(name);
@@ -119,34 +120,32 @@
 }
 
 #[test]
-fn a_failover_reads_in_order() {
+fn failover_timeline_matches_golden_files() {
     struct Case {
         name: &'static str,
         skews: [(&'static str, i64); 3],
     }
-    let agreeing = [("puget-1", 0), ("columbia-1", 0), ("inland-1", 0)];
+    let synchronized = [("puget-1", 0), ("columbia-1", 0), ("inland-1", 0)];
     let cases = [
-        Case { name: "failover-clocks-agree", skews: agreeing },
-        Case { name: "failover-clocks-apart", skews: APART },
+        Case { name: "failover-clocks-agree", skews: synchronized },
+        Case { name: "failover-clocks-apart", skews: SKEWED_CLOCKS },
     ];
     for case in cases {
-        let line = played(&case.skews);
-        let events = line.select(&EventFilter::default());
-        expect_golden(&format!("{}.txt", case.name), &line.text(&events));
-        expect_golden(&format!("{}.html", case.name), &line.html(case.name, &events));
+        let timeline = failover_timeline(&case.skews);
+        let events = timeline.select(&EventFilter::default());
+        expect_golden(&format!("{}.txt", case.name), &timeline.text(&events));
+        expect_golden(&format!("{}.html", case.name), &timeline.html(case.name, &events));
     }
 }
 
 #[test]
-fn causes_come_before_effects_with_clocks_apart() {
-    // Symptom: the time line shows the answer before the request, and a change in force before it
-    // was accepted.
-    // Sequence: puget's clock is 5 s ahead, inland's 5 s behind; each message reaches a VM whose
-    // wall clock says that it was not sent yet.
-    // Cause: sorting by wall time.
-    let line = played(&APART);
-    let events = line.select(&EventFilter::default());
-    let place = |kind: &str, vm: &str| {
+fn causes_precede_effects_with_skewed_clocks() {
+    // Guards against sorting by wall time, which shows the answer before the request, and a change
+    // in force before it was accepted. puget's clock is 5 s ahead and inland's is 5 s behind, so a
+    // message can arrive earlier, by the receiver's wall clock, than it was sent.
+    let timeline = failover_timeline(&SKEWED_CLOCKS);
+    let events = timeline.select(&EventFilter::default());
+    let position = |kind: &str, vm: &str| {
         let found = events.iter().position(|e| e.kind == kind && e.vm.as_str() == vm);
         found.unwrap_or_else(|| panic!("no {kind} of {vm}"))
     };
@@ -162,14 +161,17 @@
         ("request.relayed", "inland-1"),
         ("request.answered", "puget-1"),
     ];
-    let places: Vec<usize> = chain.iter().map(|(kind, vm)| place(kind, vm)).collect();
+    let places: Vec<usize> = chain.iter().map(|(kind, vm)| position(kind, vm)).collect();
     assert!(places.is_sorted(), "{places:?}");
-    let by_wall = |kind: &str| events[place(kind, "inland-1")].stamp.wall.0;
-    assert!(by_wall("request.dispatched") > START + 5_000, "stamps follow the VM that is ahead");
+    let by_wall = |kind: &str| events[position(kind, "inland-1")].stamp.wall.0;
+    assert!(
+        by_wall("request.dispatched") > START_MILLIS + 5_000,
+        "stamps must follow the VM whose clock is ahead"
+    );
 }
 
 #[test]
-fn filters_follow_one_thing() {
+fn filters_select_matching_events() {
     struct Case {
         filter: EventFilter,
         kinds: &'static [&'static str],
@@ -214,38 +216,38 @@
         Case { filter: filter().kind(Some("back".to_owned())), kinds: &[] },
         Case { filter: filter().context(true).request(Some("none".to_owned())), kinds: &[] },
     ];
-    let line = played(&APART);
+    let timeline = failover_timeline(&SKEWED_CLOCKS);
     for case in cases {
-        let kinds: Vec<&str> = line.select(&case.filter).iter().map(|e| e.kind.as_str()).collect();
+        let kinds: Vec<&str> =
+            timeline.select(&case.filter).iter().map(|e| e.kind.as_str()).collect();
         assert_eq!(kinds, case.kinds, "{:?}", case.filter);
     }
 }
 
 #[test]
-fn what_is_missing_is_said() {
-    let mut line = TimeLine::default();
+fn duplicates_are_removed_and_missing_data_is_noted() {
+    let mut timeline = Timeline::default();
     let event = "stamp=5.0000 vm=a level=info kind=test.one\n";
-    line.add("a.log", event);
-    line.add("http://a", &format!("# older events are gone\n{event}"));
-    line.add("other.log", "hello\nstamp=6.0000 vm=a level=info\n\n");
-    line.sort();
-    let events = line.select(&EventFilter::default());
-    assert_eq!(events.len(), 1, "the same event of a file and a live process stands once");
-    let notes = line.notes();
+    timeline.add("a.log", event);
+    timeline.add("http://a", &format!("# older events are gone\n{event}"));
+    timeline.add("other.log", "hello\nstamp=6.0000 vm=a level=info\n\n");
+    timeline.sort();
+    let events = timeline.select(&EventFilter::default());
+    assert_eq!(events.len(), 1, "an event from both a file and a live process must appear once");
+    let notes = timeline.notes();
     assert_eq!(notes.len(), 2);
     assert_eq!(notes[0], "http://a: older events are gone");
     assert!(notes[1].starts_with("other.log: 2 lines are not events"), "{}", notes[1]);
-    assert!(line.text(&events).ends_with(&format!("# {}\n", notes[1])));
+    assert!(timeline.text(&events).ends_with(&format!("# {}\n", notes[1])));
 }
 
 #[test]
-fn values_cannot_act_in_a_page() {
-    // Symptom: opening a time line runs a script of whoever chose a backend server's error text.
-    // Sequence: an error message holds markup and a forged second line.
-    // Cause: values written into the page or the log as they are.
-    let line = played(&APART);
-    let events = line.select(&EventFilter::default());
-    let page = line.html("<b>title</b>", &events);
+fn values_cannot_inject_markup_into_the_page() {
+    // Guards against unescaped values in the page or the log: an error message of a backend server
+    // may contain a script, which would run in the operator's browser, or a forged second line.
+    let timeline = failover_timeline(&SKEWED_CLOCKS);
+    let events = timeline.select(&EventFilter::default());
+    let page = timeline.html("<b>title</b>", &events);
     assert!(!page.contains("<script"));
     assert!(!page.contains("<b>title"));
     assert!(page.contains("default-src 'none'"));
--- a/crates/event/tests/log_files.rs
+++ b/crates/event/tests/log_files.rs
@@ -1,5 +1,5 @@
-//! Log files of a process: levels per module, rotation, and what libraries may say. A program of
-//! its own, since a process has one logger.
+//! Log files of a process: levels per module, rotation and the filter on library records. A
+//! separate program, since a process has one logger.
 
 use {
     gullglade_event::{
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn files_rotate_and_hold_what_the_levels_let_through() {
+fn files_rotate_and_contain_only_enabled_levels() {
     let folder = tempfile::tempdir().unwrap();
     let settings: LogSettings = "info, request=warn, backend=debug".parse().unwrap();
     let handle = settings
@@ -54,15 +54,15 @@
     let has = |kind: &str| kinds.iter().any(|k| k == kind);
     assert!(has("config.in_force") && has("request.failed") && has("backend.renewed"));
     assert!(!has("request.answered") && !has("config.checked") && !has("forged"));
-    assert!(kinds.len() < 2_000, "the oldest files are gone");
-    let of_library: Vec<&String> = lines.iter().filter(|l| l.contains("library=")).collect();
-    assert_eq!(of_library.len(), 1, "{of_library:?}");
-    assert!(of_library[0].contains(r#"message="reset\nstamp=1.0000 vm=forged"#));
+    assert!(kinds.len() < 2_000, "the oldest files must have been removed");
+    let library_lines: Vec<&String> = lines.iter().filter(|l| l.contains("library=")).collect();
+    assert_eq!(library_lines.len(), 1, "{library_lines:?}");
+    assert!(library_lines[0].contains(r#"message="reset\nstamp=1.0000 vm=forged"#));
     assert_eq!(lines.len(), kinds.len() + 1);
 }
 
 #[test]
-fn levels_that_cannot_be_read_are_refused() {
+fn invalid_levels_are_rejected() {
     let error = "info, request=loud".parse::<LogSettings>().unwrap_err().to_string();
     assert!(error.contains("write for example"), "{error}");
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
     futures::StreamExt,
     gullglade_backend::BackendView,
     gullglade_document::Priority,
-    gullglade_event::{EventDraft, Promise},
+    gullglade_event::{EventDraft, Invariant},
     gullglade_http::{
         BodyError, ClientError, ClientReply, FreshConnection, HeadTimeout, LocalStream, RunState,
         send_unless_revoked, strip_hop_by_hop,
@@ -197,7 +197,7 @@
     ) -> Result<(), AttemptFailure> {
         let headers = &reply.head.headers;
         if headers.get(REQUEST_HEADER).is_some_and(|id| *id != id_value(plan.id)) {
-            self.metrics.breached(Promise::OwnAnswer);
+            self.metrics.record_violation(Invariant::OwnAnswer);
             self.emit(plan, "answer.swapped", |e| e.field("backend", place.name()));
             return Err(unknown("the backend server answered another request"));
         }
@@ -295,7 +295,7 @@
                 })
             }
             ForwardReply::Answer { .. } => {
-                self.metrics.breached(Promise::OwnAnswer);
+                self.metrics.record_violation(Invariant::OwnAnswer);
                 self.emit(plan, "answer.swapped", |e| e.field("region", region));
                 Err(unknown("the other region answered another request"))
             }
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -12,7 +12,7 @@
     },
     bytes::Bytes,
     futures::StreamExt,
-    gullglade_event::{Promise, RequestOutcome},
+    gullglade_event::{Invariant, RequestOutcome},
     gullglade_http::{ApiError, LocalStream, ReplyBody, RequestBody},
     http::{Request, Response, header::CONTENT_TYPE},
 };
@@ -89,7 +89,7 @@
     pub(crate) fn check_answer_id(&self, plan: &CallPlan, chunk: &AnswerChunk<'_>) -> bool {
         let own = plan.id.ends(&chunk.id);
         if !own {
-            self.metrics.breached(Promise::OwnAnswer);
+            self.metrics.record_violation(Invariant::OwnAnswer);
             self.emit(plan, "answer.swapped", |e| e);
         }
         own
--- a/crates/gateway/src/forward_server.rs
+++ b/crates/gateway/src/forward_server.rs
@@ -12,7 +12,7 @@
     bytes::Bytes,
     futures::StreamExt,
     gullglade_backend::PromptBlocks,
-    gullglade_event::{EventDraft, Level, Promise},
+    gullglade_event::{EventDraft, Invariant, Level},
     gullglade_http::{ApiError, RunState},
     gullglade_peer::{PeerFault, PeerHandler, PeerIdentity, PeerReplySink},
     gullglade_route::check_forward,
@@ -95,13 +95,13 @@
     }
 
     /// Tells operators which gateway is about to break a promise.
-    fn note_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
-        self.metrics.breached(promise);
+    fn note_breach(&self, invariant: Invariant, from: &PeerIdentity, request: &ForwardRequest) {
+        self.metrics.record_violation(invariant);
         self.events.emit(
             EventDraft::new("forward.refused")
                 .level(Level::Error)
                 .field("request", request.id)
-                .field("promise", promise.label())
+                .field("promise", invariant.label())
                 .field("vm_from", &from.vm)
                 .field("origin", &request.origin),
         );
@@ -115,7 +115,7 @@
         request: ForwardRequest,
     ) -> Result<CallPlan, &'static str> {
         if check_forward(Some(&request.origin), &from.region, &self.config.region).is_err() {
-            self.note_breach(Promise::NoLoop, from, &request);
+            self.note_breach(Invariant::NoLoop, from, &request);
             return Err("the request has travelled between regions before");
         }
         if self.is_draining() {
@@ -133,7 +133,7 @@
         let allowed = document.regions_of(&request.target).unwrap_or_default();
         let home_allows = rules.home.as_ref().is_none_or(|home| *home == self.config.region);
         if !allowed.contains(&self.config.region) || !home_allows {
-            self.note_breach(Promise::Residency, from, &request);
+            self.note_breach(Invariant::Residency, from, &request);
             return Err("the service's document does not allow this region");
         }
         let received = self.context.clock.now();
--- a/crates/gateway/src/forward_server/tests.rs
+++ b/crates/gateway/src/forward_server/tests.rs
@@ -9,7 +9,7 @@
     },
     bytes::Bytes,
     gullglade_document::ServiceTarget,
-    gullglade_event::Promise,
+    gullglade_event::Invariant,
     gullglade_peer::{PeerFault, PeerHandler, PeerIdentity, PeerReplySink, ReplySender},
     gullglade_units::{Incarnation, LocalFuture, RequestId, VmName, decode, encode},
     http::StatusCode,
@@ -98,8 +98,8 @@
         let outcome = forward(&receiver, case.from, &request);
         assert_eq!(receiver.client.sends.get(), case.runs, "{}: {:?}", case.name, outcome.head);
         assert_eq!(refusal(&outcome.head), case.reason, "{}", case.name);
-        let breaches = u64::from(case.runs == 0);
-        assert_eq!(receiver.metrics.breaches(Promise::NoLoop), breaches, "{}", case.name);
+        let violations = u64::from(case.runs == 0);
+        assert_eq!(receiver.metrics.violations(Invariant::NoLoop), violations, "{}", case.name);
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,7 +14,7 @@
     bytes::Bytes,
     eventsource_stream::{EventStream, EventStreamError, Eventsource},
     futures::{StreamExt, stream},
-    gullglade_event::{ModelSeries, Promise, RequestOutcome},
+    gullglade_event::{Invariant, ModelSeries, RequestOutcome},
     gullglade_http::{ApiError, BodyError, LocalStream, ReplyBody},
     gullglade_units::MonotonicTime,
     http::Response,
@@ -101,7 +101,7 @@
         match self.next_event().await {
             Ok(event) => event.map(Ok),
             Err(error) => {
-                self.gateway.metrics.breached(Promise::WholeAnswer);
+                self.gateway.metrics.record_violation(Invariant::WholeAnswer);
                 self.finish(RequestOutcome::Failed);
                 Some(Err(BodyError::Aborted { reason: error.message }))
             }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -5,7 +5,7 @@
         BackendHealth, BackendKind, BackendRelay, BackendTable, BackendTarget, ServingState,
     },
     gullglade_document::ConfigSource,
-    gullglade_event::{MetricSet, Promise},
+    gullglade_event::{Invariant, MetricSet},
     gullglade_gateway::Gateway,
     gullglade_units::{BackendName, FailureDomain, RegionName, VmName},
     serde::{Deserialize, Serialize},
@@ -119,8 +119,10 @@
     }
 
     fn breaches(&self) -> BTreeMap<String, u64> {
-        let count = |promise: Promise| (promise.label().to_owned(), self.metrics.breaches(promise));
-        Promise::ALL.into_iter().map(count).filter(|(_, count)| *count > 0).collect()
+        let count = |invariant: Invariant| {
+            (invariant.label().to_owned(), self.metrics.violations(invariant))
+        };
+        Invariant::ALL.into_iter().map(count).filter(|(_, count)| *count > 0).collect()
     }
 
     pub(crate) fn backend(&self, name: &BackendName) -> Option<BackendReport> {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -6,7 +6,7 @@
         output::write_out,
     },
     bpaf::{Parser, construct, long, positional},
-    gullglade_event::{EventFilter, EventRecord, TimeLine},
+    gullglade_event::{EventFilter, EventRecord, Timeline},
     gullglade_units::{HybridStamp, VmName},
     snafu::{ResultExt, Snafu},
     std::{fs, io, net::SocketAddr, path::PathBuf, process::ExitCode},
@@ -140,9 +140,9 @@
     }
 
     /// The time line of all sources, and whether each could be read.
-    async fn read(&self) -> Result<(TimeLine, bool), OperatorError> {
+    async fn read(&self) -> Result<(Timeline, bool), OperatorError> {
         let client = OperatorClient::new(self.token_file.clone())?;
-        let mut line = TimeLine::default();
+        let mut line = Timeline::default();
         let mut complete = true;
         for source in &self.sources {
             let result = match source.parse::<SocketAddr>() {
@@ -158,7 +158,7 @@
         Ok((line, complete))
     }
 
-    fn render(&self, line: &TimeLine, events: &[&EventRecord]) -> String {
+    fn render(&self, line: &Timeline, events: &[&EventRecord]) -> String {
         if !self.html {
             return line.text(events);
         }
@@ -178,7 +178,7 @@
     }
 }
 
-fn read_file(path: &str, line: &mut TimeLine) -> Result<(), String> {
+fn read_file(path: &str, line: &mut Timeline) -> Result<(), String> {
     let bytes = fs::read(path).map_err(|e| format!("{e}; is it a log file or IP:PORT?"))?;
     line.add(path, &String::from_utf8_lossy(&bytes));
     Ok(())
@@ -190,7 +190,7 @@
     client: &OperatorClient,
     address: SocketAddr,
     since: Option<HybridStamp>,
-    line: &mut TimeLine,
+    line: &mut Timeline,
 ) -> Result<(), String> {
     let mut after = since.unwrap_or_default();
     loop {
--- a/tests/all/timeline.rs
+++ b/tests/all/timeline.rs
@@ -3,7 +3,7 @@
 use {
     crate::support::{assert_golden, ballast_plan, number_ids, run},
     gullglade_demo::{CallerClient, Deployment, read_reply},
-    gullglade_event::{EventFilter, EventRecord, TimeLine},
+    gullglade_event::{EventFilter, EventRecord, Timeline},
 };
 
 /// Tokens of an answer that is long enough to lose its engine in the middle.
@@ -54,7 +54,7 @@
         let rest = read_reply(reply).await;
         assert!(rest.whole && rest.text().trim_end().ends_with("[DONE]"), "{}", rest.text());
 
-        let mut line = TimeLine::default();
+        let mut line = Timeline::default();
         for gateway in deployment.gateways() {
             line.add(gateway.plan().vm.as_str(), &gateway.events().await.unwrap());
         }
