--- a/crates/event/src/timeline.rs
+++ b/crates/event/src/timeline.rs
@@ -29,7 +29,7 @@
     /// Adds the lines of one log file or live process. Comment lines become notes, and lines that
     /// are not events are counted in a note.
     pub fn add(&mut self, source: &str, lines: &str) {
-        let mut refused: Option<(usize, RecordError)> = None;
+        let mut rejected: Option<(usize, RecordError)> = None;
         for line in lines.lines().filter(|line| !line.is_empty()) {
             if let Some(comment) = line.strip_prefix(COMMENT_PREFIX) {
                 self.note(format!("{source}: {}", comment.trim()));
@@ -38,12 +38,12 @@
             match EventRecord::try_from(line) {
                 Ok(event) => self.events.push(event),
                 Err(error) => {
-                    let count = refused.map_or(0, |(count, _)| count);
-                    refused = Some((count + 1, error));
+                    let count = rejected.map_or(0, |(count, _)| count);
+                    rejected = Some((count + 1, error));
                 }
             }
         }
-        if let Some((count, error)) = refused {
+        if let Some((count, error)) = rejected {
             self.note(format!("{source}: {count} lines are not events; the last: {error}"));
         }
     }
@@ -82,13 +82,13 @@
 }
 
 /// Returns the VMs of `events`, sorted by name; each is a column of the HTML page.
-fn lanes<'a>(events: &[&'a EventRecord]) -> Vec<&'a str> {
+fn vm_columns<'a>(events: &[&'a EventRecord]) -> Vec<&'a str> {
     let names: BTreeSet<&str> = events.iter().map(|event| event.vm.as_str()).collect();
     names.into_iter().collect()
 }
 
 /// Formats an event's stamp as RFC 3339 UTC time plus the logical counter that orders equal times.
-fn time_text(event: &EventRecord) -> String {
+fn format_time(event: &EventRecord) -> String {
     let millis = i64::try_from(event.stamp.wall.0).unwrap_or(i64::MAX);
     match chrono::DateTime::from_timestamp_millis(millis) {
         Some(time) => {
@@ -99,7 +99,7 @@
 }
 
 /// Formats the fields as they appear in the event line.
-fn fields_text(event: &EventRecord) -> String {
+fn format_fields(event: &EventRecord) -> String {
     let mut text = String::new();
     for (key, value) in &event.fields {
         crate::line::push_field(&mut text, key, value);
--- a/crates/event/src/timeline/html.rs
+++ b/crates/event/src/timeline/html.rs
@@ -4,7 +4,7 @@
 //! the browser, as a second line of defence behind the template's escaping.
 
 use {
-    super::{lanes, time_text},
+    super::{format_time, vm_columns},
     crate::EventRecord,
     log::Level,
     maud::{DOCTYPE, Markup, html},
@@ -14,7 +14,7 @@
 /// Content security policy that allows only the inline style sheet.
 const CONTENT_SECURITY_POLICY: &str = "default-src 'none'; style-src 'unsafe-inline'";
 
-const STYLE: &str = "
+const STYLE_SHEET: &str = "
 body { font: 13px/1.4 system-ui, sans-serif; margin: 1em; color: #1a1a1a; background: #fff }
 h1 { font-size: 1.2em; margin: 0 0 .3em }
 p, ul { margin: .2em 0 .8em }
@@ -34,7 +34,7 @@
 
 /// Renders the page: one row per event, one column per VM, one colour per request or change.
 pub(super) fn render(title: &str, events: &[&EventRecord], notes: &[String]) -> String {
-    let lanes = lanes(events);
+    let vm_columns = vm_columns(events);
     let page = html! {
         (DOCTYPE)
         html lang="en" {
@@ -42,20 +42,20 @@
                 meta charset="utf-8";
                 meta http-equiv="Content-Security-Policy" content=(CONTENT_SECURITY_POLICY);
                 title { (title) }
-                style { (maud::PreEscaped(STYLE)) }
+                style { (maud::PreEscaped(STYLE_SHEET)) }
             }
             body {
                 h1 { (title) }
                 p {
-                    (events.len()) " events of " (lanes.len()) " VMs, causes before effects. "
+                    (events.len()) " events of " (vm_columns.len()) " VMs, causes before effects. "
                     "Events of one request or change have one colour."
                 }
                 @if !notes.is_empty() {
                     ul { @for note in notes { li { (note) } } }
                 }
                 table {
-                    thead { tr { th { "time (UTC)" } @for lane in &lanes { th { (lane) } } } }
-                    tbody { @for event in events { (row(event, &lanes)) } }
+                    thead { tr { th { "time (UTC)" } @for column in &vm_columns { th { (column) } } } }
+                    tbody { @for event in events { (row(event, &vm_columns)) } }
                 }
             }
         }
@@ -63,24 +63,24 @@
     page.into_string()
 }
 
-fn row(event: &EventRecord, lanes: &[&str]) -> Markup {
+fn row(event: &EventRecord, vm_columns: &[&str]) -> Markup {
     html! {
         tr {
-            td.time { (time_text(event)) }
-            @for lane in lanes {
-                @if *lane == event.vm.as_str() { (cell(event)) } @else { td {} }
+            td.time { (format_time(event)) }
+            @for column in vm_columns {
+                @if *column == event.vm.as_str() { (event_cell(event)) } @else { td {} }
             }
         }
     }
 }
 
-fn cell(event: &EventRecord) -> Markup {
+fn event_cell(event: &EventRecord) -> Markup {
     let trace_id = event.field("request").or_else(|| event.field("change"));
-    let plain = trace_id.is_none();
+    let is_uncorrelated = trace_id.is_none();
     let warn = event.level == Level::Warn;
     let error = event.level == Level::Error;
     html! {
-        td.event.plain[plain].warn[warn].error[error] style=[trace_id.map(|id| format!("--hue:{}", hue(id)))] {
+        td.event.plain[is_uncorrelated].warn[warn].error[error] style=[trace_id.map(|id| format!("--hue:{}", hue(id)))] {
             b { (event.kind) }
             dl { @for (key, value) in &event.fields { dt { (key) } dd { (value) } } }
         }
--- a/crates/event/src/timeline/text.rs
+++ b/crates/event/src/timeline/text.rs
@@ -1,25 +1,25 @@
 //! Plain-text rendering of the timeline for terminals.
 
 use {
-    super::{fields_text, time_text},
+    super::{format_fields, format_time},
     crate::EventRecord,
     log::Level,
 };
 
 /// Renders one line per event, with aligned columns, followed by the notes.
 pub(super) fn render(events: &[&EventRecord], notes: &[String]) -> String {
-    let vm_width = widest(events, |event| event.vm.as_str().len());
-    let kind_width = widest(events, |event| event.kind.len());
+    let vm_width = max_width(events, |event| event.vm.as_str().len());
+    let kind_width = max_width(events, |event| event.kind.len());
     let mut lines: Vec<String> = events
         .iter()
         .map(|event| {
             let line = format!(
                 "{}  {:vm_width$}  {:5}  {:kind_width$}  {}",
-                time_text(event),
+                format_time(event),
                 event.vm.as_str(),
-                level_text(event.level),
+                format_level(event.level),
                 event.kind,
-                fields_text(event),
+                format_fields(event),
             );
             line.trim_end().to_owned() + "\n"
         })
@@ -28,12 +28,12 @@
     lines.concat()
 }
 
-fn widest(events: &[&EventRecord], width: impl Fn(&EventRecord) -> usize) -> usize {
+fn max_width(events: &[&EventRecord], width: impl Fn(&EventRecord) -> usize) -> usize {
     events.iter().map(|event| width(event)).max().unwrap_or(0)
 }
 
 /// Returns the text of the level column, which is empty for levels below warning.
-fn level_text(level: Level) -> &'static str {
+fn format_level(level: Level) -> &'static str {
     match level {
         Level::Error => "ERROR",
         Level::Warn => "WARN",
--- a/crates/event/tests/event/lines.rs
+++ b/crates/event/tests/event/lines.rs
@@ -58,10 +58,10 @@
     fn every_value_round_trips(message: String) -> bool {
         let line = line_of(&message);
         let record = EventRecord::try_from(line.as_str()).unwrap();
-        let short = message.len() <= 240;
-        let same = record.field("reason") == Some(message.as_str()) || !short;
+        let is_short = message.len() <= 240;
+        let is_same = record.field("reason") == Some(message.as_str()) || !is_short;
         let one_line = line.bytes().all(|b| (0x20..0x7f).contains(&b));
-        same && one_line && record.fields.len() == 2 && record.to_string() == line
+        is_same && one_line && record.fields.len() == 2 && record.to_string() == line
     }
 }
 
--- a/crates/event/tests/event/support.rs
+++ b/crates/event/tests/event/support.rs
@@ -11,9 +11,9 @@
 
 /// A wall clock that a test sets.
 #[derive(Default)]
-pub(crate) struct SetClock(pub(crate) Cell<u64>);
+pub(crate) struct ManualClock(pub(crate) Cell<u64>);
 
-impl Clock for SetClock {
+impl Clock for ManualClock {
     fn now(&self) -> MonotonicTime {
         MonotonicTime::default()
     }
@@ -29,7 +29,7 @@
 
 /// One process with its own clock.
 pub(crate) struct Process {
-    pub(crate) clock: Rc<SetClock>,
+    pub(crate) clock: Rc<ManualClock>,
     pub(crate) hybrid: Rc<HybridClock>,
     pub(crate) log: EventLog,
 }
@@ -37,7 +37,7 @@
 impl Process {
     /// Creates a process that retains `capacity` events.
     pub(crate) fn new(vm: &str, capacity: usize) -> Self {
-        let clock = Rc::new(SetClock::default());
+        let clock = Rc::new(ManualClock::default());
         let context = ProcessContext {
             clock: clock.clone(),
             random: Rc::new(SeededRandom::new(1)),
--- a/crates/event/tests/event/timeline.rs
+++ b/crates/event/tests/event/timeline.rs
@@ -110,13 +110,13 @@
 const SKEWED_CLOCKS: [(&str, i64); 3] =
     [("puget-1", 5_000), ("columbia-1", 0), ("inland-1", -5_000)];
 
-fn expect_golden(name: &str, found: &str) {
+fn expect_golden(name: &str, actual: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/event/golden").join(name);
     if std::env::var_os("GULLGLADE_BLESS").is_some() {
-        fs::write(&path, found).unwrap();
+        fs::write(&path, actual).unwrap();
     }
     let expected = fs::read_to_string(&path).unwrap();
-    assert!(expected == found, "{name} differs; found:\n{found}");
+    assert!(expected == actual, "{name} differs; found:\n{actual}");
 }
 
 #[test]
@@ -146,8 +146,8 @@
     let timeline = failover_timeline(&SKEWED_CLOCKS);
     let events = timeline.select(&EventFilter::default());
     let position = |kind: &str, vm: &str| {
-        let found = events.iter().position(|e| e.kind == kind && e.vm.as_str() == vm);
-        found.unwrap_or_else(|| panic!("no {kind} of {vm}"))
+        let index = events.iter().position(|e| e.kind == kind && e.vm.as_str() == vm);
+        index.unwrap_or_else(|| panic!("no {kind} of {vm}"))
     };
     let chain = [
         ("control.accepted", "columbia-1"),
@@ -161,8 +161,8 @@
         ("request.relayed", "inland-1"),
         ("request.answered", "puget-1"),
     ];
-    let places: Vec<usize> = chain.iter().map(|(kind, vm)| position(kind, vm)).collect();
-    assert!(places.is_sorted(), "{places:?}");
+    let positions: Vec<usize> = chain.iter().map(|(kind, vm)| position(kind, vm)).collect();
+    assert!(positions.is_sorted(), "{positions:?}");
     let by_wall = |kind: &str| events[position(kind, "inland-1")].stamp.wall.0;
     assert!(
         by_wall("request.dispatched") > START_MILLIS + 5_000,
