--- a/crates/event/src/draft.rs
+++ b/crates/event/src/draft.rs
@@ -19,7 +19,7 @@
 
 /// A value that may appear in a log line.
 ///
-/// Logs are copied to locations that a service's residency rules do not cover, so text from a
+/// Logs are copied to locations that a service's document does not govern, so text from a
 /// caller or a backend server must not reach them. `String`, `&str` (other than literals) and
 /// `Bytes` therefore do not implement this trait: log an id, a name, a length or a count instead.
 /// An enum whose variants print fixed words implements it with `impl FieldValue for Reason {}`.
--- a/crates/event/src/line.rs
+++ b/crates/event/src/line.rs
@@ -40,8 +40,8 @@
 
 fn is_unquoted(value: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_graphic() & (b != b'"') & (b != b'\\') & (b != b'=');
-    // A fold without early exit lets the compiler vectorize the loop. Most values are short, so an
-    // early exit would save little.
+    // A fold without early exit lets the compiler vectorize the loop, which pays off for ids, the
+    // longest values.
     value.bytes().fold(!value.is_empty(), |unquoted, b| unquoted & allowed(b))
 }
 
--- a/crates/event/src/metrics.rs
+++ b/crates/event/src/metrics.rs
@@ -394,7 +394,7 @@
         self.cut_off.inc();
     }
 
-    /// Counts a request that was not sent because backend servers had crashed while running an
+    /// Counts a request that was not sent because backend servers had ended while running an
     /// identical one.
     pub fn held_back(&self) {
         self.held_back.inc();
