--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -12,7 +12,7 @@
     },
     bytes::Bytes,
     futures::StreamExt,
-    gullglade_event::{Promise, RequestOutcome},
+    gullglade_event::{Invariant, RequestOutcome},
     gullglade_http::{ApiError, LocalStream, ReplyBody, RequestBody},
     http::{Request, Response, header::CONTENT_TYPE},
 };
@@ -90,7 +90,7 @@
     pub(crate) fn check_answer_id(&self, plan: &CallPlan, chunk: &AnswerChunk<'_>) -> bool {
         let matches = plan.id.ends(&chunk.id);
         if !matches {
-            self.metrics.breached(Promise::OwnAnswer);
+            self.metrics.record_violation(Invariant::OwnAnswer);
             self.emit(plan, "answer.swapped", |e| e);
         }
         matches
--- a/crates/gateway/src/forward_server.rs
+++ b/crates/gateway/src/forward_server.rs
@@ -13,7 +13,7 @@
     bytes::Bytes,
     futures::StreamExt,
     gullglade_backend::PromptBlocks,
-    gullglade_event::{EventDraft, Level, Promise},
+    gullglade_event::{EventDraft, Invariant, Level},
     gullglade_http::{ApiError, RunState},
     gullglade_peer::{PeerFault, PeerHandler, PeerIdentity, PeerReplySink},
     gullglade_route::check_forward,
@@ -95,14 +95,14 @@
         Ok(())
     }
 
-    /// Reports to operators which gateway sent a request that would violate `promise`.
-    fn report_breach(&self, promise: Promise, from: &PeerIdentity, request: &ForwardRequest) {
-        self.metrics.breached(promise);
+    /// Reports to operators which gateway sent a request that would violate `invariant`.
+    fn report_breach(&self, invariant: Invariant, from: &PeerIdentity, request: &ForwardRequest) {
+        self.metrics.record_violation(invariant);
         self.events.emit(
             EventDraft::new("forward.refused")
                 .level(Level::Error)
                 .field("request", request.id)
-                .field("promise", promise.label())
+                .field("promise", invariant.label())
                 .field("vm_from", &from.vm)
                 .field("origin", &request.origin),
         );
@@ -116,7 +116,7 @@
         request: ForwardRequest,
     ) -> Result<CallPlan, &'static str> {
         if check_forward(Some(&request.origin), &from.region, &self.config.region).is_err() {
-            self.report_breach(Promise::NoLoop, from, &request);
+            self.report_breach(Invariant::NoLoop, from, &request);
             return Err("the request has already been forwarded between regions");
         }
         if self.is_draining() {
@@ -136,7 +136,7 @@
         let allowed = document.regions_of(&request.target).unwrap_or_default();
         let home_allows = rules.home.as_ref().is_none_or(|home| *home == self.config.region);
         if !allowed.contains(&self.config.region) || !home_allows {
-            self.report_breach(Promise::Residency, from, &request);
+            self.report_breach(Invariant::Residency, from, &request);
             return Err("the service's document does not allow this region");
         }
         let received = self.context.clock.now();
