--- a/crates/demo/src/gateway_thread.rs
+++ b/crates/demo/src/gateway_thread.rs
@@ -9,7 +9,7 @@
     gullglade_backend::BackendTarget,
     gullglade_claim::{ClaimSettings, GroupId, ReplicaGroup, ReplicaMember},
     gullglade_document::{ConfigSource, ConfigView, FixedConfig, ServiceDocument},
-    gullglade_node::{GatewayNode, NodeAddresses, NodeSettings, NodeWiring},
+    gullglade_node::{GatewayNode, NodeAddresses, NodeDependencies, NodeSettings},
     gullglade_peer::{LinkShaper, PeerSecret},
     gullglade_units::{
         ClusterName, FailureDomain, Incarnation, ProcessContext, RegionName, VmName, WallMillis,
@@ -163,11 +163,13 @@
         let link = Rc::new(LinkShaper::new());
         let documents: Rc<dyn ConfigSource> =
             Rc::new(FixedConfig::new(parse_documents(&input.documents)?));
-        let wiring =
-            NodeWiring { documents: Rc::clone(&documents), link: Some(Rc::clone(&link) as _) };
+        let dependencies = NodeDependencies {
+            documents: Rc::clone(&documents),
+            link: Some(Rc::clone(&link) as _),
+        };
         let settings = node_settings(&input, &context)?;
-        let node =
-            GatewayNode::start(&settings, context, wiring).map_err(|error| error.to_string())?;
+        let node = GatewayNode::start(&settings, context, dependencies)
+            .map_err(|error| error.to_string())?;
         let addresses = node.addresses();
         Ok((Self { node, documents, region, link }, addresses))
     }
--- a/crates/node/src/claim_groups.rs
+++ b/crates/node/src/claim_groups.rs
@@ -1,4 +1,4 @@
-//! Claim groups on their way from the configuration to the gateway.
+//! Applies claim groups from the replicated configuration to the gateway.
 
 use {
     gullglade_claim::{GroupId, ReplicaGroup, ReplicaMember},
@@ -8,20 +8,20 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// The only group of a region. Keys would move between replicas if the count changed, so it is
-/// fixed.
+/// Number of the only claim group of a region. The number of groups is fixed at one, because keys
+/// would move between replicas if it changed.
 const GROUP_NUMBER: u16 = 0;
 
-/// Hands each group that comes in force to `adopt`, for as long as the process runs.
+/// Passes each claim group that takes effect to `adopt`. Never returns.
 pub(crate) async fn follow_groups(
     replica: Rc<ConfigReplica>,
     events: Rc<dyn EventSink>,
     adopt: impl Fn(ReplicaGroup),
 ) {
-    let mut seen = LogIndex::default();
+    let mut last_index = LogIndex::default();
     loop {
-        for record in replica.next_groups(seen).await {
-            seen = seen.max(record.index);
+        for record in replica.next_groups(last_index).await {
+            last_index = last_index.max(record.index);
             events.emit(
                 EventDraft::new("claim.group.adopted")
                     .field("claim_region", &record.region)
@@ -48,18 +48,24 @@
     ReplicaMember { vm: member.vm, region: member.region, address: member.address }
 }
 
-/// The group of a lone gateway whose documents come from a folder: itself, and nobody else.
+/// Returns the claim group of a single gateway without control processes, which has that gateway
+/// as its only member.
 ///
-/// When it was made is unknown, so after each start the gateway counts as one that lost its
-/// memory: it takes keys made well after the start, and refuses older and opaque ones until the
-/// window has passed, instead of running an order again that ran before the restart.
-pub(crate) fn lone_group(region: RegionName, vm: VmName, address: SocketAddr) -> ReplicaGroup {
+/// The creation time of the group is unknown, so after each start the gateway is treated as a
+/// replica that lost its records: it accepts keys created well after the start, and refuses older
+/// and opaque keys until the claim window has passed. Otherwise it could repeat an order that ran
+/// before the restart.
+pub(crate) fn single_member_group(
+    region: RegionName,
+    vm: VmName,
+    address: SocketAddr,
+) -> ReplicaGroup {
     let id = GroupId { region: region.clone(), number: GROUP_NUMBER };
     ReplicaGroup::first(id, None, vec![ReplicaMember { vm, region, address }])
 }
 
-/// Tells of a lone group.
-pub(crate) fn tell_lone_group(events: &dyn EventSink, region: &RegionName) {
+/// Emits a warning that this gateway is the only member of its claim group.
+pub(crate) fn emit_single_member_warning(events: &dyn EventSink, region: &RegionName) {
     events.emit(
         EventDraft::new("claim.group.alone")
             .level(Level::Warn)
--- a/crates/node/src/claim_routes.rs
+++ b/crates/node/src/claim_routes.rs
@@ -1,10 +1,11 @@
-//! The operators' requests about claim groups.
+//! Operator API for claim groups.
 //!
 //! - `POST /v1/claims` with a [`GroupRequest`]: 200 with the [`GroupRecord`], 409 for a conflict or
-//!   a group that must not follow the one that stands, 503 where the change was not run, 504 where
-//!   its outcome is unknown and it is to be sent again.
-//! - `GET /v1/claims`: the groups that stand; `?local` asks this process alone.
-//! - `GET /v1/claims/history`: every epoch that is kept, newest first.
+//!   a group that is not a valid successor of the current one, 503 if the change was not applied,
+//!   504 if its outcome is unknown and the client must retry it.
+//! - `GET /v1/claims`: the current groups; with `?local`, the possibly outdated state of this
+//!   process.
+//! - `GET /v1/claims/history`: the newest 200 retained epochs, newest first.
 //! - `GET /v1/claims/replicas`: the claim replicas in this process, as [`ReplicaRow`]s.
 
 use {
@@ -23,25 +24,25 @@
     std::rc::Rc,
 };
 
-/// The most epochs of one answer about history.
+/// Maximum number of epochs in one history response.
 const HISTORY_LIMIT: usize = 200;
 
-/// A claim replica of one process.
+/// State of one claim replica of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRow {
-    /// The VM that it runs on.
+    /// VM that the replica runs on.
     pub vm: VmName,
-    /// The region whose claims it holds.
+    /// Region whose claims the replica stores.
     pub region: RegionName,
-    /// The epoch that it takes part in.
+    /// Epoch of the group that the replica belongs to.
     pub epoch: u64,
-    /// What it can vote on: `complete`, `blind` or `stale`.
+    /// Voting state of the replica: `complete`, `blind` or `stale`.
     pub state: String,
-    /// Claims held.
+    /// Number of stored claims.
     pub held: usize,
 }
 
-/// Answers operators about claim groups.
+/// Serves the operator API for claim groups.
 pub struct ClaimRoutes {
     vm: VmName,
     replica: Rc<ConfigReplica>,
@@ -50,10 +51,10 @@
 }
 
 impl ClaimRoutes {
-    /// What the paths that these routes serve begin with.
+    /// Path prefix of these routes.
     pub const PREFIX: &'static str = "/v1/claims";
 
-    /// The routes of the process on `vm`.
+    /// Creates the routes of the process on `vm`. `control` is `None` without the control role.
     pub fn new(
         vm: VmName,
         replica: Rc<ConfigReplica>,
@@ -91,11 +92,12 @@
         self.control.as_ref().ok_or_else(no_control)
     }
 
-    /// Reads what is not older than anything accepted before.
-    async fn read(&self, view: impl Fn(&ControlNode) -> Vec<GroupRecord>) -> RouteReply {
+    /// Reads the control state after catching up with the log, so that the result includes every
+    /// change accepted before the call.
+    async fn read(&self, query: impl Fn(&ControlNode) -> Vec<GroupRecord>) -> RouteReply {
         let control = self.control()?;
         control.catch_up().await.map_err(|error| change_error(&error))?;
-        Ok(json(&view(control)))
+        Ok(json(&query(control)))
     }
 
     async fn change(&self, request: GroupRequest) -> RouteReply {
--- a/crates/node/src/config_routes.rs
+++ b/crates/node/src/config_routes.rs
@@ -1,12 +1,13 @@
-//! The operators' requests about configuration.
+//! Operator API for the configuration.
 //!
 //! - `POST /v1/changes` with a [`ChangeRequest`]: 200 with the
-//!   [`AcceptedChange`](gullglade_control::AcceptedChange), 409 for a conflict, 503 where the
-//!   change was not run, 504 where its outcome is unknown and it is to be sent again.
-//! - `GET /v1/services` and `GET /v1/services/{name}`: what stands; `?local` asks this process
-//!   alone, which may be behind.
-//! - `GET /v1/history?service={name}`: who changed what, newest first.
-//! - `GET /v1/control/status`, `POST /v1/control/replace` with a [`ReplaceOrder`].
+//!   [`AcceptedChange`](gullglade_control::AcceptedChange), 409 for a conflict, 503 if the
+//!   change was not applied, 504 if its outcome is unknown and the client must retry it.
+//! - `GET /v1/services` and `GET /v1/services/{name}`: the current services; with `?local`, the
+//!   possibly outdated state of this process.
+//! - `GET /v1/history?service={name}`: the newest 200 accepted changes with their authors, newest
+//!   first.
+//! - `GET /v1/control/status`, `POST /v1/control/replace` with a [`ReplaceVoterRequest`].
 
 use {
     crate::OperatorRoute,
@@ -21,22 +22,22 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// The most bytes of a request: a document of 256 KB, each character escaped.
+/// Maximum size of a request body in bytes: a 256 KB document with every character escaped fits.
 const BODY_LIMIT: usize = 2 << 20;
 
-/// The most changes of one answer about history.
+/// Maximum number of changes in one history response.
 const HISTORY_LIMIT: usize = 200;
 
-/// An order to replace a control voter.
+/// Request body of `POST /v1/control/replace`, which replaces a control voter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReplaceOrder {
-    /// The VM of the voter to be replaced.
+pub struct ReplaceVoterRequest {
+    /// VM of the voter to remove.
     pub old: VmName,
-    /// Peer address of the control process that takes its place.
+    /// Peer address of the control process that becomes a voter instead.
     pub address: SocketAddr,
 }
 
-/// Answers operators about configuration.
+/// Serves the operator API for the configuration.
 pub struct ConfigRoutes {
     replica: Rc<ConfigReplica>,
     control: Option<ControlNode>,
@@ -45,11 +46,11 @@
 pub(crate) type RouteReply = Result<Response<ReplyBody>, ApiError>;
 
 impl ConfigRoutes {
-    /// The paths that these routes serve.
+    /// Path prefixes of these routes.
     pub const PREFIXES: [&'static str; 4] =
         ["/v1/changes", "/v1/services", "/v1/history", "/v1/control/"];
 
-    /// The routes of one process.
+    /// Creates the routes of one process. `control` is `None` without the control role.
     pub fn new(replica: Rc<ConfigReplica>, control: Option<ControlNode>) -> Self {
         Self { replica, control }
     }
@@ -66,7 +67,7 @@
             }
             (&Method::POST, "/v1/control/replace") => self.replace(read_json(request).await?).await,
             (&Method::GET, path) => match path.strip_prefix("/v1/services/") {
-                Some(name) => self.service(&service_name(name)?, &query).await,
+                Some(name) => self.service(&parse_service_name(name)?, &query).await,
                 None => Err(not_found(path)),
             },
             (_, path) => Err(not_found(path)),
@@ -87,15 +88,16 @@
         }
     }
 
-    async fn replace(&self, order: ReplaceOrder) -> RouteReply {
-        let replaced = self.control()?.replace(order.old.clone(), order.address).await;
+    async fn replace(&self, request: ReplaceVoterRequest) -> RouteReply {
+        let replaced = self.control()?.replace(request.old.clone(), request.address).await;
         replaced
-            .map(|()| json(&order))
+            .map(|()| json(&request))
             .map_err(|error| ApiError::new(StatusCode::CONFLICT, "not_replaced", error.to_string()))
     }
 
-    /// Makes sure that what is read next is not older than what was accepted before, unless the
-    /// operator asked for what this process has.
+    /// Waits until the control process has caught up with the log, so that a following read
+    /// includes every change accepted before the call. Returns `None` without waiting if the query
+    /// asks for the local state.
     async fn catch_up(&self, query: &str) -> Result<Option<&ControlNode>, ApiError> {
         if is_local(query) {
             return Ok(None);
@@ -110,8 +112,8 @@
             Some(control) => control.read(|state| state.services().cloned().collect()),
             None => self.replica.services(),
         };
-        let standing = records.into_iter().filter(|r| r.text.is_some());
-        Ok(json(&standing.map(|r| r.change).collect::<Vec<AcceptedChange>>()))
+        let existing = records.into_iter().filter(|r| r.text.is_some());
+        Ok(json(&existing.map(|r| r.change).collect::<Vec<AcceptedChange>>()))
     }
 
     async fn service(&self, name: &ServiceName, query: &str) -> RouteReply {
@@ -126,20 +128,20 @@
     }
 
     async fn history(&self, query: &str) -> RouteReply {
-        let wanted = query.split('&').find_map(|part| part.strip_prefix("service="));
-        let wanted = wanted.map(service_name).transpose()?;
+        let service = query.split('&').find_map(|part| part.strip_prefix("service="));
+        let service = service.map(parse_service_name).transpose()?;
         let control = self.control()?;
         control.catch_up().await.map_err(|error| change_error(&error))?;
         Ok(control.read(|state| {
-            let is_wanted =
-                |c: &&AcceptedChange| wanted.as_ref().is_none_or(|name| c.service == *name);
-            let changes = state.history().rev().filter(is_wanted).take(HISTORY_LIMIT);
+            let matches_service =
+                |c: &&AcceptedChange| service.as_ref().is_none_or(|name| c.service == *name);
+            let changes = state.history().rev().filter(matches_service).take(HISTORY_LIMIT);
             json(&changes.collect::<Vec<_>>())
         }))
     }
 }
 
-/// Whether the operator asks for what this process has.
+/// Returns true if the query string asks for the local state of this process (`?local`).
 pub(crate) fn is_local(query: &str) -> bool {
     query.split('&').any(|part| part == "local")
 }
@@ -165,7 +167,7 @@
     ApiError::new(status, kind, error.to_string()).run(run)
 }
 
-fn service_name(text: &str) -> Result<ServiceName, ApiError> {
+fn parse_service_name(text: &str) -> Result<ServiceName, ApiError> {
     ServiceName::try_from(text)
         .map_err(|e| ApiError::new(StatusCode::BAD_REQUEST, "invalid_service", e.to_string()))
 }
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/config_runtime.rs
@@ -1,4 +1,4 @@
-//! The configuration of a process: its replica, and where it has that role, its control process.
+//! Configuration replica of a process and, where it has the control role, its control process.
 
 use {
     crate::{
@@ -17,22 +17,22 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// Who a process is towards control.
+/// Settings of the configuration replica and the control process.
 #[derive(Clone, Debug)]
 pub struct ConfigSettings {
     /// Name of the deployment.
     pub cluster: ClusterName,
     /// Name of this VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of this VM.
     pub region: RegionName,
-    /// Where other processes reach it.
+    /// Address at which other processes reach this one.
     pub peer_address: SocketAddr,
-    /// The voters that found the log.
+    /// Initial voters of the replicated log, by VM and peer address.
     pub voters: Vec<(VmName, SocketAddr)>,
 }
 
-/// The gateways of a region, as the directory knows them.
+/// Looks up the gateways of a region in the relay directory.
 struct DirectoryPeers {
     directory: RelayDirectory,
     region: RegionName,
@@ -44,30 +44,31 @@
     }
 }
 
-/// The replica of a process, and its control process if it has one.
-pub struct ConfigPart {
+/// Configuration replica of a process, which can also start a control process.
+pub struct ConfigRuntime {
     settings: ConfigSettings,
     context: ProcessContext,
     replica: Rc<ConfigReplica>,
 }
 
-impl ConfigPart {
-    /// A part that follows nothing yet. Its [`replica`](Self::replica) is the gateway's
-    /// configuration.
+impl ConfigRuntime {
+    /// Creates a replica that does not receive updates until [`start`](Self::start) is called. Use
+    /// [`replica`](Self::replica) as the configuration source of the gateway.
     pub fn new(settings: ConfigSettings, context: ProcessContext) -> Self {
-        let controls = settings.voters.iter().map(|(_, address)| *address).collect();
+        let control_addresses = settings.voters.iter().map(|(_, address)| *address).collect();
         let (vm, region) = (settings.vm.clone(), settings.region.clone());
-        let config = ReplicaConfig::new(vm, region, settings.peer_address, controls);
+        let config = ReplicaConfig::new(vm, region, settings.peer_address, control_addresses);
         let replica = ConfigReplica::new(config, context.clone());
         Self { settings, context, replica }
     }
 
-    /// The configuration that this process has in force.
+    /// Returns the configuration replica of this process.
     pub fn replica(&self) -> &Rc<ConfigReplica> {
         &self.replica
     }
 
-    /// Joins the parts to a started process. With a data folder it is a control process too.
+    /// Connects the replica to a started gateway and registers the operator routes. With a data
+    /// folder, also starts a control process and returns it.
     pub async fn start(
         &self,
         node: &GatewayNode,
@@ -91,8 +92,9 @@
         let directory =
             RelayDirectory::new(region.clone(), node.relay().clone(), self.context.clone());
         let peers = DirectoryPeers { directory, region };
-        let follow = follow_groups(Rc::clone(&self.replica), Rc::clone(&events), node.adopter());
-        self.context.spawner.spawn(Box::pin(follow));
+        let group_updates =
+            follow_groups(Rc::clone(&self.replica), Rc::clone(&events), node.claim_group_adopter());
+        self.context.spawner.spawn(Box::pin(group_updates));
         self.replica.start(transport, Rc::new(peers), events);
         self.add_routes(node, control.as_ref());
         Ok(control)
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,4 +1,4 @@
-//! What every part of a process needs: identity, sessions to peers, time line and metrics.
+//! Components common to all processes: identity, peer sessions, event log and metrics.
 
 use {
     crate::{
@@ -13,8 +13,9 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// The parts that all others are built on. One hybrid clock goes into the sessions and the time
-/// line, so that what a message causes is stamped after what caused it.
+/// Components that the rest of a process is built on. Peer sessions and the event log share one
+/// hybrid logical clock, so that an event caused by a message is stamped later than the sender's
+/// event.
 pub(crate) struct NodeCore {
     pub(crate) context: ProcessContext,
     pub(crate) identity: PeerIdentity,
@@ -25,21 +26,21 @@
     pub(crate) server: PeerServer,
 }
 
-/// What the parts that all others are built on are told.
+/// Settings common to all processes.
 #[derive(Clone)]
 pub struct CoreSettings {
-    /// Who the process is to its peers.
+    /// Identity that the process presents to its peers.
     pub identity: PeerIdentity,
-    /// Sessions with its peers.
+    /// Configuration of peer sessions.
     pub peer: PeerConfig,
-    /// Where it takes peer sessions.
+    /// Listen address for peer sessions.
     pub peer_address: SocketAddr,
-    /// Events kept in memory.
+    /// Maximum number of events kept in memory.
     pub event_limit: usize,
 }
 
 impl NodeCore {
-    /// Binds the peer port and opens the time line.
+    /// Binds the peer port and creates the event log, with the default session configuration.
     pub(crate) fn bind(
         settings: &NodeSettings,
         context: &ProcessContext,
@@ -61,7 +62,7 @@
         Self::open(settings, context, link)
     }
 
-    /// As [`bind`](Self::bind), with settings of sessions of one's own.
+    /// Like [`bind`](Self::bind), with a caller-supplied session configuration.
     pub(crate) fn open(
         settings: CoreSettings,
         context: &ProcessContext,
@@ -96,14 +97,14 @@
         })
     }
 
-    /// The time line, with a rate for each kind of event.
+    /// Returns the event log behind a rate limit per event kind.
     pub(crate) fn throttled_events(&self) -> Rc<dyn EventSink> {
         let log = Rc::clone(&self.events) as Rc<dyn EventSink>;
         Rc::new(ThrottledSink::new(log, Rc::clone(&self.context.clock)))
     }
 }
 
-/// Listens for HTTP at `address`. `port` says whose port it is, for the error.
+/// Binds an HTTP server to `address`. `port` names the port in the error message.
 pub(crate) fn http_server(
     port: &'static str,
     address: SocketAddr,
--- a/crates/node/src/late.rs
+++ b/crates/node/src/deferred_handler.rs
@@ -1,4 +1,4 @@
-//! A handler that is set after its server has begun to listen.
+//! HTTP handler that is set after its server has bound its port.
 
 use {
     gullglade_http::{ApiError, ReplyBody, RequestBody, RequestHandler},
@@ -7,20 +7,21 @@
     std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Breaks a circle: the gateway is told the port that its server got, and the server is given the
-/// gateway. Nothing is served in between, because both happen before the server's task runs.
+/// Breaks a dependency cycle: the gateway needs the port that its server was assigned, and the
+/// server needs the gateway as its handler. No request arrives in between, because the handler is
+/// set before the server's task is spawned.
 #[derive(Default)]
-pub(crate) struct LateHandler {
+pub(crate) struct DeferredHandler {
     handler: RefCell<Option<Rc<dyn RequestHandler>>>,
 }
 
-impl LateHandler {
+impl DeferredHandler {
     pub(crate) fn set(&self, handler: Rc<dyn RequestHandler>) {
         *self.handler.borrow_mut() = Some(handler);
     }
 }
 
-impl RequestHandler for LateHandler {
+impl RequestHandler for DeferredHandler {
     fn handle<'a>(
         &'a self,
         request: Request<RequestBody>,
@@ -30,14 +31,14 @@
         Box::pin(async move {
             match handler {
                 Some(handler) => handler.handle(request, remote).await,
-                None => starting().into_response(),
+                None => starting_error().into_response(),
             }
         })
     }
 }
 
-fn starting() -> ApiError {
-    let message = "the process is starting; ask again in a second";
+fn starting_error() -> ApiError {
+    let message = "the process is starting; retry in 1 s";
     ApiError::new(StatusCode::SERVICE_UNAVAILABLE, "starting", message)
         .retry_after(Duration::from_secs(1))
 }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,41 +1,41 @@
-//! Why a process does not start.
+//! Errors that prevent a process from starting.
 
 use {gullglade_event::MetricsError, snafu::Snafu};
 
-/// A part that could not be started.
+/// A component of the process failed to start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)), context(suffix(Start)))]
 pub enum StartError {
-    /// The callers' or operators' port.
+    /// An HTTP port could not be bound.
     #[snafu(display("{port} port: {source}"))]
     Http {
-        /// Which port.
+        /// Name of the port, such as `operators'`.
         port: &'static str,
-        /// What failed.
+        /// The underlying error.
         source: gullglade_http::BindError,
     },
-    /// The peer port.
+    /// The peer port could not be bound.
     #[snafu(display("peer port: {source}"))]
     Peer {
-        /// What failed.
+        /// The underlying error.
         source: gullglade_peer::BindError,
     },
-    /// Notices between gateways.
+    /// The port for notices between gateways could not be bound.
     #[snafu(display("{source}"))]
     Notice {
-        /// What failed.
+        /// The underlying error.
         source: gullglade_peer::NoticeBindError,
     },
-    /// The control role.
+    /// The control role failed to start.
     #[snafu(display("control: {source}"))]
     Control {
-        /// What failed.
+        /// The underlying error.
         source: gullglade_control::ControlError,
     },
-    /// The metrics.
+    /// The metrics could not be registered.
     #[snafu(display("{source}"))]
     Metrics {
-        /// What failed.
+        /// The underlying error.
         source: MetricsError,
     },
 }
--- a/crates/node/src/held_requests.rs
+++ b/crates/node/src/held_requests.rs
@@ -1,5 +1,5 @@
-//! What operators see and do of requests that are held back because backend servers ended under
-//! them.
+//! Operator view of quarantined requests: requests that are held back because backend servers
+//! terminated while processing them.
 
 use {
     gullglade_poison::{CrashLedger, PrintError, RequestPrint},
@@ -8,44 +8,46 @@
     std::rc::Rc,
 };
 
-/// A request that is held back.
+/// A request that is held back, identified by its fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldRow {
-    /// Its fingerprint, as log lines have it.
+    /// Fingerprint of the request, in the same format as in log lines.
     pub fingerprint: String,
-    /// How many backend servers ended under it.
+    /// Number of backend servers that terminated while processing the request.
     pub ends: u32,
-    /// How much longer it is held back, milliseconds.
+    /// Remaining time of the hold, in milliseconds.
     pub left_ms: u64,
 }
 
-/// Why a request cannot be let go.
+/// Errors of [`HeldRequests::release`].
 #[derive(Debug, Snafu)]
 pub enum HeldError {
-    /// The text is no fingerprint.
+    /// The text is not a valid fingerprint.
     #[snafu(display("{source}"), context(false))]
     Print {
-        /// What is wrong with it.
+        /// The parse error.
         source: PrintError,
     },
-    /// Nothing is known of it.
-    #[snafu(display("no backend server ended under {print} lately; see the list of those held"))]
+    /// The ledger has no record of this request.
+    #[snafu(display(
+        "no backend server termination is on record for {print}; list the held requests"
+    ))]
     Unknown {
-        /// The fingerprint.
+        /// The requested fingerprint.
         print: RequestPrint,
     },
 }
 
-/// The requests that are held back, as one process counts.
+/// Requests held back according to the crash ledger of one process.
 pub struct HeldRequests(Rc<CrashLedger>);
 
 impl HeldRequests {
-    /// Those of `ledger`.
+    /// Creates a view of `ledger`.
     pub fn new(ledger: Rc<CrashLedger>) -> Self {
         Self(ledger)
     }
 
-    /// All of them.
+    /// Returns all requests that are currently held back.
     pub fn list(&self) -> Vec<HeldRow> {
         let row = |(print, hold): (RequestPrint, gullglade_poison::RequestHold)| HeldRow {
             fingerprint: print.to_string(),
@@ -55,9 +57,9 @@
         self.0.holds().into_iter().map(row).collect()
     }
 
-    /// Lets one go, here and at all gateways that this process reaches: what ended under it before
-    /// counts no more.
-    pub fn let_go(&self, fingerprint: &str) -> Result<(), HeldError> {
+    /// Releases a request on this process and on all gateways that it can reach. Earlier backend
+    /// server terminations no longer count against the request.
+    pub fn release(&self, fingerprint: &str) -> Result<(), HeldError> {
         let print = RequestPrint::try_from(fingerprint)?;
         match self.0.let_go(print) {
             true => Ok(()),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,17 +1,17 @@
-//! One process of the system, put together from its parts.
+//! Assembles gateway and control processes from the other crates.
 //!
 //! The binary and the demo start the same [`GatewayNode`]: three servers (callers, operators,
-//! peers) around one gateway, on the runtime of the thread that starts it. Nothing here decides
-//! anything; it is the place to see which part is given which.
+//! peers) around one gateway, on the runtime of the calling thread. This crate contains only
+//! dependency wiring and the operator API; routing and claim logic live in the crates it connects.
 
 mod claim_groups;
 mod claim_routes;
 mod config_routes;
-mod configuration;
+mod config_runtime;
 mod core;
+mod deferred_handler;
 mod error;
 mod held_requests;
-mod late;
 mod node;
 mod operator;
 mod proxy_node;
@@ -22,8 +22,8 @@
 mod workspaces;
 
 pub use claim_routes::{ClaimRoutes, ReplicaRow};
-pub use config_routes::{ConfigRoutes, ReplaceOrder};
-pub use configuration::{ConfigPart, ConfigSettings};
+pub use config_routes::{ConfigRoutes, ReplaceVoterRequest};
+pub use config_runtime::{ConfigRuntime, ConfigSettings};
 pub use core::CoreSettings;
 pub use error::StartError;
 pub use held_requests::{HeldError, HeldRequests, HeldRow};
@@ -32,5 +32,5 @@
 pub use proxy_node::{ProxyNode, ProxyNodeSettings};
 pub use report::{BackendReport, NodeReport, RegionReport};
 pub use seeded_control::{SeededControl, SeededControlSettings};
-pub use settings::{NodeSettings, NodeWiring};
+pub use settings::{NodeDependencies, NodeSettings};
 pub use workspaces::WorkspaceRow;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,11 +1,11 @@
-//! A gateway process.
+//! Gateway process with operator API and claim replicas.
 
 use {
     crate::{
-        NodeSettings, NodeWiring, OperatorPort, OperatorRoute, StartError,
-        claim_groups::{lone_group, tell_lone_group},
+        NodeDependencies, NodeSettings, OperatorPort, OperatorRoute, StartError,
+        claim_groups::{emit_single_member_warning, single_member_group},
         core::{NodeCore, http_server},
-        late::LateHandler,
+        deferred_handler::DeferredHandler,
         report::ReportSource,
         report_routes::ReportRoutes,
     },
@@ -24,17 +24,17 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How often the load that entry answers weigh is told to the relay.
-const LOAD_TICK: Duration = Duration::from_millis(500);
+/// Interval at which the relay is given the current load, which entry replies use as a weight.
+const LOAD_PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Where a process listens, with real ports.
+/// Bound addresses of a process, with the assigned port numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeAddresses {
-    /// For callers and backend servers.
+    /// Address for callers and backend servers.
     pub caller: SocketAddr,
-    /// For operators.
+    /// Address of the operator API.
     pub operator: SocketAddr,
-    /// For other processes.
+    /// Address for peer sessions.
     pub peer: SocketAddr,
 }
 
@@ -58,34 +58,34 @@
 }
 
 impl GatewayNode {
-    /// Starts a process inside the monoio runtime of this thread.
+    /// Binds the ports and starts a process on the monoio runtime of the calling thread.
     pub fn start(
         settings: &NodeSettings,
         context: ProcessContext,
-        wiring: NodeWiring,
+        dependencies: NodeDependencies,
     ) -> Result<Self, StartError> {
-        let core = NodeCore::bind(settings, &context, wiring.link)?;
-        let late = Rc::new(LateHandler::default());
+        let core = NodeCore::bind(settings, &context, dependencies.link)?;
+        let deferred = Rc::new(DeferredHandler::default());
         let config = ServerConfig::new()
             .connection_limit(settings.connection_limit)
             .per_address_limit(settings.per_address_limit);
-        let callers =
-            http_server("callers'", settings.caller_address, config, &context, late.clone())?;
-        let backends = new_table(settings, &context);
-        let relay = new_relay(settings, &core, &backends, callers.local_addr());
+        let caller_server =
+            http_server("callers'", settings.caller_address, config, &context, deferred.clone())?;
+        let backends = new_backend_table(settings, &context);
+        let relay = new_relay(settings, &core, &backends, caller_server.local_addr());
         let claims = new_claims(&core, settings.claims);
         let groups = Rc::new(GroupTable::new());
-        let keeper = QuorumClaims::new(
+        let quorum_claims = QuorumClaims::new(
             context.clone(),
             settings.claims,
             Rc::clone(&groups) as _,
             Rc::clone(&claims),
             Rc::clone(&core.pool) as _,
         );
-        let documents = Rc::clone(&wiring.documents);
+        let documents = Rc::clone(&dependencies.documents);
         let parts = GatewayParts {
             context: context.clone(),
-            documents: wiring.documents,
+            documents: dependencies.documents,
             backends: Rc::clone(&backends),
             relay: relay.clone(),
             directory: Rc::new(RelayDirectory::new(
@@ -93,7 +93,7 @@
                 relay.clone(),
                 context.clone(),
             )),
-            claims: Rc::new(keeper),
+            claims: Rc::new(quorum_claims),
             admission: AdmissionQueue::new(AdmissionSettings::default(), context.clone()),
             client: Rc::new(PooledClient::new(ClientConfig::new(), context.clone())),
             transport: Rc::clone(&core.pool) as _,
@@ -108,11 +108,11 @@
             ),
             parts,
         );
-        late.set(Rc::new(gateway.clone()));
+        deferred.set(Rc::new(gateway.clone()));
         core.handlers.register("forward", Rc::new(gateway.clone()) as Rc<dyn PeerHandler>);
         let operator = new_operator(settings, &core, &gateway);
         register_reports(&operator, settings, &core, &gateway, (&backends, &relay, documents));
-        let operators = http_server(
+        let operator_server = http_server(
             "operators'",
             settings.operator_address,
             ServerConfig::new(),
@@ -121,8 +121,8 @@
         )?;
         let node = Self {
             addresses: NodeAddresses {
-                caller: callers.local_addr(),
-                operator: operators.local_addr(),
+                caller: caller_server.local_addr(),
+                operator: operator_server.local_addr(),
                 peer: core.server.local_addr(),
             },
             gateway,
@@ -135,17 +135,17 @@
             handlers: core.handlers,
             operator,
             pool: core.pool,
-            caller_stop: callers.stop_handle(),
-            operator_stop: operators.stop_handle(),
+            caller_stop: caller_server.stop_handle(),
+            operator_stop: operator_server.stop_handle(),
             peer_stop: core.server.stop_handle(),
             context,
         };
-        node.spawn(callers.run());
-        node.spawn(operators.run());
+        node.spawn(caller_server.run());
+        node.spawn(operator_server.run());
         node.spawn(core.server.run());
         node.relay.start();
-        node.spawn(tell_load(node.gateway.clone(), node.relay.clone(), node.context.clone()));
-        node.announce_start(settings);
+        node.spawn(publish_load(node.gateway.clone(), node.relay.clone(), node.context.clone()));
+        node.emit_start_event(settings);
         Ok(node)
     }
 
@@ -153,7 +153,7 @@
         self.context.spawner.spawn(Box::pin(task));
     }
 
-    fn announce_start(&self, settings: &NodeSettings) {
+    fn emit_start_event(&self, settings: &NodeSettings) {
         self.events.emit(
             EventDraft::new("node.started")
                 .field("region", &settings.region)
@@ -162,43 +162,44 @@
         );
     }
 
-    /// Where it listens.
+    /// Returns the bound addresses.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// Its gateway.
+    /// Returns the gateway.
     pub fn gateway(&self) -> &Gateway {
         &self.gateway
     }
 
-    /// Its time line.
+    /// Returns the event log.
     pub fn events(&self) -> &Rc<EventLog> {
         &self.events
     }
 
-    /// Its metrics.
+    /// Returns the metrics of the process.
     pub fn metrics(&self) -> &Rc<MetricSet> {
         &self.metrics
     }
 
-    /// The backend servers it knows.
+    /// Returns the table of known backend servers.
     pub fn backends(&self) -> &Rc<BackendTable> {
         &self.backends
     }
 
-    /// The claim replicas it holds.
+    /// Returns the service that hosts the claim replicas of this process.
     pub fn claims(&self) -> &Rc<ClaimService> {
         &self.claims
     }
 
-    /// Takes note of the processes that decide a region's claims, or of a later epoch of them.
+    /// Adopts the replica group that decides a region's claims, or a later epoch of it.
     pub fn adopt_claim_group(&self, group: ReplicaGroup) {
-        self.adopter()(group);
+        self.claim_group_adopter()(group);
     }
 
-    /// [`adopt_claim_group`](Self::adopt_claim_group) for a task of its own.
-    pub(crate) fn adopter(&self) -> impl Fn(ReplicaGroup) + 'static {
+    /// Returns [`adopt_claim_group`](Self::adopt_claim_group) as a closure that a spawned task can
+    /// own.
+    pub(crate) fn claim_group_adopter(&self) -> impl Fn(ReplicaGroup) + 'static {
         let (groups, claims) = (Rc::clone(&self.groups), Rc::clone(&self.claims));
         move |group| {
             let group = Rc::new(group);
@@ -208,52 +209,57 @@
         }
     }
 
-    /// Decides the claims of its own region alone, with nobody to ask: for a deployment of one
-    /// gateway without control processes. Two gateways of one region must not both do this: each
-    /// would run the same order.
-    pub fn decide_claims_alone(&self, vm: &VmName, region: &RegionName) {
-        tell_lone_group(&*self.events, region);
-        self.adopt_claim_group(lone_group(region.clone(), vm.clone(), self.addresses.peer));
+    /// Makes this gateway the only member of its region's claim group, for a deployment of one
+    /// gateway without control processes. Two gateways of a region must not both do this, because
+    /// each would run the same order.
+    pub fn adopt_single_member_group(&self, vm: &VmName, region: &RegionName) {
+        emit_single_member_warning(&*self.events, region);
+        self.adopt_claim_group(single_member_group(
+            region.clone(),
+            vm.clone(),
+            self.addresses.peer,
+        ));
     }
 
-    /// Its membership.
+    /// Returns the relay, which tracks membership and backend servers.
     pub fn relay(&self) -> &BackendRelay {
         &self.relay
     }
 
-    /// Its peer handlers, for parts that add their own.
+    /// Returns the table of peer handlers, to which other components add their own.
     pub fn handlers(&self) -> &Rc<HandlerTable> {
         &self.handlers
     }
 
-    /// Its operators' port, for parts that add their own paths.
+    /// Returns the operator API, to which other components add their own paths.
     pub fn operator(&self) -> &Rc<OperatorPort> {
         &self.operator
     }
 
-    /// Its sessions to other processes.
+    /// Returns the pool of sessions to other processes.
     pub fn transport(&self) -> &Rc<PeerPool> {
         &self.pool
     }
 
-    /// Leaves entry answers at once, lets the requests in progress finish and stops. False where
-    /// some had not finished after `limit`, and were cut off.
+    /// Shuts the process down gracefully: removes the gateway from entry replies immediately, waits
+    /// up to `limit` for requests in progress, then closes all connections. Returns false if
+    /// requests were still in progress and were aborted.
     pub async fn shut_down(&self, limit: Duration) -> bool {
         self.gateway.drain();
-        let quiet = async {
+        let drained = async {
             self.relay.drain().await;
             self.caller_stop.stop();
             self.caller_stop.finished().await;
             self.peer_stop.stop();
             self.peer_stop.finished().await;
         };
-        let finished = timeout(&*self.context.clock, limit, quiet).await.is_some();
+        let finished = timeout(&*self.context.clock, limit, drained).await.is_some();
         self.events.emit(EventDraft::new("node.stopped").field("finished", finished));
         self.abort();
         finished
     }
 
-    /// Drops every connection at once, as a kill would.
+    /// Drops every connection immediately, as if the process were killed.
     pub fn abort(&self) {
         self.caller_stop.abort();
         self.operator_stop.abort();
@@ -262,7 +268,7 @@
     }
 }
 
-fn new_table(settings: &NodeSettings, context: &ProcessContext) -> Rc<BackendTable> {
+fn new_backend_table(settings: &NodeSettings, context: &ProcessContext) -> Rc<BackendTable> {
     let (region, clock) = (settings.region.clone(), Rc::clone(&context.clock));
     Rc::new(BackendTable::new(region, BackendConfig::default(), clock))
 }
@@ -273,7 +279,7 @@
     backends: &Rc<BackendTable>,
     caller_address: SocketAddr,
 ) -> BackendRelay {
-    let own = LocalGateway {
+    let local_gateway = LocalGateway {
         vm: settings.vm.clone(),
         incarnation: settings.incarnation,
         profile: GatewayProfile {
@@ -284,13 +290,13 @@
             limit: u32::try_from(settings.connection_limit).unwrap_or(u32::MAX),
         },
     };
-    let seams = RelayDependencies {
+    let dependencies = RelayDependencies {
         transport: Rc::clone(&core.pool) as _,
         events: Rc::clone(&core.events) as _,
         context: core.context.clone(),
     };
     let config = RelayConfig { seeds: settings.seeds.clone(), ..RelayConfig::default() };
-    let relay = BackendRelay::new(own, Rc::clone(backends), config, seams);
+    let relay = BackendRelay::new(local_gateway, Rc::clone(backends), config, dependencies);
     core.handlers.register("backend", relay.handler());
     relay
 }
@@ -317,18 +323,18 @@
     ))
 }
 
-/// What a report tells of beside the gateway.
-type ReportedParts<'a> = (&'a Rc<BackendTable>, &'a BackendRelay, Rc<dyn ConfigSource>);
+/// Components that a status report covers in addition to the gateway.
+type ReportComponents<'a> = (&'a Rc<BackendTable>, &'a BackendRelay, Rc<dyn ConfigSource>);
 
 fn register_reports(
     operator: &OperatorPort,
     settings: &NodeSettings,
     core: &NodeCore,
     gateway: &Gateway,
-    (backends, relay, documents): ReportedParts<'_>,
+    (backends, relay, documents): ReportComponents<'_>,
 ) {
     let source = ReportSource {
-        place: (settings.vm.clone(), settings.region.clone(), settings.domain.clone()),
+        location: (settings.vm.clone(), settings.region.clone(), settings.domain.clone()),
         gateway: gateway.clone(),
         metrics: Rc::clone(&core.metrics),
         backends: Rc::clone(backends),
@@ -342,11 +348,11 @@
     }
 }
 
-/// Tells the relay what this gateway carries, until the gateway's process ends.
-async fn tell_load(gateway: Gateway, relay: BackendRelay, context: ProcessContext) {
+/// Periodically gives the relay the number of open requests of this gateway. Never returns.
+async fn publish_load(gateway: Gateway, relay: BackendRelay, context: ProcessContext) {
     loop {
         let open = u32::try_from(gateway.status().open_requests).unwrap_or(u32::MAX);
         relay.set_load(GatewayLoad { open });
-        context.clock.sleep(LOAD_TICK).await;
+        context.clock.sleep(LOAD_PUBLISH_INTERVAL).await;
     }
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, metrics, events, status and orders to this process.
+//! Operator API: health, metrics, events, status and commands to this process.
 
 use {
     gullglade_event::{EventLog, EventQuery, MetricSet},
@@ -13,16 +13,17 @@
     std::{cell::RefCell, net::SocketAddr, rc::Rc},
 };
 
-/// Serves the requests below one path prefix, for parts that add their own.
+/// Serves the requests below a path prefix that another component registers.
 pub trait OperatorRoute {
-    /// The reply to an operator whose token was checked.
+    /// Handles a request whose operator token was already verified.
     fn handle<'a>(
         &'a self,
         request: Request<RequestBody>,
     ) -> LocalFuture<'a, Result<Response<ReplyBody>, ApiError>>;
 }
 
-/// Answers operators. Health, readiness and metrics need no token; all else does.
+/// HTTP handler of the operator API. All paths but health, readiness and metrics require the
+/// operator token.
 pub struct OperatorPort {
     token: String,
     vm: VmName,
@@ -44,7 +45,7 @@
 }
 
 impl OperatorPort {
-    /// The port of one process.
+    /// Creates the operator API of one process, without additional routes.
     pub fn new(
         token: String,
         (vm, region): (VmName, RegionName),
@@ -56,7 +57,7 @@
         Self { token, vm, region, gateway, events, metrics, routes }
     }
 
-    /// Serves paths that begin with `prefix` by `route`, from the next request on.
+    /// Routes paths that begin with `prefix` to `route`, starting with the next request.
     pub fn register(&self, prefix: &'static str, route: Rc<dyn OperatorRoute>) {
         self.routes.borrow_mut().push((prefix, route));
     }
@@ -85,12 +86,12 @@
         path: &str,
         request: Request<RequestBody>,
     ) -> Result<Response<ReplyBody>, ApiError> {
-        let found = self
+        let matching_route = self
             .routes
             .borrow()
             .iter()
             .find_map(|(prefix, route)| path.starts_with(prefix).then(|| Rc::clone(route)));
-        match found {
+        match matching_route {
             Some(route) => route.handle(request).await,
             None => Err(ApiError::new(
                 StatusCode::NOT_FOUND,
@@ -105,8 +106,8 @@
             return Ok(text("ready\n"));
         }
         let reason = match self.gateway.status().draining {
-            true => "it drains; route callers elsewhere",
-            false => "it has no configuration; check that a control process can be reached",
+            true => "this gateway is draining; route callers elsewhere",
+            false => "this gateway has no configuration; check that a control process is reachable",
         };
         Err(ApiError::new(StatusCode::SERVICE_UNAVAILABLE, "not_ready", reason))
     }
@@ -140,8 +141,8 @@
 
     fn check_token(&self, headers: &HeaderMap) -> Result<(), ApiError> {
         let given = headers.get(AUTHORIZATION).map(HeaderValue::as_bytes).unwrap_or_default();
-        let wanted = format!("Bearer {}", self.token);
-        if constant_time_equal(given, wanted.as_bytes()) {
+        let expected = format!("Bearer {}", self.token);
+        if constant_time_equal(given, expected.as_bytes()) {
             return Ok(());
         }
         Err(ApiError::new(
@@ -152,8 +153,8 @@
     }
 }
 
-/// Compares without stopping at the first difference: a comparison that stops there tells by its
-/// time how much of a guessed token is right.
+/// Compares in constant time for inputs of equal length. A comparison that stops at the first
+/// difference would reveal through its duration how many leading bytes of a guess are correct.
 fn constant_time_equal(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |acc, (x, y)| acc | (x ^ y)) == 0
 }
--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -1,4 +1,4 @@
-//! A gateway process that passes requests through unchanged.
+//! Gateway process that forwards requests to backend servers unchanged.
 
 use {
     crate::{
@@ -23,53 +23,55 @@
     std::{cell::RefCell, collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How often beliefs that change with time alone are looked over: silences, offers.
-const REFRESH: Duration = Duration::from_millis(500);
+/// Interval at which state that changes with time alone is re-evaluated, such as silent backend
+/// servers and regional offers.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Sessions to other regions are looked after once in so many refreshes.
-const WARM_ROUNDS: u32 = 4;
+/// Number of refreshes between two keep-alive passes over the sessions to other regions.
+const REFRESHES_PER_KEEP_ALIVE: u32 = 4;
 
-/// Of the time for a graceful stop, the part in which all new requests are still taken. Callers
-/// learn of other gateways within a few seconds; until then they must find this one serving.
-const SERVING_SHARE: f64 = 0.35;
+/// Fraction of the shutdown grace period during which all new requests are accepted. Callers take a
+/// few seconds to discover other gateways, and this one must serve them until then.
+const SERVING_FRACTION: f64 = 0.35;
 
-/// Then, up to this part, only those that end by themselves before the cut: where all gateways of
-/// a region are replaced one after the other, there may be no other for some seconds.
-const SHORT_SHARE: f64 = 0.65;
+/// Fraction of the grace period up to which the last ready gateway of a region still accepts
+/// requests that are expected to finish before the cutoff. During a rolling replacement of all
+/// gateways of a region there may be no other gateway for some seconds.
+const SHORT_REQUESTS_FRACTION: f64 = 0.65;
 
-/// Of the time for a graceful stop, the part after which what is not finished is cut off.
-const FINISHING_SHARE: f64 = 0.96;
+/// Fraction of the grace period after which unfinished requests are aborted.
+const CUTOFF_FRACTION: f64 = 0.96;
 
-/// What the key of the requests' fingerprints is made for.
-const PRINT_PURPOSE: &str = "request fingerprints";
+/// Purpose string from which the key for request fingerprints is derived.
+const FINGERPRINT_KEY_PURPOSE: &str = "request fingerprints";
 
-/// What a gateway process is told.
+/// Settings of a [`ProxyNode`].
 #[derive(Clone)]
 pub struct ProxyNodeSettings {
-    /// What every process is told.
+    /// Settings common to all processes.
     pub core: CoreSettings,
-    /// Where it takes callers.
+    /// Address for callers that the gateway announces to the fleet.
     pub caller_address: SocketAddr,
-    /// Peer addresses of some control processes.
+    /// Peer addresses of control processes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Limits that all gateways share.
+    /// Scheduler settings, the same on all gateways.
     pub scheduler: SchedulerSettings,
-    /// When requests are held back that end backend servers.
+    /// Thresholds for holding back requests that crash backend servers.
     pub crashes: AccountSettings,
-    /// The time after which a key that was taken away must be refused, also without contact to
-    /// control processes; `None` where a gateway without contact may go on.
+    /// Time within which a revoked key must be refused, even without contact to control processes.
+    /// `None` if a gateway without contact may keep accepting keys.
     pub revocation: Option<Duration>,
-    /// How far beyond a quota all gateways together may come.
+    /// Amount by which all gateways together may exceed a quota.
     pub tolerance: QuotaTolerance,
-    /// The regions of the deployment; which of them have gateways is learned.
+    /// Regions of the deployment. The fleet state shows which of them have gateways.
     pub regions: BTreeSet<RegionName>,
-    /// Sends to backend servers.
+    /// Configuration of the HTTP client for backend servers.
     pub client: ClientConfig,
-    /// The time for a graceful stop.
+    /// Grace period for shutdown.
     pub grace: Duration,
 }
 
-/// A running gateway process.
+/// A running gateway process that forwards requests unchanged.
 pub struct ProxyNode {
     context: ProcessContext,
     settings: ProxyNodeSettings,
@@ -84,8 +86,8 @@
 }
 
 impl ProxyNode {
-    /// Starts a process inside the monoio runtime of this thread. Callers are taken once
-    /// [`serve_callers`](Self::serve_callers) was called.
+    /// Starts a process on the monoio runtime of the calling thread. It accepts callers only after
+    /// [`serve_callers`](Self::serve_callers) is called.
     pub fn start(
         settings: ProxyNodeSettings,
         context: ProcessContext,
@@ -129,13 +131,13 @@
             revocation: settings.revocation,
             tolerance: settings.tolerance,
             regions: settings.regions.clone(),
-            fingerprint_key: settings.core.peer.derived_key(PRINT_PURPOSE).into(),
+            fingerprint_key: settings.core.peer.derived_key(FINGERPRINT_KEY_PURPOSE).into(),
             events: Rc::clone(&events),
             metrics: Rc::clone(&core.metrics),
         });
         ForwardServer::register(&proxy, &core.handlers);
-        let taker = proxy.clone();
-        let taking = notices.run(Rc::new(move |body| taker.handle_notice(body)));
+        let notice_handler = proxy.clone();
+        let notice_loop = notices.run(Rc::new(move |body| notice_handler.handle_notice(body)));
         let node = Rc::new(Self {
             proxy,
             fleet,
@@ -149,9 +151,9 @@
             context,
         });
         node.spawn(core.server.run());
-        node.spawn(taking);
-        node.follow();
-        node.tell_start();
+        node.spawn(notice_loop);
+        node.follow_fleet();
+        node.emit_start_event();
         Ok(node)
     }
 
@@ -159,15 +161,16 @@
         self.context.spawner.spawn(Box::pin(task));
     }
 
-    fn tell_start(&self) {
+    fn emit_start_event(&self) {
         let event =
             EventDraft::new("node.started").field("region", &self.settings.core.identity.region);
         let event = event.field("caller", self.settings.caller_address);
         self.events.emit(event.field("peer", self.settings.core.peer_address));
     }
 
-    /// Keeps the scheduler's facts and this gateway's phase in line with the fleet.
-    fn follow(self: &Rc<Self>) {
+    /// Subscribes to fleet changes and keeps the scheduler inputs and the phase of this gateway
+    /// current.
+    fn follow_fleet(self: &Rc<Self>) {
         let node = Rc::downgrade(self);
         self.fleet.watch(Rc::new(move |is_structural| {
             let Some(node) = node.upgrade() else { return };
@@ -179,84 +182,84 @@
         self.fleet.start();
         let node = Rc::clone(self);
         self.spawn(async move {
-            let mut rounds = 0_u32;
+            let mut refreshes = 0_u32;
             loop {
-                node.context.clock.sleep(REFRESH).await;
+                node.context.clock.sleep(REFRESH_INTERVAL).await;
                 node.refresh();
-                if rounds.is_multiple_of(WARM_ROUNDS) {
+                if refreshes.is_multiple_of(REFRESHES_PER_KEEP_ALIVE) {
                     node.proxy.keep_sessions_alive();
                 }
-                rounds = rounds.wrapping_add(1);
+                refreshes = refreshes.wrapping_add(1);
             }
         });
     }
 
     fn refresh(&self) {
         let now = self.context.clock.now();
-        let facts = self.fleet.read(|view| Facts::read(view, &self.settings, now));
+        let inputs = self.fleet.read(|view| SchedulerInputs::read(view, &self.settings, now));
         self.dispatcher.update_scheduler(|scheduler, now| {
             if let Some(traffic) = self.fleet.traffic() {
                 let services = traffic.config.services().cloned();
                 scheduler.set_configuration(services, &traffic.evacuated, now);
             }
-            scheduler.set_backends(facts.backends, now);
-            scheduler.set_gateways(facts.gateways, now);
-            self.take_regions(scheduler, now);
+            scheduler.set_backends(inputs.backends, now);
+            scheduler.set_gateways(inputs.gateways, now);
+            self.update_regions(scheduler, now);
         });
-        self.tell_offers();
+        self.publish_offers();
         if let Some(age) = self.fleet.confirmed_ago() {
             self.metrics.configuration_confirmed(age);
         }
-        if facts.is_confirmed && self.fleet.phase() == GatewayPhase::Starting {
+        if inputs.is_confirmed && self.fleet.phase() == GatewayPhase::Starting {
             self.fleet.set_phase(GatewayPhase::Ready);
         }
     }
 
-    /// Takes what other regions offer, and tells what the own one does.
+    /// Updates the scheduler with the offers of other regions and publishes those of the local one.
     fn refresh_regions(&self) {
-        self.dispatcher.update_scheduler(|scheduler, now| self.take_regions(scheduler, now));
-        self.tell_offers();
+        self.dispatcher.update_scheduler(|scheduler, now| self.update_regions(scheduler, now));
+        self.publish_offers();
     }
 
-    fn take_regions(&self, scheduler: &mut Scheduler, now: MonotonicTime) {
+    fn update_regions(&self, scheduler: &mut Scheduler, now: MonotonicTime) {
         let (regions, total) = self
             .fleet
-            .read(|view| (view.regions().iter().map(region_facts).collect(), view.gateway_total()));
+            .read(|view| (view.regions().iter().map(region_info).collect(), view.gateway_total()));
         scheduler.set_regions(regions);
         scheduler.set_gateway_total(total, now);
     }
 
-    fn tell_offers(&self) {
+    fn publish_offers(&self) {
         let offers = self.dispatcher.with_scheduler(|scheduler, now| scheduler.offers(now));
-        self.fleet.set_offers(offers.into_iter().map(told_offer).collect());
+        self.fleet.set_offers(offers.into_iter().map(service_offer).collect());
     }
 
-    /// Its proxy.
+    /// Returns the proxy.
     pub fn proxy(&self) -> &Proxy {
         &self.proxy
     }
 
-    /// The fleet as it follows it.
+    /// Returns the fleet follower.
     pub fn fleet(&self) -> &Rc<FleetFollower> {
         &self.fleet
     }
 
-    /// Its time line.
+    /// Returns the event log, rate-limited per event kind.
     pub fn events(&self) -> &Rc<dyn EventSink> {
         &self.events
     }
 
-    /// Its metrics.
+    /// Returns the metrics of the process.
     pub fn metrics(&self) -> &Rc<MetricSet> {
         &self.metrics
     }
 
-    /// Whether it takes callers.
+    /// Returns true if the gateway is ready for callers.
     pub fn is_ready(&self) -> bool {
         self.fleet.phase() == GatewayPhase::Ready
     }
 
-    /// Serves callers at `address` with `handler`, until the graceful stop.
+    /// Serves callers at `address` with `handler` until shutdown.
     pub fn serve_callers(
         &self,
         address: SocketAddr,
@@ -269,8 +272,9 @@
         Ok(())
     }
 
-    /// Serves whoever asks after the process itself at `address`, to its very end.
-    pub fn serve_watchers(
+    /// Serves operator requests, such as readiness and metrics, at `address` until the process
+    /// ends, including during shutdown.
+    pub fn serve_operators(
         &self,
         address: SocketAddr,
         handler: Rc<dyn RequestHandler>,
@@ -281,39 +285,41 @@
         Ok(())
     }
 
-    /// Whether no gateway of the region takes callers.
+    /// Returns true if no gateway of the region is ready for callers. Used during shutdown, when
+    /// this gateway itself is no longer ready.
     fn is_last_of_region(&self) -> bool {
         let now = self.context.clock.now();
         let region = &self.settings.core.identity.region;
         self.fleet.read(|view| view.ready_gateways(region, now)).is_empty()
     }
 
-    /// Leaves the directory at once, serves those who still come, lets what is in progress finish,
-    /// and stops. False where some had not finished in time and was cut off.
+    /// Shuts the process down gracefully: leaves the directory immediately, still accepts requests
+    /// for part of the grace period, waits for requests in progress and stops. Returns false if
+    /// requests had not finished in time and were aborted.
     pub async fn shut_down(&self) -> bool {
         let (waiting, running) = self.dispatcher.with_scheduler(|scheduler, _| scheduler.counts());
         let event = EventDraft::new("node.stopping").field("running", running);
         self.events.emit(event.field("waiting", waiting));
         let stops = self.caller_stops.borrow().clone();
-        let began = self.context.clock.now();
+        let shutdown_start = self.context.clock.now();
         self.fleet.set_phase(GatewayPhase::Stopping);
         stops.iter().for_each(StopHandle::retire);
-        self.context.clock.sleep(self.settings.grace.mul_f64(SERVING_SHARE)).await;
-        self.proxy.set_cutoff(began + self.settings.grace.mul_f64(FINISHING_SHARE));
+        self.context.clock.sleep(self.settings.grace.mul_f64(SERVING_FRACTION)).await;
+        self.proxy.set_cutoff(shutdown_start + self.settings.grace.mul_f64(CUTOFF_FRACTION));
         if self.is_last_of_region() {
-            let more = SHORT_SHARE - SERVING_SHARE;
-            self.context.clock.sleep(self.settings.grace.mul_f64(more)).await;
+            let extension = SHORT_REQUESTS_FRACTION - SERVING_FRACTION;
+            self.context.clock.sleep(self.settings.grace.mul_f64(extension)).await;
         }
         stops.iter().for_each(StopHandle::stop);
-        let passed = self.context.clock.now().since(began);
-        let left = self.settings.grace.mul_f64(FINISHING_SHARE).saturating_sub(passed);
-        let quiet = async {
+        let elapsed = self.context.clock.now().since(shutdown_start);
+        let remaining = self.settings.grace.mul_f64(CUTOFF_FRACTION).saturating_sub(elapsed);
+        let drained = async {
             for stop in &stops {
                 stop.finished().await;
             }
             self.proxy.wait_for_forwards().await;
         };
-        let finished = timeout(&*self.context.clock, left, quiet).await.is_some();
+        let finished = timeout(&*self.context.clock, remaining, drained).await.is_some();
         self.events.emit(EventDraft::new("node.stopped").field("finished", finished));
         self.peer_stop.abort();
         self.pool.abort();
@@ -333,13 +339,13 @@
     }
 }
 
-fn told_offer(facts: RegionInfo) -> ServiceOffer {
-    let first_byte_ms = facts.first_byte.to_millis();
-    ServiceOffer { service: facts.service, backends: facts.backends, first_byte_ms }
+fn service_offer(info: RegionInfo) -> ServiceOffer {
+    let first_byte_ms = info.first_byte.to_millis();
+    ServiceOffer { service: info.service, backends: info.backends, first_byte_ms }
 }
 
-fn region_facts(told: &RegionOffer) -> RegionInfo {
-    let RegionOffer { region, offer } = told;
+fn region_info(region_offer: &RegionOffer) -> RegionInfo {
+    let RegionOffer { region, offer } = region_offer;
     RegionInfo {
         region: region.clone(),
         service: offer.service.clone(),
@@ -348,30 +354,30 @@
     }
 }
 
-/// What a scheduler needs to know of the fleet.
-struct Facts {
+/// Scheduler inputs read from the fleet state.
+struct SchedulerInputs {
     backends: Vec<BackendInfo>,
     gateways: Vec<VmName>,
     is_confirmed: bool,
 }
 
-impl Facts {
+impl SchedulerInputs {
     fn read(
         view: &gullglade_fleet::FleetView,
         settings: &ProxyNodeSettings,
         now: MonotonicTime,
     ) -> Self {
         let region = &settings.core.identity.region;
-        let is_own = |row: &BackendRow| row.record.region == *region;
+        let is_local_region = |row: &BackendRow| row.record.region == *region;
         Self {
-            backends: view.backends(now).filter(is_own).map(backend_facts).collect(),
+            backends: view.backends(now).filter(is_local_region).map(backend_info).collect(),
             gateways: view.ready_gateways(region, now).into_iter().map(|g| g.profile.vm).collect(),
             is_confirmed: view.confirmed().is_some() && view.traffic().is_some(),
         }
     }
 }
 
-fn backend_facts(row: BackendRow) -> BackendInfo {
+fn backend_info(row: BackendRow) -> BackendInfo {
     let BackendRow { record, cold_until, is_silent, learned: _ } = row;
     BackendInfo {
         is_serving: record.state == ServingState::Serving,
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,4 +1,4 @@
-//! What a process tells operators about itself and about what it sees.
+//! Status report of a process for operators.
 
 use {
     gullglade_backend::{
@@ -12,81 +12,81 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// One process, as it sees itself and the deployment. The reply to `GET /v1/status`.
+/// Status of one process and its view of the deployment. The reply to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Its VM.
+    /// VM of the process.
     pub vm: VmName,
-    /// Its region.
+    /// Region of the process.
     pub region: RegionName,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub domain: FailureDomain,
-    /// Its version.
+    /// Software version.
     pub version: String,
-    /// Whether it has a configuration and takes new requests.
+    /// True if the process has a configuration and accepts new requests.
     pub ready: bool,
-    /// Whether it leaves.
+    /// True if the process is draining.
     pub draining: bool,
-    /// Requests of callers in progress.
+    /// Number of caller requests in progress.
     pub open_requests: u64,
-    /// Requests of callers that ended since its start.
+    /// Number of caller requests that ended since the process started.
     pub ended_requests: u64,
-    /// Requests that it sent to another region since its start.
+    /// Number of requests sent to another region since the process started.
     pub away_requests: u64,
-    /// Index of the configuration in force; none where it has no configuration.
+    /// Log index of the active configuration; `None` without a configuration.
     pub configuration_index: Option<u64>,
-    /// Whether control may have accepted something newer.
+    /// True if control processes may have accepted a newer configuration.
     pub configuration_stale: bool,
-    /// How often checks found promises broken, by promise; only what is not 0.
+    /// Number of detected violations of each promise. Promises without violations are omitted.
     pub breaches: BTreeMap<String, u64>,
-    /// The gateways of its region that it takes for alive, itself among them.
+    /// Gateways of the region that are considered alive, including this one.
     pub members: Vec<VmName>,
-    /// The backend servers of its region.
+    /// Backend servers of the region.
     pub backends: Vec<BackendReport>,
-    /// The other regions.
+    /// Other regions.
     pub regions: Vec<RegionReport>,
 }
 
-/// One backend server of the region.
+/// Status of one backend server of the region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendReport {
-    /// Its name.
+    /// Name of the backend server.
     pub name: BackendName,
-    /// Its failure domain, where its profile is known.
+    /// Failure domain; `None` if the profile is unknown.
     pub domain: Option<FailureDomain>,
-    /// `engine` or `service`, where its profile is known.
+    /// Kind, `engine` or `service`; `None` if the profile is unknown.
     pub kind: Option<BackendKind>,
-    /// `serving`, `backoff` (it wants nothing from this gateway for now), `suspect`, `out`, `leaving`
-    /// or `unknown`.
+    /// Health: `serving`, `backoff` (the backend server asked this gateway to pause requests),
+    /// `suspect`, `out`, `leaving` or `unknown`.
     pub health: String,
-    /// What it serves.
+    /// Names of the models and services that the backend server serves.
     pub serves: Vec<String>,
-    /// Requests it works on at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests that hold a slot, as it last said.
+    /// Number of requests that occupy a slot, as last announced.
     pub running: u32,
-    /// Requests that wait there, as it last said.
+    /// Number of requests queued at the backend server, as last announced.
     pub waiting: u32,
 }
 
-/// Another region, as far as it was heard of.
+/// Last known state of another region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RegionReport {
-    /// The region.
+    /// Name of the region.
     pub region: RegionName,
-    /// Whether a gateway there was heard of lately.
+    /// True if a gateway of the region was heard from recently.
     pub reachable: bool,
-    /// Milliseconds since it last said something.
+    /// Time since the latest message from the region, in milliseconds.
     pub age_millis: u64,
-    /// Slots of its backend servers, over all models and services in use.
+    /// Slots of its backend servers, summed over all configured models and services.
     pub slots: u32,
-    /// Slots that it offers.
+    /// Free slots that the region offers, summed likewise.
     pub free_slots: u32,
 }
 
-/// Where reports come from.
+/// Components from which reports are built.
 pub(crate) struct ReportSource {
-    pub(crate) place: (VmName, RegionName, FailureDomain),
+    pub(crate) location: (VmName, RegionName, FailureDomain),
     pub(crate) gateway: Gateway,
     pub(crate) metrics: Rc<MetricSet>,
     pub(crate) backends: Rc<BackendTable>,
@@ -96,7 +96,7 @@
 
 impl ReportSource {
     pub(crate) fn node(&self) -> NodeReport {
-        let (vm, region, domain) = self.place.clone();
+        let (vm, region, domain) = self.location.clone();
         let status = self.gateway.status();
         let totals = self.metrics.totals();
         NodeReport {
@@ -137,7 +137,7 @@
             kind: profile.map(|p| p.kind),
             health: match self.backends.backoff_until(name) {
                 Some(_) if health <= BackendHealth::Suspect => "backoff".to_owned(),
-                _ => health_word(health, record.status.state).to_owned(),
+                _ => health_label(health, record.status.state).to_owned(),
             },
             serves: serves.unwrap_or_default(),
             slots: profile.map_or(0, |p| p.capacity.slots),
@@ -147,13 +147,13 @@
     }
 
     fn regions(&self) -> Vec<RegionReport> {
-        let mut found: BTreeMap<RegionName, RegionReport> = BTreeMap::new();
+        let mut reports: BTreeMap<RegionName, RegionReport> = BTreeMap::new();
         let Some(view) = self.documents.current() else { return Vec::new() };
         for document in view.documents() {
             let models = document.models.iter().map(|m| BackendTarget::Model(&m.name));
             let plain = document.plain_services.iter().map(|p| BackendTarget::Service(&p.name));
             for summary in models.chain(plain).flat_map(|target| self.relay.summaries(target)) {
-                let report = found.entry(summary.region.clone()).or_insert(RegionReport {
+                let report = reports.entry(summary.region.clone()).or_insert(RegionReport {
                     region: summary.region,
                     reachable: false,
                     age_millis: u64::MAX,
@@ -166,11 +166,11 @@
                 report.free_slots += summary.totals.free_slots;
             }
         }
-        found.into_values().collect()
+        reports.into_values().collect()
     }
 }
 
-fn health_word(health: BackendHealth, state: ServingState) -> &'static str {
+fn health_label(health: BackendHealth, state: ServingState) -> &'static str {
     match (health, state) {
         (_, ServingState::Leaving) | (BackendHealth::Leaving, _) => "leaving",
         (BackendHealth::Serving, _) => "serving",
--- a/crates/node/src/report_routes.rs
+++ b/crates/node/src/report_routes.rs
@@ -1,8 +1,8 @@
-//! The operators' requests about the process and its backend servers.
+//! Operator API for the status of the process and its backend servers.
 //!
 //! - `GET /v1/status`: a [`NodeReport`](crate::NodeReport).
-//! - `POST /v1/backends/{name}/drain`: no new work for this run of a backend server, anywhere in
-//!   its region; the reply is its [`BackendReport`](crate::BackendReport).
+//! - `POST /v1/backends/{name}/drain`: stops new requests to this incarnation of a backend server
+//!   from all gateways of its region; the reply is its [`BackendReport`](crate::BackendReport).
 
 use {
     crate::{BackendReport, OperatorRoute, report::ReportSource},
@@ -15,7 +15,7 @@
     std::rc::Rc,
 };
 
-/// Answers operators about the process and its backend servers.
+/// Serves the operator API for the status of the process and its backend servers.
 pub(crate) struct ReportRoutes {
     pub(crate) source: ReportSource,
     pub(crate) events: Rc<dyn EventSink>,
@@ -36,12 +36,14 @@
         }
     }
 
-    /// Says `leaving` on behalf of the backend server. `Leaving` is final for its run, so its own
-    /// renewals do not take it back; a restart, which announces a higher incarnation, serves again.
+    /// Announces `Leaving` on behalf of the backend server. `Leaving` is final for an incarnation,
+    /// so later announcements of the backend server do not revert it. After a restart the backend
+    /// server announces a higher incarnation and receives requests again.
     async fn drain(&self, text: &str) -> Result<BackendReport, ApiError> {
-        let invalid = |e: String| ApiError::new(StatusCode::BAD_REQUEST, "invalid_backend", e);
-        let name = BackendName::try_from(text).map_err(|e| invalid(e.to_string()))?;
-        let record = self.source.backends.record(&name).ok_or_else(|| unknown(&name))?;
+        let invalid_backend =
+            |e: String| ApiError::new(StatusCode::BAD_REQUEST, "invalid_backend", e);
+        let name = BackendName::try_from(text).map_err(|e| invalid_backend(e.to_string()))?;
+        let record = self.source.backends.record(&name).ok_or_else(|| unknown_backend(&name))?;
         let announcement = Announcement {
             name: name.clone(),
             incarnation: record.status.incarnation,
@@ -51,10 +53,10 @@
             profile: None,
             cache_events: None,
         };
-        let told = self.source.relay.announce(&announcement).await;
-        told.map_err(|e| ApiError::new(StatusCode::CONFLICT, "not_drained", e.to_string()))?;
+        let announced = self.source.relay.announce(&announcement).await;
+        announced.map_err(|e| ApiError::new(StatusCode::CONFLICT, "not_drained", e.to_string()))?;
         self.events.emit(EventDraft::new("backend.drained").field("backend", &name));
-        self.source.backend(&name).ok_or_else(|| unknown(&name))
+        self.source.backend(&name).ok_or_else(|| unknown_backend(&name))
     }
 }
 
@@ -62,7 +64,7 @@
     path.strip_prefix("/v1/backends/")?.strip_suffix("/drain")
 }
 
-fn unknown(name: &BackendName) -> ApiError {
+fn unknown_backend(name: &BackendName) -> ApiError {
     let message = format!(
         "{name} is not known in this region; `gladectl status` lists the backend servers, each at \
          the gateways of its own region"
--- a/crates/node/src/seeded_control.rs
+++ b/crates/node/src/seeded_control.rs
@@ -1,4 +1,4 @@
-//! A control process that finds the others through seeds, and hears the fleet.
+//! Control process that discovers its peers through seed addresses and tracks the fleet.
 
 use {
     crate::{
@@ -15,15 +15,15 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// What a control process is told.
+/// Settings of a control process.
 pub struct SeededControlSettings {
-    /// What every process is told.
+    /// Settings common to all processes.
     pub core: CoreSettings,
-    /// The log.
+    /// Settings of the replicated log.
     pub control: ControlConfig,
-    /// The fleet.
+    /// Settings of fleet tracking.
     pub fleet: FleetSettings,
-    /// When requests are held back that end backend servers.
+    /// Thresholds for holding back requests that crash backend servers.
     pub crashes: AccountSettings,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl SeededControl {
-    /// Starts a process inside the monoio runtime of this thread, with its state in `folder`.
+    /// Starts a process on the monoio runtime of the calling thread, with its state in `folder`.
     pub async fn start(
         settings: SeededControlSettings,
         context: ProcessContext,
@@ -81,32 +81,32 @@
         Ok(node)
     }
 
-    /// Its part of the log.
+    /// Returns the control node, which replicates the log.
     pub fn control(&self) -> &ControlNode {
         &self.control
     }
 
-    /// The fleet as it hears it.
+    /// Returns the fleet server, which tracks gateways and backend servers.
     pub fn fleet(&self) -> &Rc<FleetServer> {
         &self.fleet
     }
 
-    /// The requests that are held back, as it counts.
+    /// Returns the requests held back according to this process.
     pub fn held_requests(&self) -> HeldRequests {
         HeldRequests::new(Rc::clone(&self.crashes))
     }
 
-    /// Its time line.
+    /// Returns the event log, rate-limited per event kind.
     pub fn events(&self) -> &Rc<dyn EventSink> {
         &self.events
     }
 
-    /// Its metrics.
+    /// Returns the metrics of the process.
     pub fn metrics(&self) -> &Rc<MetricSet> {
         &self.metrics
     }
 
-    /// Serves `handler` at `address`, to the end of the process.
+    /// Serves HTTP at `address` with `handler` until the process ends.
     pub fn serve(
         &self,
         address: SocketAddr,
@@ -118,7 +118,8 @@
         Ok(())
     }
 
-    /// Completes when this process can no longer take part, with the reason and the remedy.
+    /// Waits until this process can no longer participate, and returns the error with its cause and
+    /// remedy.
     pub async fn stopped(&self) -> ControlError {
         self.control.stopped().await
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is started with.
+//! Settings and injected dependencies of a gateway process.
 
 use {
     gullglade_claim::ClaimSettings,
@@ -8,45 +8,45 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// The checked settings of a gateway process.
+/// Validated settings of a gateway process.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Name of this VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of this VM.
     pub region: RegionName,
-    /// Its failure domain.
+    /// Failure domain of this VM.
     pub domain: FailureDomain,
-    /// Which run of the process this is.
+    /// Incarnation number; a restarted process has a higher one.
     pub incarnation: Incarnation,
     /// Name of the deployment.
     pub cluster: ClusterName,
-    /// The secret that processes share.
+    /// Secret shared by all processes of the deployment; authenticates peer sessions.
     pub secret: PeerSecret,
-    /// Address for callers and backend servers.
+    /// Listen address for callers and backend servers.
     pub caller_address: SocketAddr,
-    /// Address for operators.
+    /// Listen address of the operator API.
     pub operator_address: SocketAddr,
-    /// Address for the other processes.
+    /// Listen address for peer sessions.
     pub peer_address: SocketAddr,
-    /// The operators' bearer token.
+    /// Bearer token that operators must send.
     pub operator_token: String,
-    /// Most caller connections.
+    /// Maximum number of caller connections.
     pub connection_limit: usize,
-    /// Most caller connections from one IP address.
+    /// Maximum number of caller connections from one IP address.
     pub per_address_limit: usize,
-    /// Events kept in memory.
+    /// Maximum number of events kept in memory.
     pub event_limit: usize,
-    /// Peer addresses of some other gateways.
+    /// Peer addresses of other gateways, contacted first to join the membership.
     pub seeds: Vec<SocketAddr>,
-    /// Windows and limits of claims, the same on every VM.
+    /// Time windows and limits of claims; must be identical on every VM.
     pub claims: ClaimSettings,
 }
 
-/// The parts that differ between a real process, the demo and tests.
-pub struct NodeWiring {
-    /// The configuration.
+/// Dependencies that differ between a production process, the demo and tests.
+pub struct NodeDependencies {
+    /// Source of the configuration documents.
     pub documents: Rc<dyn ConfigSource>,
-    /// Delays and cuts of the network, where they are to be imitated.
+    /// Simulated network delays and partitions; `None` for the real network.
     pub link: Option<Rc<dyn LinkPolicy>>,
 }
--- a/crates/node/src/workspaces.rs
+++ b/crates/node/src/workspaces.rs
@@ -1,36 +1,36 @@
-//! What operators see of the workspaces of the configuration in force.
+//! Operator view of the workspaces in the active configuration.
 
 use {
     gullglade_traffic::{QuotaUnit, TrafficConfig, TrafficWorkspace},
     serde::{Deserialize, Serialize},
 };
 
-/// The digits of a key's hash that are shown: enough to tell keys apart, too few to find one.
-const SHOWN_DIGITS: usize = 12;
+/// Number of digits shown of a key's hash: enough to distinguish keys, too few to recover one.
+const SHOWN_HASH_DIGITS: usize = 12;
 
-/// A workspace. Its keys are in no field.
+/// Summary of a workspace. Contains no API keys, only prefixes of their hashes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceRow {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// The version of the configuration that it stands in.
+    /// Version of the configuration that defines the workspace.
     pub version: u64,
-    /// The priority of its requests, where it has one of its own.
+    /// Priority of its requests; `None` if the workspace sets none.
     pub priority: Option<u8>,
-    /// The only regions in which its requests may be served; none: anywhere.
+    /// Regions in which its requests may be served. An empty list permits all regions.
     pub homes: Vec<String>,
-    /// What its quota is counted in.
+    /// Unit of the quota: `tokens` or `requests`.
     pub unit: String,
-    /// Units a second; `None` without a limit.
+    /// Quota rate in units per second; `None` if unlimited.
     pub rate: Option<f64>,
-    /// Units beyond that at once.
+    /// Burst allowance in units; `None` if unlimited.
     pub burst: Option<f64>,
-    /// The first digits of the SHA-256 of each of its keys.
+    /// Truncated SHA-256 hash of each API key, in hexadecimal.
     pub keys: Vec<String>,
 }
 
 impl WorkspaceRow {
-    /// The workspaces of a configuration, by name.
+    /// Returns a row for each workspace of `config`.
     pub fn of(config: &TrafficConfig) -> Vec<Self> {
         let row = |workspace: &TrafficWorkspace| Self {
             name: workspace.name.to_string(),
@@ -43,12 +43,12 @@
             },
             rate: workspace.quota.map(|quota| quota.rate),
             burst: workspace.quota.map(|quota| quota.burst),
-            keys: workspace.keys.iter().map(|key| shortened(&key.to_string())).collect(),
+            keys: workspace.keys.iter().map(|key| truncate_hash(&key.to_string())).collect(),
         };
         config.workspaces().iter().map(|workspace| row(workspace)).collect()
     }
 }
 
-fn shortened(digits: &str) -> String {
-    digits.chars().take(SHOWN_DIGITS).collect()
+fn truncate_hash(digits: &str) -> String {
+    digits.chars().take(SHOWN_HASH_DIGITS).collect()
 }
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -3,7 +3,7 @@
 use {
     super::configuration::{ControlClient, ToolError, control_options},
     bpaf::{Parser, construct, long},
-    gullglade_node::ReplaceOrder,
+    gullglade_node::ReplaceVoterRequest,
     gullglade_units::VmName,
     std::{net::SocketAddr, path::PathBuf, process::ExitCode},
 };
@@ -49,8 +49,8 @@
     async fn send(&self) -> Result<(), ToolError> {
         let Self::Replace { vm, by, at, token_file } = self;
         let client = ControlClient::new(at.clone(), token_file.clone())?;
-        let order = ReplaceOrder { old: vm.clone(), address: *by };
-        let _: ReplaceOrder = client.post("/v1/control/replace", &order).await?;
+        let order = ReplaceVoterRequest { old: vm.clone(), address: *by };
+        let _: ReplaceVoterRequest = client.post("/v1/control/replace", &order).await?;
         println!("begun: {vm} is replaced by {by} once that has caught up; see `gladectl status`");
         Ok(())
     }
--- a/src/process.rs
+++ b/src/process.rs
@@ -8,7 +8,7 @@
     gullglade_document::{ConfigSource, ConfigView, DocumentError, FixedConfig, ServiceDocument},
     gullglade_event::{EventDraft, EventSink, Level, SettingsError},
     gullglade_node::{
-        ConfigPart, ConfigSettings, GatewayNode, NodeSettings, NodeWiring, StartError,
+        ConfigRuntime, ConfigSettings, GatewayNode, NodeDependencies, NodeSettings, StartError,
     },
     gullglade_units::{Incarnation, ProcessContext},
     monoio::{LegacyDriver, RuntimeBuilder, utils::CtrlC},
@@ -97,21 +97,21 @@
 async fn serve(settings: &ProcessSettings, view: Option<ConfigView>) -> Result<bool, ProcessError> {
     let signal = CtrlC::new().map_err(io::Error::other).context(SystemSnafu { what: "signals" })?;
     let context = ProcessContext::system();
-    let part = ConfigPart::new(config_settings(settings), context.clone());
+    let config_runtime = ConfigRuntime::new(config_settings(settings), context.clone());
     let fixed = view.map(|view| Rc::new(FixedConfig::new(view)) as Rc<dyn ConfigSource>);
     let is_fixed = fixed.is_some();
-    let wiring = NodeWiring {
-        documents: fixed.unwrap_or_else(|| Rc::clone(part.replica()) as _),
+    let dependencies = NodeDependencies {
+        documents: fixed.unwrap_or_else(|| Rc::clone(config_runtime.replica()) as _),
         link: None,
     };
-    let node = GatewayNode::start(&node_settings(settings, &context), context, wiring)
+    let node = GatewayNode::start(&node_settings(settings, &context), context, dependencies)
         .context(StartSnafu)?;
     let control = match is_fixed {
         true => {
             decide_claims(settings, &node);
             None
         }
-        false => start_configuration(settings, &part, &node).await?,
+        false => start_configuration(settings, &config_runtime, &node).await?,
     };
     match control {
         None => signal.await,
@@ -130,7 +130,7 @@
 /// same order sent to two of them would run twice. Such gateways refuse keyed requests.
 fn decide_claims(settings: &ProcessSettings, node: &GatewayNode) {
     if settings.peers.is_empty() {
-        return node.decide_claims_alone(&settings.name, &settings.region);
+        return node.adopt_single_member_group(&settings.name, &settings.region);
     }
     node.events().emit(
         EventDraft::new("claim.group.none")
@@ -142,7 +142,7 @@
 
 async fn start_configuration(
     settings: &ProcessSettings,
-    part: &ConfigPart,
+    config_runtime: &ConfigRuntime,
     node: &GatewayNode,
 ) -> Result<Option<ControlNode>, ProcessError> {
     let folder = match &settings.control {
@@ -152,7 +152,7 @@
         }
         None => None,
     };
-    part.start(node, folder).await.context(StartSnafu)
+    config_runtime.start(node, folder).await.context(StartSnafu)
 }
 
 fn config_settings(settings: &ProcessSettings) -> ConfigSettings {
