--- a/crates/node/src/proxy_node.rs
+++ b/crates/node/src/proxy_node.rs
@@ -54,7 +54,7 @@
     pub caller_address: SocketAddr,
     /// Peer addresses of control processes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Scheduler settings, the same on all gateways.
+    /// Scheduler settings. The limits in them are the same on all gateways.
     pub scheduler: SchedulerSettings,
     /// Thresholds for holding back requests that crash backend servers.
     pub crashes: AccountSettings,
