--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,27 +1,27 @@
 //! Membership of backend servers and gateways.
 //!
-//! Nobody lists the backend servers: each announces itself to any gateway of its region, which
-//! grants it a lease on its own monotonic clock and relays what changed to the region's other
-//! gateways.
+//! There is no static list of backend servers. Each backend server announces itself to any gateway
+//! of its region, which grants a lease based on its own monotonic clock and relays the changes to
+//! the other gateways of the region.
 
 mod announcement;
+mod backend_entry;
 mod cache;
 mod change_log;
 mod config;
 mod dispatch;
 mod entry_table;
 mod gateway;
-mod members;
+mod interval_scale;
+mod member_table;
 mod message;
-mod news_bell;
-mod pace;
-mod past;
+mod notifier;
+mod past_instant;
 mod plan;
 mod prompt;
 mod record;
-mod regions;
+mod region_table;
 mod relay;
-mod row;
 mod row_totals;
 mod status;
 mod subset;
@@ -33,25 +33,25 @@
     AnnounceError, AnnounceReply, Announcement, BackendCapacity, BackendKind, BackendProfile,
     CacheEvent, CacheEvents, FencingMode, LoadReport, PrefixHash, ServingState,
 };
+pub use backend_entry::BackendHealth;
 pub use change_log::Origin;
 pub use config::BackendConfig;
 pub use dispatch::{DispatchGuard, OwnLoad};
 pub use entry_table::{EntryAnswer, EntryGateway, EntryTable};
 pub use gateway::{GatewayLoad, GatewayProfile, GatewayRecord};
 pub use message::{
-    AgedRecord, DeltaReply, GatewayPulse, GossipDelta, LoadDelta, RelayStep, RunId, SyncReply,
+    AgedRecord, DeltaReply, GatewayHeartbeat, GossipDelta, LoadDelta, RelayStep, RunId, SyncReply,
     SyncRequest,
 };
 pub use plan::RelayPlan;
 pub use prompt::{BLOCK_TOKENS, PromptBlocks};
 pub use record::{BackendRecord, SequencedProfile};
-pub use relay::{BackendRelay, OwnGateway, RelayConfig, RelaySeams};
-pub use row::BackendHealth;
+pub use relay::{BackendRelay, LocalGateway, RelayConfig, RelayDependencies};
 pub use status::{RunStatus, StatusChange};
 pub use subset::{SubsetConfig, SubsetMember, SubsetPlan};
 pub use summary::{
-    GatewayContact, RegionDelta, RegionSummary, TargetId, TargetTotals, TotalsDelta, TotalsMove,
-    TotalsRow,
+    FullTotals, GatewayContact, LoadTotals, RegionDelta, RegionSummary, TargetId, TargetTotals,
+    TotalsDelta,
 };
 pub use table::{AnnounceOutcome, AnnounceRefusal, BackendTable};
 pub use view::{BackendTarget, BackendView};
--- a/crates/backend/src/subset.rs
+++ b/crates/backend/src/subset.rs
@@ -1,10 +1,11 @@
-//! Which engines of its region a gateway follows in detail.
+//! Deterministic subsetting: selects the engines of a region that each gateway follows in detail.
 //!
-//! Every engine is followed by the gateways that rank highest for it (rendezvous hash), so none is
-//! forgotten, however many share its model; and every gateway follows a few engines of each model
-//! and service, spread over failure domains, so that it has a choice for each. A gateway or an
-//! engine that comes or goes changes only its own share of this. Up to
-//! [`SubsetConfig::followers`] gateways, everyone follows everything.
+//! Every engine is followed by the gateways that rank highest for it by rendezvous hash, so no
+//! engine is left out, however many engines share its model. In addition, every gateway follows a
+//! few engines of each model and service, spread over failure domains, so that it has a choice for
+//! each of them. A gateway or engine that joins or leaves affects only its own share of the
+//! assignment. In regions of up to [`SubsetConfig::followers`] gateways, every gateway follows
+//! every engine.
 
 use {
     gullglade_units::{
@@ -17,12 +18,12 @@
     },
 };
 
-/// How many follow whom. Start from [`SubsetConfig::default`].
+/// Configuration of subsetting, based on [`SubsetConfig::default`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetConfig {
-    /// Gateways that follow each engine; 8.
+    /// Number of gateways that follow each engine. Default 8.
     pub followers: usize,
-    /// Engines of each model or service that each gateway follows, at least; 6.
+    /// Minimum number of engines of each model or service that a gateway follows. Default 6.
     pub choices: usize,
 }
 
@@ -32,28 +33,29 @@
     }
 }
 
-/// One engine or plain service as far as the choice of a subset goes.
+/// Properties of an engine or plain service that determine the subsets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetMember {
-    /// Its name.
+    /// Name of the backend server.
     pub name: BackendName,
-    /// Its failure domain.
+    /// Failure domain of the backend server.
     pub domain: FailureDomain,
-    /// The models and services that it serves, under names that tell the two apart.
+    /// Models and services that it serves, prefixed so that a model and a service of the same name
+    /// differ.
     pub targets: Vec<String>,
 }
 
-/// The choice for one set of gateways and engines.
+/// Subsets for one set of gateways and engines.
 #[derive(Clone, Debug, Default)]
 pub struct SubsetPlan {
     followers: BTreeMap<VmName, BTreeSet<BackendName>>,
     by_target: BTreeMap<String, Vec<SubsetMember>>,
-    everyone: Option<BTreeSet<BackendName>>,
+    all_backends: Option<BTreeSet<BackendName>>,
     choices: usize,
 }
 
 impl SubsetPlan {
-    /// The choice for these gateways and engines.
+    /// Computes the subsets for these gateways and engines.
     pub fn new(
         gateways: &BTreeSet<VmName>,
         engines: &[SubsetMember],
@@ -61,12 +63,12 @@
     ) -> Self {
         if gateways.len() <= config.followers {
             let all = engines.iter().map(|e| e.name.clone()).collect();
-            return Self { everyone: Some(all), ..Self::default() };
+            return Self { all_backends: Some(all), ..Self::default() };
         }
         let mut plan = Self { choices: config.choices, ..Self::default() };
         for engine in engines {
             plan.add_followers(gateways, engine, config.followers);
-            plan.list_targets(engine);
+            plan.index_targets(engine);
         }
         plan
     }
@@ -77,27 +79,28 @@
         }
     }
 
-    fn list_targets(&mut self, engine: &SubsetMember) {
+    fn index_targets(&mut self, engine: &SubsetMember) {
         for target in &engine.targets {
             self.by_target.entry(target.clone()).or_default().push(engine.clone());
         }
     }
 
-    /// The engines that `gateway` follows.
+    /// Returns the engines that `gateway` follows.
     pub fn followed_by(&self, gateway: &VmName) -> BTreeSet<BackendName> {
-        if let Some(everyone) = &self.everyone {
-            return everyone.clone();
+        if let Some(all_backends) = &self.all_backends {
+            return all_backends.clone();
         }
         let mut followed = self.followers.get(gateway).cloned().unwrap_or_default();
         for engines in self.by_target.values() {
-            followed.extend(spread_choice(gateway, engines, self.choices));
+            followed.extend(select_across_domains(gateway, engines, self.choices));
         }
         followed
     }
 }
 
-/// The `count` engines that rank highest for `gateway` when failure domains take turns.
-fn spread_choice<'a>(
+/// Returns the `count` engines that rank highest for `gateway`, selected round-robin over failure
+/// domains.
+fn select_across_domains<'a>(
     gateway: &VmName,
     engines: &'a [SubsetMember],
     count: usize,
@@ -108,13 +111,13 @@
         let entry = (score_of(engine.name.as_str()), &engine.name);
         by_domain.entry(&engine.domain).or_default().push(entry);
     }
-    let mut turns = Vec::with_capacity(engines.len());
+    let mut candidates = Vec::with_capacity(engines.len());
     for (domain, mut ranked) in by_domain {
         ranked.sort();
         let domain_score = score_of(domain.as_str());
-        let places = ranked.into_iter().enumerate();
-        turns.extend(places.map(|(turn, (_, name))| (turn, domain_score, name)));
+        let positions = ranked.into_iter().enumerate();
+        candidates.extend(positions.map(|(turn, (_, name))| (turn, domain_score, name)));
     }
-    turns.sort();
-    turns.into_iter().take(count).map(|(_, _, name)| name.clone())
+    candidates.sort();
+    candidates.into_iter().take(count).map(|(_, _, name)| name.clone())
 }
--- a/crates/backend/src/table.rs
+++ b/crates/backend/src/table.rs
@@ -1,89 +1,90 @@
-//! All backend servers of the region that this gateway knows.
+//! Table of the backend servers of the region.
 
+mod entries;
 pub(crate) mod gossip;
-mod rows;
 
 use {
     crate::{
         AgedRecord, AnnounceReply, Announcement, BackendConfig, BackendHealth, BackendRecord,
         BackendTarget, BackendView, Origin, PrefixHash, RunId, StatusChange,
-        dispatch::DispatchGuard, pace::RegionPace, past::PastMoment, row::BackendRow,
+        backend_entry::BackendEntry, dispatch::DispatchGuard, interval_scale::IntervalScale,
+        past_instant::PastInstant,
     },
+    entries::TableEntries,
     gullglade_units::{BackendName, BackendRun, Clock, Incarnation, MonotonicTime, RegionName},
-    rows::TableRows,
     snafu::Snafu,
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// Why an announcement is not taken.
+/// Reason for which an announcement is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum AnnounceRefusal {
-    /// It stands elsewhere.
+    /// The backend server is in another region.
     #[snafu(display(
-        "{name} stands in region {region}, this gateway in {here}; announce to a gateway of {region}"
+        "{name} is in region {region}, this gateway in {local_region}; announce to a gateway of \
+         {region}"
     ))]
     WrongRegion {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// Where it says it stands.
+        /// Announced region.
         region: RegionName,
-        /// Where this gateway stands.
-        here: RegionName,
+        /// Region of this gateway.
+        local_region: RegionName,
     },
-    /// Too many names.
+    /// The table has reached its limit of backend servers.
     #[snafu(display(
-        "{name} is not taken: {limit} backend servers are known already; do programs announce ever \
-         new names? Raise the limit only if the region is that large"
+        "{name} is refused: {limit} backend servers are registered already; check for programs \
+         that announce a new name each time, and raise the limit only if the region is that large"
     ))]
     TableFull {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// The most that are remembered.
+        /// Maximum number of backend servers.
         limit: usize,
     },
-    /// The short id of this run is another's.
+    /// The run identifier collides with that of another backend server.
     #[snafu(display(
-        "{name} is not taken: the short id of this run is that of {other}; restart {name} with a \
-         higher incarnation"
+        "{name} is refused: its run identifier collides with that of {other}; restart {name} with \
+         a higher incarnation"
     ))]
     IdTaken {
-        /// The backend server.
+        /// Name of the backend server.
         name: BackendName,
-        /// Whose id it is.
+        /// Name of the backend server that holds the identifier.
         other: BackendName,
     },
 }
 
-/// What an announcement did.
+/// Result of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnnounceOutcome {
-    /// The answer for the backend server.
+    /// Reply to the backend server.
     pub reply: AnnounceReply,
-    /// What changed here.
+    /// Effect on the replicated status.
     pub change: StatusChange,
 }
 
-/// The known backend servers of one region. Shared by the tasks of a gateway; every method
-/// returns without waiting.
+/// Known backend servers of one region, shared by the tasks of a gateway. No method blocks.
 pub struct BackendTable {
     region: RegionName,
     config: BackendConfig,
-    pace: Rc<RegionPace>,
+    interval_scale: Rc<IntervalScale>,
     clock: Rc<dyn Clock>,
-    rows: RefCell<TableRows>,
+    entries: RefCell<TableEntries>,
 }
 
 impl BackendTable {
-    /// An empty table of `region`.
+    /// Creates an empty table for `region`.
     pub fn new(region: RegionName, config: BackendConfig, clock: Rc<dyn Clock>) -> Self {
-        Self { region, config, pace: Rc::default(), clock, rows: RefCell::default() }
+        Self { region, config, interval_scale: Rc::default(), clock, entries: RefCell::default() }
     }
 
     fn config(&self) -> BackendConfig {
-        self.config.paced(&self.pace)
+        self.config.scaled(&self.interval_scale)
     }
 
-    /// Takes in what a backend server said to this gateway itself.
+    /// Processes an announcement that this gateway received from the backend server itself.
     pub fn announce(
         &self,
         announcement: &Announcement,
@@ -91,17 +92,17 @@
         let record = BackendRecord::from(announcement);
         self.check_id(&record)?;
         let aged = AgedRecord::new(record, Duration::ZERO, Duration::ZERO);
-        let change = self.take(&aged, Origin::Own)?;
-        let mut rows = self.rows.borrow_mut();
-        let Some(row) = rows.get_mut(&aged.record.name) else {
+        let change = self.merge_record(&aged, Origin::Direct)?;
+        let mut entries = self.entries.borrow_mut();
+        let Some(entry) = entries.get_mut(&aged.record.name) else {
             let current = aged.record.status.incarnation;
             return Ok(AnnounceOutcome { reply: self.reply(change, current, true), change });
         };
         if let (Some(events), false) = (&announcement.cache_events, change.superseded) {
-            row.observe_cache(events, self.clock.now());
+            entry.apply_cache_events(events, self.clock.now());
         }
-        let current = row.record.status.incarnation;
-        let reply = self.reply(change, current, row.record.profile.is_none());
+        let current = entry.record.status.incarnation;
+        let reply = self.reply(change, current, entry.record.profile.is_none());
         Ok(AnnounceOutcome { reply, change })
     }
 
@@ -111,19 +112,20 @@
         current: Incarnation,
         profile_wanted: bool,
     ) -> AnnounceReply {
-        let lease = if change.superseded { Duration::ZERO } else { self.config().out_after };
+        let lease = if change.superseded { Duration::ZERO } else { self.config().lease };
         AnnounceReply {
             lease_millis: millis(lease),
-            renew_millis: millis(self.config().renew_after),
+            renew_millis: millis(self.config().renew_interval),
             profile_wanted: profile_wanted && !change.superseded,
             superseded_by: change.superseded.then_some(current),
         }
     }
 
-    /// Two runs of one id would get each other's loads.
+    /// Refuses a record whose run identifier is used by another backend server. Load updates carry
+    /// only the identifier and would be applied to the wrong one.
     fn check_id(&self, record: &BackendRecord) -> Result<(), AnnounceRefusal> {
         let id = RunId::new(record.name.as_str(), record.status.incarnation);
-        match self.rows.borrow().name_of(id) {
+        match self.entries.borrow().name_of(id) {
             Some(other) if *other != record.name => {
                 Err(AnnounceRefusal::IdTaken { name: record.name.clone(), other: other.clone() })
             }
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Takes in a record, from wherever it came.
-    pub fn take(
+    /// Merges a record from any source.
+    pub fn merge_record(
         &self,
         aged: &AgedRecord<BackendRecord>,
         origin: Origin,
@@ -140,12 +142,12 @@
         let record = &aged.record;
         self.check_region(record)?;
         let now = self.clock.now();
-        let heard = PastMoment::new(now, aged.age());
-        let mut rows = self.rows.borrow_mut();
-        let full = rows.len() >= self.config().backend_limit;
-        let change = match rows.get_mut(&record.name) {
-            Some(row) => row.merge(record, &self.config(), heard, now),
-            None if !record.status.is_live() && aged.age() >= self.config().forget_after => {
+        let heard_at = PastInstant::new(now, aged.age());
+        let mut entries = self.entries.borrow_mut();
+        let full = entries.len() >= self.config().backend_limit;
+        let change = match entries.get_mut(&record.name) {
+            Some(entry) => entry.merge(record, &self.config(), heard_at, now),
+            None if !record.status.is_live() && aged.age() >= self.config().retention => {
                 return Ok(StatusChange::default());
             }
             None if full => {
@@ -153,11 +155,11 @@
                 return Err(AnnounceRefusal::TableFull { name, limit });
             }
             None => {
-                rows.insert(BackendRow::new(record.clone(), &self.config(), heard, now));
+                entries.insert(BackendEntry::new(record.clone(), &self.config(), heard_at, now));
                 StatusChange { membership: true, advanced: true, ..StatusChange::default() }
             }
         };
-        rows.note(&record.name, change, origin, aged, &self.config(), now);
+        entries.apply_change(&record.name, change, origin, aged, &self.config(), now);
         Ok(change)
     }
 
@@ -166,28 +168,29 @@
             Some(profile) if profile.region != self.region => Err(AnnounceRefusal::WrongRegion {
                 name: record.name.clone(),
                 region: profile.region.clone(),
-                here: self.region.clone(),
+                local_region: self.region.clone(),
             }),
             _ => Ok(()),
         }
     }
 
-    /// Calls `read` with every backend server that may get new work for `target` from here,
-    /// ordered by name. `read` must not call back into the table.
-    pub fn read<R>(
+    /// Calls `read` with all backend servers that may get new requests for `target`, ordered by
+    /// name. `read` must not call back into the table.
+    pub fn with_candidates<R>(
         &self,
         target: BackendTarget<'_>,
         read: impl FnOnce(&[BackendView<'_>]) -> R,
     ) -> R {
         let (now, config) = (self.clock.now(), self.config());
-        let rows = self.rows.borrow();
+        let entries = self.entries.borrow();
         let views: Vec<BackendView<'_>> =
-            rows.serving(target).filter_map(|row| row.view(&config, now)).collect();
+            entries.serving(target).filter_map(|entry| entry.view(&config, now)).collect();
         read(&views)
     }
 
-    /// Counts one request of this gateway at `name` until the guard is dropped. `None`: the
-    /// backend server left, fell silent or requested a back-off since it was chosen; choose again.
+    /// Records a dispatch of a request to `name` until the guard is dropped. Returns `None` if the
+    /// backend server has left, expired or requested a back-off since it was selected. The caller
+    /// must then select again.
     pub fn dispatch(
         &self,
         name: &BackendName,
@@ -195,58 +198,61 @@
         prefixes: &[PrefixHash],
     ) -> Option<DispatchGuard> {
         let now = self.clock.now();
-        let mut rows = self.rows.borrow_mut();
-        let row = rows.get_mut(name)?;
-        row.view(&self.config(), now).filter(|view| view.backoff_until.is_none())?;
-        row.cache.dispatched(prefixes, now);
-        let ledger = row.ledger.clone();
-        let id = ledger.borrow_mut().start(now, prefill_tokens);
-        Some(DispatchGuard { ledger, clock: self.clock.clone(), id })
+        let mut entries = self.entries.borrow_mut();
+        let entry = entries.get_mut(name)?;
+        entry.view(&self.config(), now).filter(|view| view.backoff_until.is_none())?;
+        entry.cache.record_dispatch(prefixes, now);
+        let tracker = entry.tracker.clone();
+        let id = tracker.borrow_mut().start(now, prefill_tokens);
+        Some(DispatchGuard { tracker, clock: self.clock.clone(), id })
     }
 
-    /// A dispatch to `name` failed to connect: it is suspect until it reports again.
+    /// Records that a dispatch to `name` failed to connect. The backend server is suspect until its
+    /// next report.
     pub fn note_failure(&self, name: &BackendName) {
-        if let Some(row) = self.rows.borrow_mut().get_mut(name) {
-            row.note_failure(self.clock.now());
+        if let Some(entry) = self.entries.borrow_mut().get_mut(name) {
+            entry.note_failure(self.clock.now());
         }
     }
 
-    /// This run has requested that nothing comes from this gateway before `until`. Whether that is
-    /// later than known; what is known of another run of the name stays as it is.
+    /// Records that this run requested not to get any requests from this gateway before `until`.
+    /// Returns whether this extends the known back-off. Has no effect on other runs of the same
+    /// name.
     pub fn note_backoff(&self, run: &BackendRun, until: MonotonicTime) -> bool {
-        let mut rows = self.rows.borrow_mut();
-        let row = rows.get_mut(&run.backend);
-        let row = row.filter(|row| row.record.status.incarnation == run.incarnation);
-        row.is_some_and(|row| row.note_backoff(until))
+        let mut entries = self.entries.borrow_mut();
+        let entry = entries.get_mut(&run.backend);
+        let entry = entry.filter(|entry| entry.record.status.incarnation == run.incarnation);
+        entry.is_some_and(|entry| entry.note_backoff(until))
     }
 
-    /// The end of the back-off that `name` has requested of this gateway, while it lasts.
+    /// Returns the end of the back-off that `name` has requested of this gateway, if not yet
+    /// passed.
     pub fn backoff_until(&self, name: &BackendName) -> Option<MonotonicTime> {
-        self.rows.borrow().get(name)?.backoff_until(self.clock.now())
+        self.entries.borrow().get(name)?.backoff_until(self.clock.now())
     }
 
-    /// What is known of `name`.
+    /// Returns the health of `name`, if known.
     pub fn health(&self, name: &BackendName) -> Option<BackendHealth> {
         let now = self.clock.now();
-        self.rows.borrow().get(name).map(|row| row.health(&self.config(), now))
+        self.entries.borrow().get(name).map(|entry| entry.health(&self.config(), now))
     }
 
-    /// The record of `name`.
+    /// Returns the record of `name`, if known.
     pub fn record(&self, name: &BackendName) -> Option<BackendRecord> {
-        self.rows.borrow().get(name).map(|row| row.record.clone())
+        self.entries.borrow().get(name).map(|entry| entry.record.clone())
     }
 
-    /// Every backend server remembered, those that left included.
+    /// Returns the names of all backend servers in the table, including those that have left.
     pub fn names(&self) -> Vec<BackendName> {
-        self.rows.borrow().iter().map(|row| row.name().clone()).collect()
+        self.entries.borrow().iter().map(|entry| entry.name().clone()).collect()
     }
 
-    /// How many backend servers are remembered, those that left included.
+    /// Returns the number of backend servers in the table, including those that have left.
     pub fn len(&self) -> usize {
-        self.rows.borrow().len()
+        self.entries.borrow().len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/claim/src/round.rs
+++ b/crates/claim/src/round.rs
@@ -1,4 +1,4 @@
-//! One step put to every replica of a group at once.
+//! Concurrent calls of one protocol step to the replicas of a group.
 
 use {
     crate::{
@@ -15,10 +15,12 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// Replies in the group's order. Replies that come after the round's verdict still land here.
+/// Replies in the group's order. Replies that arrive after the round's verdict are stored here,
+/// too.
 pub(crate) type RoundReplies = Rc<RefCell<Vec<Option<StepReply>>>>;
 
-/// Reaches the replicas of a group: by peer calls, and directly where this process is one.
+/// Calls the replicas of a group: over the peer transport, or directly if the replica belongs to
+/// this process.
 #[derive(Clone)]
 pub(crate) struct ReplicaCaller {
     pub(crate) context: ProcessContext,
@@ -27,8 +29,8 @@
 }
 
 impl ReplicaCaller {
-    /// Sends each member its call, in tasks of their own: a step that is on its way is not taken
-    /// back when the caller hangs up, and late replies are still noted.
+    /// Sends each member its call, in tasks of their own: a step that has been sent is not
+    /// cancelled when the caller disconnects, and late replies are still stored.
     pub(crate) fn start(
         &self,
         group: &ReplicaGroup,
@@ -37,22 +39,23 @@
     ) -> ReplyRound {
         let replies: RoundReplies = Rc::new(RefCell::new(vec![None; group.members.len()]));
         let (sender, arrivals) = unbounded();
-        let mut waiting = 0;
-        for (place, call) in calls.into_iter().enumerate() {
+        let mut pending = 0;
+        for (index, call) in calls.into_iter().enumerate() {
             let Some(call) = call else { continue };
-            waiting += 1;
-            let member = &group.members[place];
+            pending += 1;
+            let member = &group.members[index];
             let own = own.clone().filter(|replica| replica.identity.vm == member.vm);
             let reply = self.ask(member.address, own, call);
             let (replies, sender) = (Rc::clone(&replies), sender.clone());
             self.context.spawner.spawn(Box::pin(async move {
                 let reply = reply.await;
-                replies.borrow_mut()[place] = reply;
-                // The round may be over; the reply is noted above all the same.
+                replies.borrow_mut()[index] = reply;
+                // The receiver may be gone when the round is over; the reply is stored above
+                // regardless.
                 let _over = sender.unbounded_send(());
             }));
         }
-        ReplyRound { replies, arrivals, waiting }
+        ReplyRound { replies, arrivals, pending }
     }
 
     fn ask(
@@ -73,28 +76,28 @@
     }
 }
 
-/// A round under way.
+/// A round of calls in progress.
 pub(crate) struct ReplyRound {
     pub(crate) replies: RoundReplies,
     arrivals: UnboundedReceiver<()>,
-    waiting: usize,
+    pending: usize,
 }
 
 impl ReplyRound {
-    /// Waits until `judge` has a verdict on the replies. Its second argument says that no more
-    /// replies will come; it must decide then.
+    /// Waits until `decide` returns a verdict on the replies. Its second argument is true if no
+    /// more replies will arrive; it must decide then, or the wait ends without a verdict.
     pub(crate) async fn verdict<T>(
         &mut self,
-        judge: impl Fn(&[Option<StepReply>], bool) -> Option<T>,
+        decide: impl Fn(&[Option<StepReply>], bool) -> Option<T>,
     ) -> Option<T> {
         loop {
-            let last = self.waiting == 0;
-            let verdict = judge(&self.replies.borrow(), last);
-            if verdict.is_some() || last {
+            let is_last = self.pending == 0;
+            let verdict = decide(&self.replies.borrow(), is_last);
+            if verdict.is_some() || is_last {
                 return verdict;
             }
             self.arrivals.next().await;
-            self.waiting -= 1;
+            self.pending -= 1;
         }
     }
 }
--- a/crates/control/tests/support/gateways.rs
+++ b/crates/control/tests/support/gateways.rs
@@ -1,9 +1,9 @@
-//! Gateways of several regions that follow a cluster.
+//! Gateways in several regions that follow a cluster.
 
 use {
     super::cluster::{Cluster, address, region, vm},
     gullglade_control::{ConfigReplica, RegionPeers, ReplicaConfig},
-    gullglade_peer::fake::{FakePolicy, MessageFate, MessagePath},
+    gullglade_peer::fake::{FakePolicy, MessageAction, MessagePath},
     gullglade_units::{MonotonicTime, fake::FakeProcess},
     std::{
         cell::{Cell, RefCell},
@@ -14,7 +14,7 @@
     },
 };
 
-/// Links of half a millisecond inside a region and 55 ms between regions. A VM's region is its
+/// Links of half a millisecond within a region and 55 ms between regions. The region of a VM is its
 /// index modulo three.
 pub struct RegionLink {
     near: Duration,
@@ -35,12 +35,12 @@
         })
     }
 
-    /// Cuts a region off from the others.
+    /// Partitions a region from the others.
     pub fn cut(&self, region: usize) {
         self.cut.borrow_mut().insert(region);
     }
 
-    /// Loses everything to and from a process, as if its VM were frozen.
+    /// Drops all messages to and from a process, as if its VM were frozen.
     pub fn freeze(&self, address: SocketAddr) {
         self.frozen.borrow_mut().insert(address);
     }
@@ -56,25 +56,25 @@
 }
 
 impl FakePolicy for RegionLink {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
         self.messages.set(self.messages.get() + 1);
         let frozen = self.frozen.borrow();
         if frozen.contains(&path.from) || frozen.contains(&path.to) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
         let (from, to) = (region_of(path.from), region_of(path.to));
         if from == to {
-            return MessageFate::Deliver(self.near);
+            return MessageAction::Deliver(self.near);
         }
         let cut = self.cut.borrow();
         if cut.contains(&from) || cut.contains(&to) {
-            return MessageFate::Drop;
+            return MessageAction::Drop;
         }
-        MessageFate::Deliver(self.far)
+        MessageAction::Deliver(self.far)
     }
 }
 
-/// The gateways' addresses of one region.
+/// The addresses of the gateways of one region.
 struct FixedPeers(Vec<SocketAddr>);
 
 impl RegionPeers for FixedPeers {
@@ -91,7 +91,7 @@
     pub replica: Rc<ConfigReplica>,
 }
 
-/// The first index of a gateway's VM; control VMs come before.
+/// The VM index of the first gateway; control VMs have lower ones.
 pub const FIRST_GATEWAY: usize = 12;
 
 /// Starts a gateway on VM `index`, one of `count` gateways.
--- a/crates/demo/src/gateway_thread.rs
+++ b/crates/demo/src/gateway_thread.rs
@@ -9,7 +9,7 @@
     gullglade_backend::BackendTarget,
     gullglade_claim::{ClaimSettings, GroupId, ReplicaGroup, ReplicaMember},
     gullglade_document::{ConfigSource, ConfigView, FixedConfig, ServiceDocument},
-    gullglade_node::{GatewayNode, NodeAddresses, NodeSettings, NodeWiring},
+    gullglade_node::{GatewayNode, NodeAddresses, NodeDependencies, NodeSettings},
     gullglade_peer::{LinkShaper, PeerSecret},
     gullglade_units::{
         ClusterName, FailureDomain, Incarnation, ProcessContext, RegionName, VmName, WallMillis,
@@ -163,11 +163,13 @@
         let link = Rc::new(LinkShaper::new());
         let documents: Rc<dyn ConfigSource> =
             Rc::new(FixedConfig::new(parse_documents(&input.documents)?));
-        let wiring =
-            NodeWiring { documents: Rc::clone(&documents), link: Some(Rc::clone(&link) as _) };
+        let dependencies = NodeDependencies {
+            documents: Rc::clone(&documents),
+            link: Some(Rc::clone(&link) as _),
+        };
         let settings = node_settings(&input, &context)?;
-        let node =
-            GatewayNode::start(&settings, context, wiring).map_err(|error| error.to_string())?;
+        let node = GatewayNode::start(&settings, context, dependencies)
+            .map_err(|error| error.to_string())?;
         let addresses = node.addresses();
         Ok((Self { node, documents, region, link }, addresses))
     }
@@ -179,7 +181,7 @@
                 answer(reply, ());
             }
             GatewayCommand::Cut(peers, cut, reply) => {
-                peers.into_iter().for_each(|peer| self.link.set_cut(peer, cut));
+                peers.into_iter().for_each(|peer| self.link.set_partitioned(peer, cut));
                 answer(reply, ());
             }
             GatewayCommand::ShutDown(limit, reply) => {
@@ -226,7 +228,7 @@
             let models = document.models.iter().map(|m| BackendTarget::Model(&m.name));
             let plain = document.plain_services.iter().map(|p| BackendTarget::Service(&p.name));
             for target in models.chain(plain) {
-                count.near += self.node.backends().read(target, |views| views.len());
+                count.near += self.node.backends().with_candidates(target, |views| views.len());
                 let far = self.node.relay().summaries(target);
                 let reachable = far.iter().filter(|region| region.is_reachable);
                 count.far += reachable.map(|region| region.totals.engines as usize).sum::<usize>();
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,61 +1,61 @@
-//! Where work goes, how it waits and when it is turned away.
+//! Request scheduling of one gateway: placement on backend servers, queueing and load shedding.
 //!
-//! Nothing here does I/O, reads a clock or starts a task: the time comes with each call, so the
-//! gateway and the replays of load run the same code. A gateway hands each request to a
-//! [`Scheduler`] as a [`WorkItem`], tells it what it learns ([`WorkOutcome`], [`BackendReport`],
-//! the fleet), and carries out the [`Verdict`]s.
+//! The crate does no I/O, reads no clock and starts no task. Callers pass the time to each method,
+//! so the gateway and the load replays of the tests run the same code. A gateway submits each
+//! request to a [`Scheduler`] as a [`WorkItem`], reports observations ([`WorkOutcome`],
+//! [`BackendReport`], changes of the fleet), and carries out each [`Decision`].
 //!
-//! - [`BackendLoad`] predicts when a backend server would give the first byte.
-//! - [`CacheEstimate`] knows which prompt parts a model engine probably still holds.
-//! - [`HealthRecord`] believes outcomes, and lets a suspect back by trial.
-//! - [`SilentRun`] says when another place is sought beside a run from which nothing comes.
-//! - [`AttemptLedger`] says which backend servers may get a request next.
-//! - [`HandoverDelays`] says how long such a run is kept beside the one that replaces it.
-//! - [`RepeatBudget`] and [`AllowanceShare`] divide what all gateways together may do.
+//! - [`BackendLoad`] predicts the time to first byte at a backend server.
+//! - [`CacheEstimate`] estimates which prompt parts are in the cache of a model engine.
+//! - [`HealthRecord`] detects failing backend servers by passive outlier detection.
+//! - [`SilentRun`] decides when to look for a replacement of a run that produces no output.
+//! - [`AttemptTracker`] limits the backend servers that one request is sent to.
+//! - [`HandoverDelays`] determines how long a run is kept after its replacement was sent.
+//! - [`RepeatBudget`] and [`AllowanceShare`] divide a fleet-wide retry budget among gateways.
 
 mod attempts;
 mod backoff;
 mod budget;
 mod cache;
-mod facts;
-mod fade;
+mod caller_deadline;
+mod decay;
+mod decision;
+mod deployment;
 mod handover;
 mod health;
 mod hint;
 mod limit;
 mod load;
-mod patience;
+mod membership;
+mod prefill;
+mod priority;
 mod rate;
 mod regions;
-mod roster;
 mod scheduler;
 mod share;
 mod silence;
 mod stall;
 mod statement;
-mod unread;
-mod urgency;
-mod verdict;
 mod work;
 
 pub use {
-    attempts::{AttemptLedger, NextTarget, UsedBackend},
+    attempts::{AttemptTracker, NextTarget, UsedBackend},
     backoff::{InvalidBackoff, StatedBackoff},
     budget::{RepeatArrival, RepeatBudget, RepeatDecision},
     cache::CacheEstimate,
-    facts::{BackendFacts, SchedulerSettings},
+    caller_deadline::deadline_for_first_byte,
+    decision::{Decision, PromptCopy, RefusalDetails},
+    deployment::{BackendInfo, SchedulerSettings},
     handover::{HandoverDelays, HandoverTimes},
     health::HealthRecord,
-    hint::{BackendHint, LimitNews, RequestNews},
+    hint::{BackendHint, LimitUpdate, RequestUpdate},
     limit::{InvalidLimit, StatedLimit},
     load::{BackendLoad, BackendReport, SentRequest, WorkCost},
-    patience::begin_deadline,
-    regions::{FirstByteTimes, RegionFacts},
+    regions::{FirstByteTimes, RegionInfo},
     scheduler::{STALL_CHECK_INTERVAL, Scheduler},
     share::AllowanceShare,
-    silence::{SilenceStep, SilentRun},
-    stall::StallWatch,
+    silence::{SilenceAction, SilentRun},
+    stall::StallDetector,
     statement::{BackendStatements, StatementChange},
-    verdict::{PromptCopy, RefusalFacts, Verdict},
     work::{PromptPart, PromptShape, RefusalReason, TicketId, WorkItem, WorkOutcome},
 };
--- a/crates/fleet/examples/sync_bytes.rs
+++ b/crates/fleet/examples/sync_bytes.rs
@@ -1,13 +1,12 @@
-//! The bytes that gateways and control processes exchange to follow the fleet.
-//!
-//! Prints encoded sizes of the messages, without the framing of sessions.
+//! Prints the encoded sizes of the messages between gateways and control processes, without the
+//! framing of sessions.
 
 use {
     gullglade_fleet::{
-        BackendRecord, BackendStanding, GatewayPhase, GatewayProfile, GatewayPulse, RegionOffer,
-        ServiceOffer, ServingState, SyncReply, SyncRequest,
+        BackendObservation, BackendRecord, GatewayAnnouncement, GatewayPhase, GatewayProfile,
+        RegionOffer, ServiceOffer, ServingState, SyncReply, SyncRequest,
     },
-    gullglade_poison::CrashNews,
+    gullglade_poison::CrashUpdate,
     gullglade_units::{
         BackendName, FailureDomain, Incarnation, NameError, RegionName, ServiceName, VmName, encode,
     },
@@ -33,11 +32,11 @@
         peer_address: address,
     };
     let request = |services| SyncRequest {
-        pulse: GatewayPulse { profile: profile.clone(), phase: GatewayPhase::Ready },
+        pulse: GatewayAnnouncement { profile: profile.clone(), phase: GatewayPhase::Ready },
         offers: vec![offer.clone(); services],
         run: u64::MAX,
         cursor: 100_000,
-        crashes: CrashNews::default(),
+        crashes: CrashUpdate::default(),
         crash_cursor: 0,
         traffic_index: 100_000,
         version: Some(100_000),
@@ -54,15 +53,15 @@
         incarnation: Incarnation(1_764_720_000_000),
         sequence: 100_000,
     };
-    let standing = BackendStanding { record, is_silent: false, is_recalled: false };
+    let observation = BackendObservation { record, is_silent: false, is_recalled: false };
     let reply = |backends, regions| SyncReply {
         run: u64::MAX,
         cursor: 100_000,
-        backends: vec![standing.clone(); backends],
+        backends: vec![observation.clone(); backends],
         departed: Vec::new(),
         gateways: Vec::new(),
         gateway_total: 370,
-        crashes: CrashNews::default(),
+        crashes: CrashUpdate::default(),
         regions: vec![RegionOffer { region: region.clone(), offer: offer.clone() }; regions],
         traffic: None,
         confirmed_ago: Some(Duration::from_millis(80)),
@@ -70,18 +69,15 @@
         controls: vec![address; 5],
     };
     let bytes = |message: Vec<u8>| message.len();
-    println!("request, no offer: {}", bytes(encode(&request(0))));
+    println!("request without offers: {}", bytes(encode(&request(0))));
+    println!("request, per offer: {}", bytes(encode(&request(1))) - bytes(encode(&request(0))));
+    println!("reply without changes: {}", bytes(encode(&reply(0, 0))));
     println!(
-        "request, each offer more: {}",
-        bytes(encode(&request(1))) - bytes(encode(&request(0)))
-    );
-    println!("reply without news: {}", bytes(encode(&reply(0, 0))));
-    println!(
-        "reply, each offer of a region more: {}",
+        "reply, per offer of a region: {}",
         bytes(encode(&reply(0, 1))) - bytes(encode(&reply(0, 0)))
     );
     println!(
-        "reply, each backend server more: {}",
+        "reply, per backend server: {}",
         bytes(encode(&reply(1, 0))) - bytes(encode(&reply(0, 0)))
     );
     Ok(())
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,17 +1,18 @@
-//! One attempt: a request at one backend server or at one gateway of another region.
+//! One attempt to run a request, at a backend server of this region or at a gateway of another
+//! region.
 
 use {
     crate::{
+        attempt_guard::AttemptGuard,
         call::{CallPlan, ContentHeader},
         forward::{FORWARD_METHOD, ForwardReply, ForwardRequest},
         gateway::Gateway,
-        work::WorkGuard,
     },
     bytes::Bytes,
     futures::StreamExt,
     gullglade_backend::BackendView,
     gullglade_document::Priority,
-    gullglade_event::{EventDraft, Promise},
+    gullglade_event::{EventDraft, Invariant},
     gullglade_http::{
         BodyError, ClientError, ClientReply, FreshConnection, HeadTimeout, LocalStream, RunState,
         send_unless_revoked, strip_hop_by_hop,
@@ -25,75 +26,77 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Carries the request's id to the backend server, and back in its reply.
+/// Header with the id of the request, set on the request to the backend server and on its reply.
 pub(crate) const REQUEST_HEADER: HeaderName = HeaderName::from_static("gullglade-request");
 
-/// The same under the name that common engines take for the id of their answer.
+/// Header with the same id under the name from which common inference engines take the id of their
+/// answer.
 const ENGINE_REQUEST_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The token at which the answer is to begin.
+/// Header with the index of the first token that the answer is to contain.
 pub(crate) const OFFSET_HEADER: HeaderName = HeaderName::from_static("gullglade-resume-offset");
 
-/// How urgent the request is.
+/// Header with the priority of the request.
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("gullglade-priority");
 
-/// An answer that has begun.
+/// An answer whose head has been received.
 pub(crate) struct AttemptAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: Vec<ContentHeader>,
     pub(crate) body: LocalStream,
     pub(crate) backend: BackendName,
     pub(crate) region: RegionName,
-    /// `NotRun` only where the backend server itself says so of a request it found faulty.
+    /// `NotRun` only if the backend server states that it rejected the request as invalid without
+    /// running it.
     pub(crate) run: RunState,
-    pub(crate) work: WorkGuard,
+    pub(crate) guard: AttemptGuard,
 }
 
-/// Who gives an answer.
+/// The backend server and region that an answer comes from.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerPlace {
+pub(crate) struct AnswerSource {
     pub(crate) backend: BackendName,
     pub(crate) region: RegionName,
 }
 
 impl AttemptAnswer {
-    /// Who gives it.
-    pub(crate) fn place(&self) -> AnswerPlace {
-        AnswerPlace { backend: self.backend.clone(), region: self.region.clone() }
+    /// Returns the backend server and region that the answer comes from.
+    pub(crate) fn source(&self) -> AnswerSource {
+        AnswerSource { backend: self.backend.clone(), region: self.region.clone() }
     }
 }
 
-/// Why an attempt has no answer.
+/// The reason why an attempt produced no answer.
 #[derive(Debug)]
 pub(crate) enum AttemptFailure {
-    /// Certainly not run: another attempt is safe.
+    /// The request certainly did not run; another attempt is safe.
     NotRun {
-        /// For the event and, where nothing else is left, for the caller.
+        /// Reason for the event, and for the caller if no further attempt is made.
         reason: String,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// For the event.
+        /// Reason for the event.
         reason: String,
     },
 }
 
 impl AttemptFailure {
-    /// Whether the request was certainly not run.
+    /// Returns whether the request certainly did not run.
     pub(crate) fn is_not_run(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
 }
 
-/// Where a local attempt goes, copied out of the table.
+/// The backend server that a local attempt is sent to, copied from the backend table.
 #[derive(Debug, Clone)]
-pub(crate) struct BackendPlace {
+pub(crate) struct SelectedBackend {
     pub(crate) run: BackendRun,
     pub(crate) address: SocketAddr,
     pub(crate) prefill_tokens: u64,
 }
 
-impl BackendPlace {
+impl SelectedBackend {
     pub(crate) fn new(view: &BackendView<'_>, prefill_tokens: u64) -> Self {
         let run = BackendRun { backend: view.name.clone(), incarnation: view.incarnation };
         Self { run, address: view.address, prefill_tokens }
@@ -109,27 +112,30 @@
     pub(crate) async fn attempt_local(
         &self,
         plan: &CallPlan,
-        place: &BackendPlace,
-        mut work: WorkGuard,
+        selected: &SelectedBackend,
+        mut guard: AttemptGuard,
     ) -> Result<AttemptAnswer, AttemptFailure> {
         let blocks = &plan.prompt.blocks;
-        let Some(guard) = self.backends.dispatch(place.name(), place.prefill_tokens, blocks) else {
+        let Some(dispatch_guard) =
+            self.backends.dispatch(selected.name(), selected.prefill_tokens, blocks)
+        else {
             return Err(not_run(
-                "the backend server took no more requests before this one was sent",
+                "the backend server stopped accepting requests before this one was sent",
             ));
         };
-        work.dispatch = Some(guard);
-        work.cost = Some(self.cost_meter(plan));
-        self.emit(plan, "request.dispatched", |e| e.field("backend", place.name()));
+        guard.dispatch = Some(dispatch_guard);
+        guard.engine_time = Some(self.engine_time_meter(plan));
+        self.emit(plan, "request.dispatched", |e| e.field("backend", selected.name()));
         let mut request = self.backend_request(plan)?;
-        let mut open = self.open_sends.begin(&place.run);
-        request.extensions_mut().insert(open.permit.clone());
-        let sent = send_unless_revoked(&*self.client, place.address, request, &mut open.revoked);
-        let reply = sent.await.map_err(|e| self.failed_send(place, &e))?;
-        drop(open);
-        self.note_statements(place, &reply.head);
-        self.check_reply(plan, place, &reply)?;
-        let run = match stated_run(&reply.head.headers) {
+        let mut pending = self.pending_sends.begin(&selected.run);
+        request.extensions_mut().insert(pending.permit.clone());
+        let sent =
+            send_unless_revoked(&*self.client, selected.address, request, &mut pending.revoked);
+        let reply = sent.await.map_err(|e| self.send_failure(selected, &e))?;
+        drop(pending);
+        self.apply_statements(selected, &reply.head);
+        self.check_reply(plan, selected, &reply)?;
+        let run = match reported_run_state(&reply.head.headers) {
             Some(RunState::NotRun) => RunState::NotRun,
             _ => RunState::Run,
         };
@@ -137,18 +143,21 @@
             status: reply.head.status,
             headers: content_headers(reply.head.headers),
             body: reply.body.into_stream(),
-            backend: place.name().clone(),
+            backend: selected.name().clone(),
             region: self.config.region.clone(),
             run,
-            work,
+            guard,
         })
     }
 
     fn backend_request(&self, plan: &CallPlan) -> Result<Request<Bytes>, AttemptFailure> {
         let mut request = Request::new(plan.content.body.clone());
         *request.method_mut() = plan.content.method.clone();
-        *request.uri_mut() =
-            plan.content.path.parse().map_err(|_| not_run("the path is not a URI"))?;
+        *request.uri_mut() = plan
+            .content
+            .path
+            .parse()
+            .map_err(|_| not_run("the request path is not a valid URI"))?;
         let headers = request.headers_mut();
         for header in &plan.content.headers {
             if let (Ok(name), Ok(value)) =
@@ -160,55 +169,60 @@
         let id = id_value(plan.id);
         headers.insert(REQUEST_HEADER, id.clone());
         headers.insert(ENGINE_REQUEST_HEADER, id);
-        headers.insert(PRIORITY_HEADER, HeaderValue::from(priority_number(plan)));
+        headers.insert(PRIORITY_HEADER, HeaderValue::from(engine_priority(plan)));
         if plan.offset > 0 {
             headers.insert(OFFSET_HEADER, HeaderValue::from(plan.offset));
         }
         let remaining = self.remaining(plan);
         request.extensions_mut().insert(HeadTimeout(remaining));
-        if !plan.is_repeatable() {
+        if !plan.is_idempotent() {
             request.extensions_mut().insert(FreshConnection);
         }
         Ok(request)
     }
 
-    fn failed_send(&self, place: &BackendPlace, error: &ClientError) -> AttemptFailure {
+    fn send_failure(&self, selected: &SelectedBackend, error: &ClientError) -> AttemptFailure {
         if let ClientError::Revoked { .. } = error {
-            return not_run("the backend server wanted nothing more before this one was sent");
+            return not_run(
+                "the backend server asked for no more requests before this one was sent",
+            );
         }
-        self.backends.note_failure(place.name());
+        self.backends.note_failure(selected.name());
         self.events.emit(
-            EventDraft::new("backend.failed").field("backend", place.name()).error("reason", error),
+            EventDraft::new("backend.failed")
+                .field("backend", selected.name())
+                .error("reason", error),
         );
-        let reason = format!("backend server {} did not answer", place.name());
+        let reason = format!("backend server {} did not answer", selected.name());
         match error.nothing_sent() {
             true => AttemptFailure::NotRun { reason },
             false => AttemptFailure::Unknown { reason },
         }
     }
 
-    /// Sorts out replies that are no answers: a backend server's proved refusal, another request's
-    /// answer, and failures of the backend server where another may do better.
+    /// Rejects replies that are no answer to the request: a refusal that states that the request
+    /// did not run, the answer to another request, and a server error where another backend server
+    /// can be tried.
     fn check_reply(
         &self,
         plan: &CallPlan,
-        place: &BackendPlace,
+        selected: &SelectedBackend,
         reply: &ClientReply,
     ) -> Result<(), AttemptFailure> {
         let headers = &reply.head.headers;
         if headers.get(REQUEST_HEADER).is_some_and(|id| *id != id_value(plan.id)) {
-            self.metrics.breached(Promise::OwnAnswer);
-            self.emit(plan, "answer.swapped", |e| e.field("backend", place.name()));
-            return Err(unknown("the backend server answered another request"));
+            self.metrics.record_violation(Invariant::OwnAnswer);
+            self.emit(plan, "answer.swapped", |e| e.field("backend", selected.name()));
+            return Err(unknown("the backend server sent the answer to another request"));
         }
         let status = reply.head.status;
         let refused =
             status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
-        if refused && stated_run(headers) == Some(RunState::NotRun) {
+        if refused && reported_run_state(headers) == Some(RunState::NotRun) {
             return Err(not_run("the backend server refused the request"));
         }
-        if status.is_server_error() && plan.is_repeatable() {
-            return Err(unknown("the backend server failed"));
+        if status.is_server_error() && plan.is_idempotent() {
+            return Err(unknown("the backend server replied with a server error"));
         }
         Ok(())
     }
@@ -220,11 +234,11 @@
         region: &RegionName,
     ) -> Result<AttemptAnswer, AttemptFailure> {
         let message = Bytes::from(encode(&self.forward_request(plan)));
-        for address in self.directory.gateways(region) {
+        for address in self.directory.gateway_addresses(region) {
             let opened = self.transport.open(address, FORWARD_METHOD, message.clone()).await;
             match opened {
                 Ok(stream) => return self.forward_answer(plan, region, address, stream).await,
-                Err(error) => match self.failed_forward(address, &error) {
+                Err(error) => match self.forward_failure(address, &error) {
                     AttemptFailure::NotRun { .. } => {}
                     failure => return Err(failure),
                 },
@@ -246,7 +260,7 @@
             headers: plan.content.headers.clone(),
             body: plan.content.body.to_vec(),
             streamed: plan.content.streamed,
-            repeatable: plan.is_repeatable(),
+            repeatable: plan.is_idempotent(),
             remaining_millis: u64::try_from(self.remaining(plan).as_millis()).unwrap_or(u64::MAX),
             offset: plan.offset,
             prompt_tokens: plan.prompt.tokens,
@@ -255,13 +269,13 @@
         }
     }
 
-    fn failed_forward(&self, address: SocketAddr, error: &PeerError) -> AttemptFailure {
+    fn forward_failure(&self, address: SocketAddr, error: &PeerError) -> AttemptFailure {
         self.directory.note_failure(address);
         self.events
             .emit(EventDraft::new("forward.failed").field("peer", address).error("reason", error));
         match error.nothing_sent() {
             true => not_run("the gateway of the other region cannot be reached"),
-            false => unknown("the link to the other region broke"),
+            false => unknown("the connection to the other region was lost"),
         }
     }
 
@@ -275,36 +289,39 @@
         let first = timeout(&*self.context.clock, self.remaining(plan), stream.next()).await;
         let first = match first {
             Some(Some(Ok(bytes))) => bytes,
-            Some(Some(Err(error))) => return Err(self.failed_forward(address, &error)),
-            Some(None) => return Err(unknown("the other region's answer has no head")),
+            Some(Some(Err(error))) => return Err(self.forward_failure(address, &error)),
+            Some(None) => return Err(unknown("the other region's answer ended before its head")),
             None => return Err(unknown("the other region did not answer in time")),
         };
         let reply = decode::<ForwardReply>(&first)
-            .map_err(|_| unknown("the other region's answer does not decode"))?;
+            .map_err(|_| unknown("the other region's answer could not be decoded"))?;
         match reply {
             ForwardReply::Answer { id, status, headers, backend, ran } if id == plan.id => {
                 Ok(AttemptAnswer {
-                    status: StatusCode::from_u16(status)
-                        .map_err(|_| unknown("the other region's status is not one"))?,
+                    status: StatusCode::from_u16(status).map_err(|_| {
+                        unknown("the other region's answer has an invalid status code")
+                    })?,
                     headers,
-                    body: Box::pin(stream.map(|item| item.map_err(broken_forward))),
+                    body: Box::pin(stream.map(|item| item.map_err(incomplete_forward))),
                     backend,
                     region: region.clone(),
                     run: if ran { RunState::Run } else { RunState::NotRun },
-                    work: WorkGuard::default(),
+                    guard: AttemptGuard::default(),
                 })
             }
             ForwardReply::Answer { .. } => {
-                self.metrics.breached(Promise::OwnAnswer);
+                self.metrics.record_violation(Invariant::OwnAnswer);
                 self.emit(plan, "answer.swapped", |e| e.field("region", region));
-                Err(unknown("the other region answered another request"))
+                Err(unknown("the other region sent the answer to another request"))
             }
             ForwardReply::NotRun { reason, .. } => Err(AttemptFailure::NotRun { reason }),
-            ForwardReply::Unknown => Err(unknown("the other region lost the answer")),
+            ForwardReply::Unknown => {
+                Err(unknown("the other region lost the answer of a request that may have run"))
+            }
         }
     }
 
-    /// Time until the caller has no use for an answer any more.
+    /// Returns the time left until the deadline of the request.
     pub(crate) fn remaining(&self, plan: &CallPlan) -> Duration {
         plan.deadline.since(self.context.clock.now())
     }
@@ -318,7 +335,7 @@
     AttemptFailure::Unknown { reason: reason.to_owned() }
 }
 
-fn broken_forward(error: PeerError) -> BodyError {
+fn incomplete_forward(error: PeerError) -> BodyError {
     BodyError::Incomplete { reason: error.to_string() }
 }
 
@@ -326,13 +343,13 @@
     HeaderValue::try_from(id.to_string()).expect("a UUID's text is visible ASCII")
 }
 
-/// What a backend server says of whether the request ran.
-pub(crate) fn stated_run(headers: &HeaderMap) -> Option<RunState> {
+/// Returns the run state that the headers of a backend server report.
+pub(crate) fn reported_run_state(headers: &HeaderMap) -> Option<RunState> {
     headers.get(RunState::HEADER).and_then(RunState::from_value)
 }
 
-/// The priority as engines take it: a whole number, the higher the more urgent.
-fn priority_number(plan: &CallPlan) -> i32 {
+/// Returns the priority as inference engines expect it: an integer, higher is more urgent.
+fn engine_priority(plan: &CallPlan) -> i32 {
     match plan.priority {
         Priority::High => 1,
         Priority::Normal => 0,
@@ -340,7 +357,8 @@
     }
 }
 
-/// The headers of a message that go with its content to the next hop. Tokens stay here.
+/// Returns the end-to-end headers that are passed to the next hop with the content. Credentials,
+/// hop-by-hop headers and the gateway's own headers are removed.
 pub(crate) fn content_headers(mut headers: HeaderMap) -> Vec<ContentHeader> {
     strip_hop_by_hop(&mut headers);
     for name in [AUTHORIZATION, HOST, CONTENT_LENGTH, REQUEST_HEADER, RunState::HEADER] {
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,18 +1,18 @@
-//! From what this gateway knows to a decision: the rows that the policy reads are filled here.
+//! Builds the inputs of the routing policy from the state of this gateway and applies its decision.
 
 use {
     crate::{
-        attempt::BackendPlace,
+        attempt::SelectedBackend,
         call::CallPlan,
-        directory::RegionRow,
+        directory::RegionStatus,
         gateway::Gateway,
-        place::{AttemptHistory, admission_priority},
+        placement::{AttemptHistory, admission_priority},
     },
     gullglade_admission::PoolLimits,
     gullglade_backend::{BackendKind, BackendTarget, BackendView, PrefixHash},
     gullglade_document::ServiceTarget,
     gullglade_route::{
-        BackendRole, Candidate, EngineCapacity, GladeSettings, HealthState, LoadReport, OwnLoad,
+        BackendRole, Candidate, EngineCapacity, HealthState, LatencySettings, LoadReport, OwnLoad,
         RefuseReason, RegionOffer, Residency, RouteDecision, RoutePolicy, RouteRequest,
         RouteWeights, permit_capacity,
     },
@@ -20,15 +20,16 @@
     std::time::Duration,
 };
 
-/// Prompt tokens a second of a backend server that states none (a plain service).
+/// Prefill rate, in tokens per second, assumed for a backend server that states none (a plain
+/// service).
 const DEFAULT_PREFILL_RATE: f64 = 10_000.0;
 
-/// A decision, copied out of the borrowed rows.
+/// A routing decision with owned values.
 pub(crate) enum Placement {
-    Local(BackendPlace),
-    Away(RegionName),
+    Local(SelectedBackend),
+    Remote(RegionName),
     Wait(Duration),
-    /// Every backend server that may take it has requested a back-off, the first until then.
+    /// Every eligible backend server has requested a back-off; the earliest ends at this time.
     Backoff(MonotonicTime),
     Refuse(RefuseReason, Duration),
 }
@@ -40,23 +41,24 @@
         history: &AttemptHistory,
         queue_wait: Duration,
     ) -> Placement {
-        let rows = self.directory.offers(&plan.target);
-        let offers: Vec<RegionOffer<'_>> = rows
+        let statuses = self.directory.region_statuses(&plan.target);
+        let offers: Vec<RegionOffer<'_>> = statuses
             .iter()
-            .filter(|row| !history.failed_regions.contains(&row.region))
+            .filter(|status| !history.failed_regions.contains(&status.region))
             .map(region_offer)
             .collect();
         let regions = plan.regions();
         let model = target_model(&plan.target);
         let request = self.route_request(plan, &regions, model, queue_wait);
         let policy = self.policy(plan);
-        self.backends.read(backend_target(&plan.target), |views| {
+        self.backends.with_candidates(backend_target(&plan.target), |views| {
             let retired = &plan.document.backends.retired;
             let admitted = || views.iter().filter(|view| !retired.contains(view.name));
             let allowed = || admitted().filter(|view| view.backoff_until.is_none());
             let mut usable: Vec<&BackendView<'_>> =
                 allowed().filter(|view| !history.failed_backends.contains(view.name)).collect();
-            // Where all have failed once, another try at one of them is better than none.
+            // If every backend server has failed this request and no region is offered, retry one
+            // of them.
             if usable.is_empty() && offers.is_empty() {
                 usable = allowed().collect();
             }
@@ -67,13 +69,14 @@
                 RouteDecision::Local { backend } => {
                     let cached = u64::from(candidates[backend].cached_tokens);
                     let prefill = plan.prompt.tokens.saturating_sub(cached);
-                    Placement::Local(BackendPlace::new(usable[backend], prefill))
+                    Placement::Local(SelectedBackend::new(usable[backend], prefill))
                 }
-                RouteDecision::Away { offer } => Placement::Away(offers[offer].region.clone()),
+                RouteDecision::Forward { offer } => Placement::Remote(offers[offer].region.clone()),
                 RouteDecision::Wait { at_most } => Placement::Wait(at_most),
                 RouteDecision::Refuse { reason, retry_after } => {
-                    let first_end = admitted().filter_map(|view| view.backoff_until).min();
-                    match first_end.filter(|_| reason == RefuseReason::NoBackend) {
+                    let earliest_backoff_end =
+                        admitted().filter_map(|view| view.backoff_until).min();
+                    match earliest_backoff_end.filter(|_| reason == RefuseReason::NoBackend) {
                         Some(until) => Placement::Backoff(until),
                         None => Placement::Refuse(reason, retry_after),
                     }
@@ -93,21 +96,21 @@
         let weight = plan.document.latency_weight;
         RouteRequest {
             now,
-            here: &self.config.region,
+            local_region: &self.config.region,
             origin: plan.origin.as_ref(),
             residency: Residency::Only(regions),
             home: plan.home.as_ref(),
             stale_config: self.documents.may_be_stale(),
             model,
             role: if model.is_some() { BackendRole::Generate } else { BackendRole::Service },
-            prompt_tokens: clamp_u32(plan.prompt.tokens),
-            hold: self.average_hold(&plan.target),
+            prompt_tokens: saturating_u32(plan.prompt.tokens),
+            holding_time: self.average_holding_time(&plan.target),
             target: plan.document.target.first_token,
             deadline: Some(self.remaining(plan)),
             waited: now.since(plan.received),
             queue_wait,
             within_share: !self.is_over_share(plan),
-            weights: RouteWeights { latency: weight, away: 1.0 - weight },
+            weights: RouteWeights { latency: weight, forwarding: 1.0 - weight },
         }
     }
 
@@ -116,17 +119,18 @@
         self.admission.is_over_share(&queue, &plan.workspace, admission_priority(plan))
     }
 
-    /// States how many requests this gateway may have running for `target`.
+    /// Updates the number of requests that this gateway may run concurrently for `target`.
     pub(crate) fn refresh_capacity(&self, target: &ServiceTarget) {
         let model = target_model(target);
-        let gateways = self.directory.members();
-        let GladeSettings { overcommit, reserve, .. } = GladeSettings::default();
-        let capacity = self.backends.read(backend_target(target), |views| {
-            // What one server cannot take for now must not be let through to the others. Where
-            // none takes anything, requests wait for the first that does.
-            let has_open = views.iter().any(|view| view.backoff_until.is_none());
-            let open = views.iter().filter(|view| !has_open || view.backoff_until.is_none());
-            let candidates: Vec<_> = open.map(|view| candidate(view, &[], model)).collect();
+        let gateways = self.directory.gateway_count();
+        let LatencySettings { overcommit, reserve, .. } = LatencySettings::default();
+        let capacity = self.backends.with_candidates(backend_target(target), |views| {
+            // Capacity of a backend server in back-off must not be used to admit requests to the
+            // others. If all are in back-off, requests wait for the first one to become available.
+            let has_available = views.iter().any(|view| view.backoff_until.is_none());
+            let available =
+                views.iter().filter(|view| !has_available || view.backoff_until.is_none());
+            let candidates: Vec<_> = available.map(|view| candidate(view, &[], model)).collect();
             permit_capacity(&candidates, overcommit, reserve, gateways)
         });
         let limits = PoolLimits { permits: capacity.permits, over_share: capacity.over_share };
@@ -148,18 +152,18 @@
     }
 }
 
-fn region_offer(row: &RegionRow) -> RegionOffer<'_> {
+fn region_offer(status: &RegionStatus) -> RegionOffer<'_> {
     RegionOffer {
-        region: &row.region,
-        reachable: row.reachable,
-        link: row.link,
-        slots: row.slots,
-        free_slots: row.free_slots,
-        prefill_tokens: row.prefill_tokens,
-        prefill_rate: row.prefill_rate,
-        age: row.age,
-        since_return: row.since_return,
-        share: row.share,
+        region: &status.region,
+        reachable: status.reachable,
+        link: status.link,
+        slots: status.slots,
+        free_slots: status.free_slots,
+        prefill_tokens: status.prefill_tokens,
+        prefill_rate: status.prefill_rate,
+        age: status.age,
+        since_return: status.since_return,
+        share: status.share,
     }
 }
 
@@ -186,14 +190,14 @@
         capacity: EngineCapacity { slots: view.capacity.slots, prefill_rate: rate },
         report: LoadReport {
             active: view.load.running.saturating_add(view.load.waiting),
-            prefill_tokens: clamp_u32(view.load.queued_prefill_tokens),
+            prefill_tokens: saturating_u32(view.load.queued_prefill_tokens),
             age: view.load_age,
         },
         own: OwnLoad {
             active: own.active,
             active_at_report: own.active_at_report,
-            prefill_tokens: clamp_u32(own.prefill_tokens),
-            prefill_tokens_at_report: clamp_u32(own.prefill_tokens_at_report),
+            prefill_tokens: saturating_u32(own.prefill_tokens),
+            prefill_tokens_at_report: saturating_u32(own.prefill_tokens_at_report),
         },
         cached_tokens: view.expected_cached_tokens(blocks),
         link: Duration::ZERO,
@@ -201,6 +205,6 @@
     }
 }
 
-pub(crate) fn clamp_u32(value: u64) -> u32 {
+pub(crate) fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,23 +1,24 @@
-//! The gateway: its parts, its paths, and what every module of this crate shares.
+//! The gateway: its dependencies, its HTTP routes, and the state that all modules of this crate
+//! share.
 
 use {
     crate::{
+        attempt_guard::{CapacitySignal, HoldingTimes},
         call::CallPlan,
         config::GatewayConfig,
         directory::RegionDirectory,
         memory::MemoryBudget,
-        open_sends::OpenSends,
+        pending_sends::PendingSends,
         refusal,
-        work::{ChangeSignal, HoldTable},
     },
     gullglade_admission::{AdmissionQueue, RetryBudget, RetrySettings},
     gullglade_backend::{BackendRelay, BackendTable},
-    gullglade_claim::ClaimKeeper,
+    gullglade_claim::ClaimCoordinator,
     gullglade_document::{ConfigSource, ServiceDocument, ServiceTarget},
     gullglade_event::{EventDraft, EventSink, MetricSet},
     gullglade_http::{ApiError, HttpClient, ReplyBody, RequestBody, RequestHandler},
     gullglade_peer::PeerTransport,
-    gullglade_route::{AwaySettings, CheckedPolicy, GladePolicy, GladeSettings},
+    gullglade_route::{CheckedPolicy, ForwardingSettings, LatencyPolicy, LatencySettings},
     gullglade_units::{LocalFuture, ModelName, ProcessContext, ServiceName},
     http::{Method, Request, Response},
     std::{
@@ -29,40 +30,40 @@
     },
 };
 
-/// What a gateway is made of. Each is a seam at which a test can put a fake.
-pub struct GatewayParts {
-    /// Time, randomness and tasks.
+/// Dependencies of a gateway. Tests substitute fakes for them.
+pub struct GatewayDependencies {
+    /// Clock, random number generator and task spawner.
     pub context: ProcessContext,
     /// The configuration in force.
     pub documents: Rc<dyn ConfigSource>,
     /// Backend servers of this region.
     pub backends: Rc<BackendTable>,
-    /// Tells the region's other gateways what backend servers announce.
+    /// Distributes backend server announcements to the other gateways of this region.
     pub relay: BackendRelay,
-    /// Other gateways and regions.
+    /// Lookup of other gateways and regions.
     pub directory: Rc<dyn RegionDirectory>,
-    /// Claims on keys.
-    pub claims: Rc<dyn ClaimKeeper>,
-    /// Lets requests in.
+    /// Coordinates claims on idempotency keys.
+    pub claims: Rc<dyn ClaimCoordinator>,
+    /// Admission queue for local slots.
     pub admission: AdmissionQueue,
-    /// Calls backend servers.
+    /// HTTP client for backend servers.
     pub client: Rc<dyn HttpClient>,
-    /// Calls other gateways.
+    /// Transport for calls to other gateways.
     pub transport: Rc<dyn PeerTransport>,
-    /// The time line.
+    /// Sink for timeline events.
     pub events: Rc<dyn EventSink>,
     /// Metrics.
     pub metrics: Rc<MetricSet>,
 }
 
-/// One gateway. Serves callers as a [`RequestHandler`] and other gateways as a `PeerHandler` for
-/// the prefix `forward`.
+/// A gateway. Serves callers as a [`RequestHandler`] and other gateways as a `PeerHandler` for the
+/// method prefix `forward`.
 #[derive(Clone)]
 pub struct Gateway {
     shared: Rc<GatewayShared>,
 }
 
-/// The state that all requests of a gateway share.
+/// State shared by all requests of a gateway.
 pub struct GatewayShared {
     pub(crate) config: GatewayConfig,
     pub(crate) context: ProcessContext,
@@ -70,15 +71,15 @@
     pub(crate) backends: Rc<BackendTable>,
     pub(crate) relay: BackendRelay,
     pub(crate) directory: Rc<dyn RegionDirectory>,
-    pub(crate) claims: Rc<dyn ClaimKeeper>,
+    pub(crate) claims: Rc<dyn ClaimCoordinator>,
     pub(crate) admission: AdmissionQueue,
     pub(crate) client: Rc<dyn HttpClient>,
     pub(crate) transport: Rc<dyn PeerTransport>,
     pub(crate) events: Rc<dyn EventSink>,
     pub(crate) metrics: Rc<MetricSet>,
-    pub(crate) holds: Rc<HoldTable>,
-    pub(crate) changes: Rc<ChangeSignal>,
-    pub(crate) open_sends: Rc<OpenSends>,
+    pub(crate) holding_times: Rc<HoldingTimes>,
+    pub(crate) capacity_signal: Rc<CapacitySignal>,
+    pub(crate) pending_sends: Rc<PendingSends>,
     draining: Cell<bool>,
     policies: RefCell<HashMap<PolicyKey, PolicyEntry>>,
     budgets: RefCell<HashMap<ServiceName, BudgetEntry>>,
@@ -87,24 +88,24 @@
 
 type PolicyKey = (ServiceName, ServiceTarget);
 
-/// A policy and the document's cap that it was made for.
+/// A routing policy and the document's limit on the forwarded share that it was created with.
 struct PolicyEntry {
     cap: f64,
-    policy: Rc<CheckedPolicy<GladePolicy>>,
+    policy: Rc<CheckedPolicy<LatencyPolicy>>,
 }
 
-/// A retry budget and the document's share that it was made for.
+/// A retry budget and the document's retry share that it was created with.
 struct BudgetEntry {
     ratio: f64,
     budget: Rc<RetryBudget>,
 }
 
-/// What a gateway carries now.
+/// Current load and state of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub open_requests: u64,
-    /// Whether it refuses new ones.
+    /// Set while the gateway refuses new requests.
     pub draining: bool,
 }
 
@@ -117,39 +118,40 @@
 }
 
 impl Gateway {
-    /// A gateway of these parts.
-    pub fn new(config: GatewayConfig, parts: GatewayParts) -> Self {
+    /// Creates a gateway from its configuration and dependencies.
+    pub fn new(config: GatewayConfig, dependencies: GatewayDependencies) -> Self {
         let shared = GatewayShared {
-            context: parts.context,
-            documents: parts.documents,
-            backends: parts.backends,
-            relay: parts.relay,
-            directory: parts.directory,
-            claims: parts.claims,
-            admission: parts.admission,
-            client: parts.client,
-            transport: parts.transport,
-            events: parts.events,
-            metrics: parts.metrics,
-            holds: Rc::default(),
-            changes: Rc::default(),
-            open_sends: Rc::default(),
+            context: dependencies.context,
+            documents: dependencies.documents,
+            backends: dependencies.backends,
+            relay: dependencies.relay,
+            directory: dependencies.directory,
+            claims: dependencies.claims,
+            admission: dependencies.admission,
+            client: dependencies.client,
+            transport: dependencies.transport,
+            events: dependencies.events,
+            metrics: dependencies.metrics,
+            holding_times: Rc::default(),
+            capacity_signal: Rc::default(),
+            pending_sends: Rc::default(),
             draining: Cell::new(false),
             policies: RefCell::default(),
             budgets: RefCell::default(),
-            memory: MemoryBudget::new(config.body_memory),
+            memory: MemoryBudget::new(config.body_memory_bytes),
             config,
         };
         Self { shared: Rc::new(shared) }
     }
 
-    /// Leaves entry answers and refuses new requests; those in progress go on.
+    /// Starts draining: new requests are refused, and the gateway is no longer an entry point.
+    /// Requests in progress continue.
     pub fn drain(&self) {
         self.draining.set(true);
         self.events.emit(EventDraft::new("gateway.draining").field("gateway", &self.config.vm));
     }
 
-    /// What it carries now.
+    /// Returns the current load and state.
     pub fn status(&self) -> GatewayStatus {
         GatewayStatus {
             open_requests: u64::try_from(self.metrics.open_requests().get()).unwrap_or(0),
@@ -157,15 +159,15 @@
         }
     }
 
-    /// Something about backend servers changed: requests that wait are decided anew, with the slots
-    /// there are now.
+    /// Updates capacities after a change of backend servers and wakes waiting requests, which
+    /// repeat their routing decision.
     pub fn backends_changed(&self) {
         if let Some(view) = self.documents.current() {
             for document in view.documents() {
                 self.refresh_document(document);
             }
         }
-        self.changes.notify();
+        self.capacity_signal.notify();
     }
 
     fn refresh_document(&self, document: &ServiceDocument) {
@@ -177,12 +179,12 @@
         }
     }
 
-    /// Index of the configuration in force, where there is one.
+    /// Returns the index of the configuration in force, or `None` without one.
     pub fn configuration_index(&self) -> Option<u64> {
         self.documents.current().map(|view| view.index())
     }
 
-    /// Whether it has a configuration and takes new requests.
+    /// Returns whether the gateway has a configuration and accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.documents.current().is_some() && !self.draining.get()
     }
@@ -190,20 +192,20 @@
     async fn serve(&self, request: Request<RequestBody>) -> Result<Response<ReplyBody>, ApiError> {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
-            (&Method::POST, "/v1/announce") => self.announce(request).await,
-            (&Method::GET, "/v1/entry") => self.entry(&request),
-            (&Method::GET, "/v1/models") => self.models(&request),
+            (&Method::POST, "/v1/announce") => self.serve_announce(request).await,
+            (&Method::GET, "/v1/entry") => self.serve_entry(&request),
+            (&Method::GET, "/v1/models") => self.serve_models(&request),
             (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-                self.complete(request).await
+                self.serve_completion(request).await
             }
-            (_, path) if path.starts_with("/services/") => self.plain(request).await,
+            (_, path) if path.starts_with("/services/") => self.serve_plain(request).await,
             (_, path) => Err(refusal::not_found(path)),
         }
     }
 }
 
 impl GatewayShared {
-    /// Emits an event of one request.
+    /// Emits an event for one request.
     pub(crate) fn emit(
         &self,
         plan: &CallPlan,
@@ -217,7 +219,7 @@
         self.draining.get()
     }
 
-    /// The name under which requests for `target` queue and are measured.
+    /// Returns the name under which requests for `target` are queued and counted in metrics.
     pub(crate) fn queue_name(&self, target: &ServiceTarget) -> ModelName {
         match target {
             ServiceTarget::Model(model) => model.clone(),
@@ -226,14 +228,15 @@
         }
     }
 
-    /// How long a request for `target` holds a slot, on average.
-    pub(crate) fn average_hold(&self, target: &ServiceTarget) -> Duration {
-        self.holds.get(&self.queue_name(target))
+    /// Returns the average time that a request for `target` holds a slot.
+    pub(crate) fn average_holding_time(&self, target: &ServiceTarget) -> Duration {
+        self.holding_times.get(&self.queue_name(target))
     }
 
-    /// The policy that decides `plan`: one for each service and target, since each has its own
-    /// account of what it sent away. Replaced where the document's cap changed.
-    pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<GladePolicy>> {
+    /// Returns the routing policy for `plan`. There is one for each service and target, since each
+    /// limits the share of requests it forwards on its own. Replaced when the limit in the document
+    /// changes.
+    pub(crate) fn policy(&self, plan: &CallPlan) -> Rc<CheckedPolicy<LatencyPolicy>> {
         let key = (plan.service().clone(), plan.target.clone());
         let cap = plan.document.limits.away_share;
         let mut policies = self.policies.borrow_mut();
@@ -244,7 +247,8 @@
         Rc::clone(&entry.policy)
     }
 
-    /// The retries that a service may still make. Replaced where the document's share changed.
+    /// Returns the retry budget of a service. Replaced when the retry share in the document
+    /// changes.
     pub(crate) fn retry_budget(&self, document: &ServiceDocument) -> Rc<RetryBudget> {
         let ratio = document.limits.retry_share;
         let mut budgets = self.budgets.borrow_mut();
@@ -261,9 +265,9 @@
 
 impl PolicyEntry {
     fn new(cap: f64) -> Self {
-        let away = AwaySettings { cap, ..AwaySettings::default() };
-        let settings = GladeSettings { away, ..GladeSettings::default() };
-        Self { cap, policy: Rc::new(CheckedPolicy::new(GladePolicy::new(settings))) }
+        let away = ForwardingSettings { max_share: cap, ..ForwardingSettings::default() };
+        let settings = LatencySettings { forwarding: away, ..LatencySettings::default() };
+        Self { cap, policy: Rc::new(CheckedPolicy::new(LatencyPolicy::new(settings))) }
     }
 }
 
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,18 +1,18 @@
-//! Placing a request: ask for a decision, make the attempt, and judge its failure.
+//! The attempt loop: route the request, make an attempt, and decide on a retry after a failure.
 
 use {
     crate::{
-        attempt::{AttemptAnswer, AttemptFailure, BackendPlace},
+        attempt::{AttemptAnswer, AttemptFailure, SelectedBackend},
+        attempt_guard::{AttemptGuard, EngineTimeMeter},
         call::CallPlan,
         claimed::ClaimStage,
-        decide::{Placement, clamp_u32},
+        decide::{Placement, saturating_u32},
         gateway::Gateway,
-        queue_place::{QueuePlace, SlotWait},
+        queue_position::{QueuePosition, SlotWait},
         refusal,
-        work::{CostMeter, WorkGuard},
     },
     futures::future::{Either, select},
-    gullglade_admission::{AdmissionPermit, AdmissionPriority, AdmissionTicket},
+    gullglade_admission::{AdmissionPermit, AdmissionPriority, AdmissionRequest},
     gullglade_document::Priority,
     gullglade_http::ApiError,
     gullglade_route::RefuseReason,
@@ -20,119 +20,123 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often a request that waits in the queue asks whether another region has become better.
-const RECHECK_AFTER: Duration = Duration::from_millis(250);
+/// Interval at which a queued request checks if another region has become the better choice.
+const ROUTE_RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What happened to a request so far.
+/// The attempts made for a request so far.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
-    /// Attempts made.
+    /// Number of attempts made.
     pub(crate) attempts: u32,
-    /// Whether one of them may have run.
+    /// Set if one of the attempts may have run.
     pub(crate) may_have_run: bool,
-    /// How far the claim on the request's key has come.
+    /// State of the claim on the request's key.
     pub(crate) claim: ClaimStage,
-    /// Backend servers that failed it.
+    /// Backend servers whose attempt failed.
     pub(crate) failed_backends: Vec<BackendName>,
-    /// Regions that could not take it.
+    /// Regions whose attempt failed.
     pub(crate) failed_regions: Vec<RegionName>,
     last_reason: Option<String>,
 }
 
 impl Gateway {
-    /// Places `plan` until an attempt answers, or nothing more may be tried. The error is what the
-    /// caller is told.
-    pub(crate) async fn place(
+    /// Attempts `plan` until an attempt answers or no further attempt is allowed. Returns the error
+    /// for the caller in the latter case.
+    pub(crate) async fn run_attempts(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
     ) -> Result<AttemptAnswer, ApiError> {
-        let mut place = QueuePlace::default();
+        let mut position = QueuePosition::default();
         loop {
-            let failure = match self.attempt(plan, history, &mut place).await? {
+            let failure = match self.attempt(plan, history, &mut position).await? {
                 Ok(answer) => return Ok(answer),
                 Err(failure) => failure,
             };
-            let keeps_place = place.is_held() && failure.is_not_run();
-            self.note_failure(plan, history, failure);
-            let goes_on = match keeps_place {
-                true => self.is_safe_again(plan, history),
-                false => self.may_try_again(plan, history),
+            let keeps_position = position.has_entered() && failure.is_not_run();
+            self.record_failure(plan, history, failure);
+            let can_continue = match keeps_position {
+                true => self.is_retry_safe(plan, history),
+                false => self.may_retry(plan, history),
             };
-            if !goes_on {
-                return Err(self.give_up(plan, history));
+            if !can_continue {
+                return Err(self.final_error(plan, history));
             }
         }
     }
 
-    /// Makes one attempt. The outer error is a refusal that no further attempt would change.
+    /// Makes one attempt. The outer error is a refusal that further attempts would not change.
     ///
-    /// The order is the one that the replay of arrivals measures (`crates/experiment`): decide with
-    /// the wait that the queue would mean, wait in the queue only where that is the best, and decide
-    /// anew with a slot in hand. The place in the queue is kept while another region is asked, since
-    /// that may refuse.
+    /// The order of the steps is the same as in the arrival replay of `crates/experiment`: route
+    /// with the expected queueing delay, wait in the queue only if the policy prefers that, and
+    /// route again once a slot is granted. The queue position is kept while another region is
+    /// tried, since that region may refuse.
     async fn attempt(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
-        place: &mut QueuePlace,
+        position: &mut QueuePosition,
     ) -> Result<Result<AttemptAnswer, AttemptFailure>, ApiError> {
         loop {
-            let wait = match place.is_granted() {
+            let wait = match position.is_granted() {
                 true => Duration::ZERO,
                 false => self.expected_wait(plan),
             };
             match self.decide(plan, history, wait) {
                 Placement::Refuse(reason, retry_after) => {
-                    return Err(self.refused(plan, history, reason, retry_after));
+                    return Err(self.route_refusal(plan, history, reason, retry_after));
                 }
-                Placement::Away(region) => {
-                    let asking = self.attempt_away(plan, history, region);
-                    return place.keep_during(&*self.context.clock, asking).await;
+                Placement::Remote(region) => {
+                    let forward = self.attempt_remote(plan, history, region);
+                    return position.hold_during(&*self.context.clock, forward).await;
                 }
-                Placement::Local(_) | Placement::Wait(_) if !place.is_granted() => {
-                    self.admit(plan, history, place).await?;
+                Placement::Local(_) | Placement::Wait(_) if !position.is_granted() => {
+                    self.wait_for_slot(plan, history, position).await?;
                 }
                 Placement::Local(backend) => {
-                    return self.attempt_at(plan, history, backend, place.take_permit()).await;
+                    return self
+                        .attempt_backend(plan, history, backend, position.take_permit())
+                        .await;
                 }
-                // What another region sent here goes on in its queue there.
+                // A forwarded request does not wait for the end of a back-off here; it continues in
+                // the queue of its region of origin.
                 Placement::Backoff(until) if plan.origin.is_none() && until < plan.deadline => {
                     self.wait_for_change(plan, until.since(self.context.clock.now())).await;
                 }
                 Placement::Backoff(until) => {
                     let reason = "its backend servers have requested a back-off";
                     let wait = until.since(self.context.clock.now());
-                    return Err(self.final_refusal(plan, history, &reason, wait));
+                    return Err(self.no_answer_error(plan, history, &reason, wait));
                 }
                 Placement::Wait(_) if self.remaining(plan).is_zero() => {
                     let reason = RefuseReason::TooLate;
-                    return Err(self.refused(plan, history, reason, Duration::from_secs(1)));
+                    return Err(self.route_refusal(plan, history, reason, Duration::from_secs(1)));
                 }
                 Placement::Wait(at_most) => self.wait_for_change(plan, at_most).await,
             }
         }
     }
 
-    async fn attempt_at(
+    async fn attempt_backend(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
-        backend: BackendPlace,
+        backend: SelectedBackend,
         permit: Option<AdmissionPermit>,
     ) -> Result<Result<AttemptAnswer, AttemptFailure>, ApiError> {
         self.begin_run(history).await?;
         history.attempts += 1;
-        let work = WorkGuard { _permit: permit, ..WorkGuard::default() };
-        let outcome = self.attempt_local(plan, &backend, work).await;
-        // A back-off says when to come back.
+        let guard = AttemptGuard { _permit: permit, ..AttemptGuard::default() };
+        let outcome = self.attempt_local(plan, &backend, guard).await;
+        // A backend server in back-off is tried again when the back-off ends, so it does not count
+        // as failed.
         if outcome.is_err() && self.backends.backoff_until(backend.name()).is_none() {
             history.failed_backends.push(backend.run.backend);
         }
         Ok(outcome)
     }
 
-    async fn attempt_away(
+    async fn attempt_remote(
         &self,
         plan: &CallPlan,
         history: &mut AttemptHistory,
@@ -149,63 +153,68 @@
         Ok(outcome)
     }
 
-    /// How long a request of the plan's workspace would wait in the queue.
+    /// Returns the expected queueing delay for the workspace and priority of `plan`.
     fn expected_wait(&self, plan: &CallPlan) -> Duration {
         let queue = self.queue_name(&plan.target);
         self.admission.expected_wait(&queue, &plan.workspace, admission_priority(plan))
     }
 
-    /// Waits in the queue for a slot. Without one, another region has become the better place
-    /// meanwhile, which the caller decides anew.
-    async fn admit(
+    /// Waits in the queue for a slot. Returns without one if another region has become the better
+    /// choice; the caller then routes again.
+    async fn wait_for_slot(
         &self,
         plan: &CallPlan,
         history: &AttemptHistory,
-        place: &mut QueuePlace,
+        position: &mut QueuePosition,
     ) -> Result<(), ApiError> {
-        let mut waiting = match std::mem::take(place) {
-            QueuePlace::Waiting(waiting) => waiting,
-            _ => self.enter_queue(plan),
+        let mut waiting = match std::mem::take(position) {
+            QueuePosition::Waiting(waiting) => waiting,
+            _ => self.enqueue(plan),
         };
         loop {
-            match select(waiting, self.context.clock.sleep(RECHECK_AFTER)).await {
+            match select(waiting, self.context.clock.sleep(ROUTE_RECHECK_INTERVAL)).await {
                 Either::Left((Ok(permit), _)) => {
-                    *place = QueuePlace::Granted(permit);
+                    *position = QueuePosition::Granted(permit);
                     return Ok(());
                 }
                 Either::Left((Err(refusal), _)) => {
                     let retry_after = refusal.retry_after();
-                    return Err(self.final_refusal(plan, history, &refusal, retry_after));
+                    return Err(self.no_answer_error(plan, history, &refusal, retry_after));
                 }
                 Either::Right(((), rest)) => waiting = rest,
             }
             let wait = self.expected_wait(plan);
-            if matches!(self.decide(plan, history, wait), Placement::Away(_)) {
-                *place = QueuePlace::Waiting(waiting);
+            if matches!(self.decide(plan, history, wait), Placement::Remote(_)) {
+                *position = QueuePosition::Waiting(waiting);
                 return Ok(());
             }
         }
     }
 
-    fn enter_queue(&self, plan: &CallPlan) -> SlotWait {
+    fn enqueue(&self, plan: &CallPlan) -> SlotWait {
         self.refresh_capacity(&plan.target);
-        self.admission.enter(AdmissionTicket {
+        self.admission.acquire(AdmissionRequest {
             workspace: plan.workspace.clone(),
             share: f64::from(plan.share),
             model: self.queue_name(&plan.target),
             priority: admission_priority(plan),
             deadline: Some(plan.deadline),
-            cost: clamp_u32(plan.prompt.tokens + plan.max_tokens),
+            cost: saturating_u32(plan.prompt.tokens + plan.max_tokens),
         })
     }
 
-    /// Waits until a slot may have become free. The caller's own deadline bounds the sum of waits.
+    /// Waits until a slot may have become free, `at_most` has passed or the deadline is reached.
     async fn wait_for_change(&self, plan: &CallPlan, at_most: Duration) {
         let limit = at_most.min(self.remaining(plan)).max(Duration::from_millis(1));
-        let _woken = timeout(&*self.context.clock, limit, self.changes.next()).await;
+        let _notified = timeout(&*self.context.clock, limit, self.capacity_signal.notified()).await;
     }
 
-    fn note_failure(&self, plan: &CallPlan, history: &mut AttemptHistory, failure: AttemptFailure) {
+    fn record_failure(
+        &self,
+        plan: &CallPlan,
+        history: &mut AttemptHistory,
+        failure: AttemptFailure,
+    ) {
         let (reason, ran) = match failure {
             AttemptFailure::NotRun { reason } => (reason, "not-run"),
             AttemptFailure::Unknown { reason } => {
@@ -219,25 +228,26 @@
         history.last_reason = Some(reason);
     }
 
-    /// Whether a further attempt keeps every promise: it is idempotent or was certainly not run, a
-    /// claimed request's permit is spent, and retries stay within the service's budget, so that an
-    /// outage of backend servers does not multiply the load on those left.
-    pub(crate) fn may_try_again(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
+    /// Returns whether another attempt is allowed and takes it from the retry budget. The request
+    /// must be idempotent or certainly not run, a request with a key is never retried because its
+    /// permit is spent, and the service's retry budget keeps an outage of backend servers from
+    /// multiplying the load on the rest.
+    pub(crate) fn may_retry(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
         let now = self.context.clock.now();
         history.attempts < self.config.attempt_limit
-            && self.is_safe_again(plan, history)
+            && self.is_retry_safe(plan, history)
             && self.retry_budget(&plan.document).try_retry(now)
     }
 
-    /// Waits for a retry that the budget does not have, where it comes in time: the caller of `plan`
-    /// has a part of the answer. Others may take it first.
-    pub(crate) async fn await_retry(&self, plan: &CallPlan, history: &AttemptHistory) {
-        if history.attempts >= self.config.attempt_limit || !plan.is_repeatable() {
+    /// Waits until the retry budget allows a retry, if it does before the deadline. Used when the
+    /// caller already has part of the answer. Another request may take the retry first.
+    pub(crate) async fn await_retry_budget(&self, plan: &CallPlan, history: &AttemptHistory) {
+        if history.attempts >= self.config.attempt_limit || !plan.is_idempotent() {
             return;
         }
         let budget = self.retry_budget(&plan.document);
         loop {
-            let pause = budget.pause(self.context.clock.now());
+            let pause = budget.retry_after(self.context.clock.now());
             if pause.is_zero() || pause >= self.remaining(plan) {
                 return;
             }
@@ -246,17 +256,17 @@
         }
     }
 
-    fn is_safe_again(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
-        let is_safe = plan.is_repeatable() || !history.may_have_run && !plan.is_claimed();
+    fn is_retry_safe(&self, plan: &CallPlan, history: &AttemptHistory) -> bool {
+        let is_safe = plan.is_idempotent() || !history.may_have_run && !plan.is_keyed();
         is_safe && self.remaining(plan) > Duration::ZERO
     }
 
-    pub(crate) fn give_up(&self, plan: &CallPlan, history: &AttemptHistory) -> ApiError {
+    pub(crate) fn final_error(&self, plan: &CallPlan, history: &AttemptHistory) -> ApiError {
         let reason = history.last_reason.clone().unwrap_or_default();
-        self.final_refusal(plan, history, &reason, Duration::from_secs(1))
+        self.no_answer_error(plan, history, &reason, Duration::from_secs(1))
     }
 
-    fn refused(
+    fn route_refusal(
         &self,
         plan: &CallPlan,
         history: &AttemptHistory,
@@ -265,15 +275,16 @@
     ) -> ApiError {
         let text = match reason {
             RefuseReason::Residency => "no region that the service allows can take it",
-            RefuseReason::Loop => "it has been forwarded before",
-            RefuseReason::NoBackend => "no backend server in reach serves it",
-            RefuseReason::TooLate => "no backend server can begin before its deadline",
+            RefuseReason::Loop => "it has already been forwarded between regions",
+            RefuseReason::NoBackend => "no reachable backend server serves it",
+            RefuseReason::TooLate => "no backend server can start it before its deadline",
         };
-        self.final_refusal(plan, history, &text, retry_after)
+        self.no_answer_error(plan, history, &text, retry_after)
     }
 
-    /// A refusal says `not-run` only where no attempt can have run.
-    pub(crate) fn final_refusal(
+    /// Returns the error for a request without an answer. It states `not-run` only if no attempt
+    /// can have run.
+    pub(crate) fn no_answer_error(
         &self,
         plan: &CallPlan,
         history: &AttemptHistory,
@@ -281,18 +292,18 @@
         retry_after: Duration,
     ) -> ApiError {
         match history.may_have_run {
-            true => refusal::outcome_unknown(plan.is_repeatable()),
+            true => refusal::outcome_unknown(plan.is_idempotent()),
             false => refusal::no_capacity(reason, retry_after),
         }
     }
 
-    pub(crate) fn cost_meter(&self, plan: &CallPlan) -> CostMeter {
-        CostMeter {
+    pub(crate) fn engine_time_meter(&self, plan: &CallPlan) -> EngineTimeMeter {
+        EngineTimeMeter {
             metrics: Rc::clone(&self.metrics),
             clock: Rc::clone(&self.context.clock),
             model: self.queue_name(&plan.target),
-            holds: Rc::clone(&self.holds),
-            changes: Rc::clone(&self.changes),
+            holding_times: Rc::clone(&self.holding_times),
+            capacity_signal: Rc::clone(&self.capacity_signal),
             started: self.context.clock.now(),
         }
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,38 +1,39 @@
-//! Streamed answers: every event checked, broken streams resumed where that is safe, and the end
-//! passed on only where the backend server's own end was seen.
+//! Relays streamed answers. Every event is checked, an interrupted stream is resumed if that is
+//! safe, and the end is passed on only if the backend server ended the stream itself.
 
 use {
     crate::{
         answer::{AnswerRecord, reply},
-        attempt::{AnswerPlace, AttemptAnswer},
+        attempt::{AnswerSource, AttemptAnswer},
+        attempt_guard::AttemptGuard,
         call::CallPlan,
         chat::AnswerChunk,
         gateway::Gateway,
-        place::AttemptHistory,
-        work::WorkGuard,
+        placement::AttemptHistory,
     },
     bytes::Bytes,
     eventsource_stream::{EventStream, EventStreamError, Eventsource},
     futures::{StreamExt, stream},
-    gullglade_event::{ModelSeries, Promise, RequestOutcome},
+    gullglade_event::{Invariant, ModelSeries, RequestOutcome},
     gullglade_http::{ApiError, BodyError, LocalStream, ReplyBody},
     gullglade_units::MonotonicTime,
     http::Response,
     std::rc::Rc,
 };
 
-/// The data of the last event of a whole answer.
+/// Data of the event that ends a complete answer.
 const DONE: &str = "[DONE]";
 
-/// Relays one streamed answer, over as many attempts as it takes. A caller that hangs up drops it,
-/// and with it the attempt's stream: the backend server sees its connection close and stops.
+/// Relays one streamed answer, over as many attempts as needed. If the caller disconnects, the
+/// relay is dropped together with the stream of the attempt; the backend server sees its connection
+/// close and stops.
 pub(crate) struct EventRelay {
     gateway: Gateway,
     plan: CallPlan,
     history: AttemptHistory,
     events: EventStream<LocalStream>,
-    place: AnswerPlace,
-    work: WorkGuard,
+    source: AnswerSource,
+    guard: AttemptGuard,
     record: Option<AnswerRecord>,
     tokens: u64,
     finished: bool,
@@ -41,21 +42,21 @@
     series: Rc<ModelSeries>,
 }
 
-/// One step of the relay.
+/// The result of reading one event.
 enum RelayStep {
-    /// Pass this on.
+    /// Pass this event on.
     Event(Bytes),
-    /// Nothing to pass on.
+    /// The event is not passed on.
     Skip,
-    /// The answer is whole.
+    /// The answer is complete.
     End,
     /// The attempt broke off.
     Broken,
 }
 
 impl EventRelay {
-    /// Relays `answer`. Its head goes out with its first event, so that an attempt which breaks
-    /// before that can still be repeated or told as an error.
+    /// Relays `answer`. Its head is sent with its first event, so that an attempt that fails before
+    /// that can still be retried or reported with an error status.
     pub(crate) async fn start(
         gateway: Gateway,
         plan: CallPlan,
@@ -66,14 +67,14 @@
         let series = gateway.metrics.model(&gateway.queue_name(&plan.target));
         let record = AnswerRecord::new(&plan, &answer, std::mem::take(&mut history.claim));
         let body = std::mem::replace(&mut answer.body, Box::pin(stream::empty()));
-        // Boxed: the stream of the reply moves its state with each event.
+        // Boxed because `stream::unfold` moves its state with each event.
         let mut relay = Box::new(Self {
             gateway,
             plan,
             history,
             events: body.eventsource(),
-            place: answer.place(),
-            work: std::mem::take(&mut answer.work),
+            source: answer.source(),
+            guard: std::mem::take(&mut answer.guard),
             record,
             tokens: 0,
             finished: false,
@@ -93,7 +94,7 @@
         Ok(response)
     }
 
-    /// The next piece for the caller; `None` after a whole answer.
+    /// Returns the next piece for the caller, or `None` after a complete answer.
     async fn next_item(&mut self) -> Option<Result<Bytes, BodyError>> {
         if self.outcome.is_some() {
             return None;
@@ -101,14 +102,15 @@
         match self.next_event().await {
             Ok(event) => event.map(Ok),
             Err(error) => {
-                self.gateway.metrics.breached(Promise::WholeAnswer);
+                self.gateway.metrics.record_violation(Invariant::WholeAnswer);
                 self.finish(RequestOutcome::Failed);
                 Some(Err(BodyError::Aborted { reason: error.message }))
             }
         }
     }
 
-    /// The next event, resumed as often as allowed; `None` after the last.
+    /// Returns the next event, resuming the answer as often as allowed, or `None` after the last
+    /// event.
     async fn next_event(&mut self) -> Result<Option<Bytes>, ApiError> {
         loop {
             match self.step().await {
@@ -147,7 +149,7 @@
         }
         let token = chunk.has_token();
         self.finished |= chunk.is_finish();
-        // A resumed engine opens its answer anew; the caller has seen that opening.
+        // A resumed engine sends the opening event again, which the caller already has.
         if self.tokens > 0 && !token && !self.finished {
             return RelayStep::Skip;
         }
@@ -156,17 +158,17 @@
             return RelayStep::Broken;
         }
         if token {
-            self.note_token();
+            self.record_token();
         }
-        RelayStep::Event(event_bytes(data))
+        RelayStep::Event(encode_event(data))
     }
 
-    fn note_token(&mut self) {
+    fn record_token(&mut self) {
         let now = self.gateway.context.clock.now();
         match self.last_token {
             None => {
-                self.work.first_token();
-                self.gateway.note_first_token(&self.plan);
+                self.guard.first_token();
+                self.gateway.record_first_token(&self.plan);
             }
             Some(last) => self.series.inter_token(now.since(last)),
         }
@@ -174,12 +176,12 @@
         self.tokens += 1;
     }
 
-    /// Stores the answer for resends and hands out the last event.
+    /// Stores the answer for resends and returns the final event.
     async fn end(&mut self) -> Option<Bytes> {
         if self.outcome.is_some() {
             return None;
         }
-        let last = event_bytes(DONE);
+        let last = encode_event(DONE);
         if let Some(mut record) = self.record.take() {
             record.push(&last);
             record.store().await;
@@ -188,37 +190,37 @@
         Some(last)
     }
 
-    /// Goes on at the token where the attempt broke off, at another place.
+    /// Resumes the answer with a new attempt at the token where the last one broke off.
     async fn resume(&mut self) -> Result<(), ApiError> {
-        // A run whose events cannot be used may still be at work; dropping its stream ends it.
-        self.events = no_events();
-        self.work = WorkGuard::default();
+        // A run whose events are unusable may still be active; dropping its stream stops it.
+        self.events = empty_events();
+        self.guard = AttemptGuard::default();
         if self.tokens > 0 {
-            self.gateway.await_retry(&self.plan, &self.history).await;
+            self.gateway.await_retry_budget(&self.plan, &self.history).await;
         }
-        self.gateway.lost_answer(&self.plan, &self.place, &mut self.history)?;
+        self.gateway.handle_lost_answer(&self.plan, &self.source, &mut self.history)?;
         self.plan.offset = self.tokens;
         self.gateway.emit(&self.plan, "answer.resumed", |e| e.field("offset", self.tokens));
-        let answer = self.gateway.place(&self.plan, &mut self.history).await?;
-        self.place = answer.place();
-        self.work = answer.work;
+        let answer = self.gateway.run_attempts(&self.plan, &mut self.history).await?;
+        self.source = answer.source();
+        self.guard = answer.guard;
         self.events = answer.body.eventsource();
         Ok(())
     }
 
     fn finish(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
-        self.work = WorkGuard::default();
-        self.plan.span.set(outcome);
+        self.guard = AttemptGuard::default();
+        self.plan.span.set_outcome(outcome);
     }
 }
 
-fn no_events() -> EventStream<LocalStream> {
+fn empty_events() -> EventStream<LocalStream> {
     let ended: LocalStream = Box::pin(stream::empty());
     ended.eventsource()
 }
 
-fn event_bytes(data: &str) -> Bytes {
+fn encode_event(data: &str) -> Bytes {
     let mut event = String::with_capacity(data.len() + 8);
     for line in data.split('\n') {
         event.push_str("data: ");
--- a/crates/gateway/src/testing.rs
+++ b/crates/gateway/src/testing.rs
@@ -1,19 +1,19 @@
-//! A gateway whose neighbours are fakes, for this crate's tests.
+//! A gateway with fake backend servers and peers, for the tests of this crate.
 
-mod neighbours;
+mod fakes;
 
 use {
     crate::{
-        EntryAnswer, Gateway, GatewayConfig, GatewayParts, RegionDirectory, RegionRow,
-        completion::collect,
+        EntryAnswer, Gateway, GatewayConfig, GatewayDependencies, RegionDirectory, RegionStatus,
+        completion::collect_body,
     },
     bytes::Bytes,
     gullglade_admission::{AdmissionQueue, AdmissionSettings},
     gullglade_backend::{
-        Announcement, BackendConfig, BackendRelay, BackendTable, GatewayProfile, OwnGateway,
-        RelayConfig, RelaySeams,
+        Announcement, BackendConfig, BackendRelay, BackendTable, GatewayProfile, LocalGateway,
+        RelayConfig, RelayDependencies,
     },
-    gullglade_claim::{ClaimKeeper, ClaimSettings, LocalClaims},
+    gullglade_claim::{ClaimCoordinator, ClaimSettings, LocalClaims},
     gullglade_document::{ConfigView, FixedConfig, ServiceDocument, ServiceTarget},
     gullglade_event::{MetricSet, NullSink},
     gullglade_http::{ReplyBody, RequestBody, RequestHandler},
@@ -25,18 +25,18 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-pub(crate) use neighbours::{
-    AnswerPause, BackendFate, CountedClient, CountedTransport, PeerFate, StatedHeader,
+pub(crate) use fakes::{
+    AnswerPause, BackendBehavior, FakeClient, FakeTransport, HeaderPair, PeerBehavior,
 };
 
-/// The most bytes of a reply in these tests.
+/// Maximum size of a reply body.
 const BODY_LIMIT: usize = 1 << 20;
 
-/// How long backend servers have served when a test begins.
-const SETTLED: Duration = Duration::from_secs(15);
+/// Time for which backend servers have been serving when a test begins.
+const WARM_UP: Duration = Duration::from_secs(15);
 
-/// The gateway's region.
-pub(crate) const HERE: &str = "columbia";
+/// Region of the gateway under test.
+pub(crate) const LOCAL_REGION: &str = "columbia";
 
 pub(crate) const DOCUMENT: &str = r#"
 service = "ballast-order-desk"
@@ -53,15 +53,15 @@
 token_sha256 = ["e6b65e762ddebe3e893b84a5aa2f51f69965cf051c9015ef121d07e40c1c91ca"]
 "#;
 
-/// Offers plenty of free engines in inland, from some time on.
+/// Reports the region inland as reachable, with ample free capacity, from a given time on.
 struct InlandDirectory {
     from: MonotonicTime,
     clock: Rc<dyn Clock>,
 }
 
 impl RegionDirectory for InlandDirectory {
-    fn offers(&self, _target: &ServiceTarget) -> Vec<RegionRow> {
-        vec![RegionRow {
+    fn region_statuses(&self, _target: &ServiceTarget) -> Vec<RegionStatus> {
+        vec![RegionStatus {
             region: region("inland"),
             reachable: self.clock.now() >= self.from,
             link: Duration::from_millis(1),
@@ -75,7 +75,7 @@
         }]
     }
 
-    fn gateways(&self, _region: &RegionName) -> Vec<SocketAddr> {
+    fn gateway_addresses(&self, _region: &RegionName) -> Vec<SocketAddr> {
         vec![address()]
     }
 
@@ -86,74 +86,74 @@
     fn note_failure(&self, _address: SocketAddr) {}
 }
 
-/// How the neighbours of a gateway under test behave.
+/// Configuration of a gateway under test and its fakes.
 pub(crate) struct TestSetup<'a> {
     pub(crate) document: &'a str,
-    /// Whether an engine and a plain service have announced themselves.
-    pub(crate) engines: bool,
-    pub(crate) fate: BackendFate,
-    pub(crate) peers: PeerFate,
-    /// Since when another region offers itself, counted from the begin of the test.
-    pub(crate) offers_from: Duration,
+    /// Set if an engine and a plain service have announced themselves.
+    pub(crate) has_engines: bool,
+    pub(crate) behavior: BackendBehavior,
+    pub(crate) peers: PeerBehavior,
+    /// Time from the start of the test after which another region is reachable.
+    pub(crate) remote_reachable_after: Duration,
     pub(crate) attempt_limit: u32,
-    /// Whether there is a second engine, which always answers.
-    pub(crate) has_second: bool,
+    /// Set if there is a second engine, which always answers.
+    pub(crate) has_second_engine: bool,
 }
 
 impl Default for TestSetup<'_> {
     fn default() -> Self {
         Self {
             document: DOCUMENT,
-            engines: true,
-            fate: BackendFate::Answers,
-            peers: PeerFate::Ends,
-            offers_from: Duration::ZERO,
+            has_engines: true,
+            behavior: BackendBehavior::Answers,
+            peers: PeerBehavior::Ends,
+            remote_reachable_after: Duration::ZERO,
             attempt_limit: 4,
-            has_second: false,
+            has_second_engine: false,
         }
     }
 }
 
-/// A gateway in [`HERE`] whose neighbours are fakes.
+/// A gateway in [`LOCAL_REGION`] with fake backend servers and peers.
 pub(crate) struct TestGateway {
     pub(crate) world: FakeWorld,
     pub(crate) gateway: Gateway,
-    pub(crate) client: Rc<CountedClient>,
-    pub(crate) transport: Rc<CountedTransport>,
+    pub(crate) client: Rc<FakeClient>,
+    pub(crate) transport: Rc<FakeTransport>,
     pub(crate) metrics: Rc<MetricSet>,
     pub(crate) context: ProcessContext,
 }
 
 impl TestGateway {
-    pub(crate) fn new(document: &str, engines: bool, fate: BackendFate) -> Self {
-        Self::with_claims(document, engines, fate, |context| {
+    pub(crate) fn new(document: &str, has_engines: bool, behavior: BackendBehavior) -> Self {
+        Self::with_claims(document, has_engines, behavior, |context| {
             Rc::new(LocalClaims::first_start(context, ClaimSettings::default()))
         })
     }
 
     pub(crate) fn with_claims(
         document: &str,
-        engines: bool,
-        fate: BackendFate,
-        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimKeeper>,
+        has_engines: bool,
+        behavior: BackendBehavior,
+        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimCoordinator>,
     ) -> Self {
-        let setup = TestSetup { document, engines, fate, ..TestSetup::default() };
+        let setup = TestSetup { document, has_engines, behavior, ..TestSetup::default() };
         Self::with_setup(&setup, claims)
     }
 
-    /// A gateway as `setup` wants it, with claims of its own.
-    pub(crate) fn with(setup: &TestSetup<'_>) -> Self {
+    /// Creates a gateway from `setup`, with local claims, after the warm-up of its backend servers.
+    pub(crate) fn warmed_up(setup: &TestSetup<'_>) -> Self {
         let gateway = Self::with_setup(setup, |context| {
             Rc::new(LocalClaims::first_start(context, ClaimSettings::default()))
         });
-        // A backend server that has just joined is trusted with a part of its slots only.
+        // Only a fraction of the slots of a backend server is used while it warms up.
         for sequence in 2..=4 {
-            gateway.world.run_for(SETTLED / 3);
-            if setup.engines {
+            gateway.world.run_for(WARM_UP / 3);
+            if setup.has_engines {
                 announce(&gateway.gateway.backends, 1, sequence);
             }
-            if setup.has_second {
-                gateway.announce_second(sequence);
+            if setup.has_second_engine {
+                gateway.announce_second_engine(sequence);
             }
         }
         gateway
@@ -161,35 +161,48 @@
 
     fn with_setup(
         setup: &TestSetup<'_>,
-        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimKeeper>,
+        claims: impl FnOnce(ProcessContext) -> Rc<dyn ClaimCoordinator>,
     ) -> Self {
-        let TestSetup { document, engines, fate, peers, offers_from, attempt_limit, has_second: _ } =
-            *setup;
+        let TestSetup {
+            document,
+            has_engines,
+            behavior,
+            peers,
+            remote_reachable_after,
+            attempt_limit,
+            has_second_engine: _,
+        } = *setup;
         let (world, context) = FakeWorld::new(1);
         let clock = Rc::clone(&context.clock);
-        let transport = Rc::new(CountedTransport::new(peers, &clock));
-        let client = Rc::new(CountedClient::new(fate, &clock));
+        let transport = Rc::new(FakeTransport::new(peers, &clock));
+        let client = Rc::new(FakeClient::new(behavior, &clock));
         let metrics = Rc::new(MetricSet::new().unwrap());
-        let backends = Rc::new(BackendTable::new(region(HERE), BackendConfig::default(), clock));
-        if engines {
+        let backends =
+            Rc::new(BackendTable::new(region(LOCAL_REGION), BackendConfig::default(), clock));
+        if has_engines {
             announce(&backends, 1, 1);
         }
         let own = own_gateway();
-        let mut config = GatewayConfig::new(own.vm.clone(), region(HERE), domain());
+        let mut config = GatewayConfig::new(own.vm.clone(), region(LOCAL_REGION), domain());
         config.attempt_limit = attempt_limit;
-        let seams = RelaySeams {
+        let relay_dependencies = RelayDependencies {
             transport: Rc::clone(&transport) as _,
             events: Rc::new(NullSink),
             context: context.clone(),
         };
-        let relay = BackendRelay::new(own, Rc::clone(&backends), RelayConfig::default(), seams);
+        let relay = BackendRelay::new(
+            own,
+            Rc::clone(&backends),
+            RelayConfig::default(),
+            relay_dependencies,
+        );
         let document = Rc::new(ServiceDocument::try_from(document).unwrap());
-        let parts = GatewayParts {
+        let dependencies = GatewayDependencies {
             documents: Rc::new(FixedConfig::new(ConfigView::new(1, [document]))),
             backends,
             relay,
             directory: Rc::new(InlandDirectory {
-                from: MonotonicTime(SETTLED + offers_from),
+                from: MonotonicTime(WARM_UP + remote_reachable_after),
                 clock: Rc::clone(&context.clock),
             }),
             claims: claims(context.clone()),
@@ -200,32 +213,32 @@
             metrics: Rc::clone(&metrics),
             context: context.clone(),
         };
-        let gateway = Gateway::new(config, parts);
+        let gateway = Gateway::new(config, dependencies);
         gateway.backends_changed();
         Self { world, gateway, client, transport, metrics, context }
     }
 
-    /// Sends a request of the workspace `roadmasters` and returns the reply's head, and its body
-    /// where that is whole.
-    pub(crate) fn post(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
+    /// Sends a request of the workspace `roadmasters` with an idempotency key. Returns the head of
+    /// the reply, and its body if it is complete.
+    pub(crate) fn post_with_key(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
         let (request, body) = caller_request(path, body);
         let request = request.header("idempotency-key", "order-1");
-        self.world.run_until(self.reply((request, body)))
+        self.world.run_until(self.handle((request, body)))
     }
 
-    /// The same for a request that may be repeated.
-    pub(crate) fn ask(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
-        self.world.run_until(self.answer(path, body))
+    /// Sends a request without a key and waits for the reply.
+    pub(crate) fn post_without_key(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
+        self.world.run_until(self.send(path, body))
     }
 
-    /// Lets the engines announce themselves anew, as serving.
+    /// Renews the announcements of the engines, in the state serving.
     pub(crate) fn renew(&self, incarnation: u64, sequence: u64) {
         announce(&self.gateway.backends, incarnation, sequence);
-        self.announce_second(sequence);
+        self.announce_second_engine(sequence);
         self.gateway.backends_changed();
     }
 
-    /// Lets the first engine announce that it leaves.
+    /// Announces that the first engine is leaving.
     pub(crate) fn announce_leaving(&self, sequence: u64) {
         let run = ("engine-1", 1, sequence);
         let text = announcement(run, "engine", address()).replace("serving", "leaving");
@@ -233,26 +246,26 @@
         self.gateway.backends_changed();
     }
 
-    fn announce_second(&self, sequence: u64) {
-        let text = announcement(("engine-2", 1, sequence), "engine", second_address());
+    fn announce_second_engine(&self, sequence: u64) {
+        let text = announcement(("engine-2", 1, sequence), "engine", second_engine_address());
         announce_one(&self.gateway.backends, &text);
     }
 
-    /// The reply to a request that may be repeated.
-    pub(crate) async fn answer(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
-        self.reply(caller_request(path, body)).await
+    /// Sends a request without a key.
+    pub(crate) async fn send(&self, path: &str, body: &str) -> (Parts, Option<Bytes>) {
+        self.handle(caller_request(path, body)).await
     }
 
-    /// Takes all retries that the budget has now.
-    pub(crate) fn empty_budget(&self) {
+    /// Takes all retries that the budget allows now.
+    pub(crate) fn drain_retry_budget(&self) {
         let view = self.gateway.documents.current().unwrap();
         let document = Rc::clone(view.documents().next().unwrap());
         let budget = self.gateway.retry_budget(&document);
         while budget.try_retry(self.context.clock.now()) {}
     }
 
-    /// Keeps the retry budget empty for some seconds, unless it is to be had.
-    pub(crate) async fn spend_budget(&self, has_budget: bool) {
+    /// Keeps the retry budget empty for six seconds, unless `has_budget` is set.
+    pub(crate) async fn keep_retry_budget_empty(&self, has_budget: bool) {
         let view = self.gateway.documents.current().unwrap();
         let document = Rc::clone(view.documents().next().unwrap());
         let budget = self.gateway.retry_budget(&document);
@@ -262,12 +275,12 @@
         }
     }
 
-    async fn reply(&self, (request, body): (Builder, Bytes)) -> (Parts, Option<Bytes>) {
+    async fn handle(&self, (request, body): (Builder, Bytes)) -> (Parts, Option<Bytes>) {
         let request = request.body(RequestBody::from_bytes(body)).unwrap();
         let (head, body) = self.gateway.handle(request, address()).await.into_parts();
         let body = match body {
             ReplyBody::Full(bytes) => Some(bytes),
-            ReplyBody::Stream(mut pieces) => collect(&mut pieces, BODY_LIMIT).await,
+            ReplyBody::Stream(mut pieces) => collect_body(&mut pieces, BODY_LIMIT).await,
         };
         (head, body)
     }
@@ -290,21 +303,21 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// Where the second engine takes requests.
-fn second_address() -> SocketAddr {
+/// Address of the second engine.
+fn second_engine_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10))
 }
 
-fn own_gateway() -> OwnGateway {
+fn own_gateway() -> LocalGateway {
     let profile = GatewayProfile {
-        region: region(HERE),
+        region: region(LOCAL_REGION),
         domain: domain(),
         peer_address: address(),
         caller_address: address(),
         limit: 64,
     };
     let vm = VmName::try_from("columbia-1").unwrap();
-    OwnGateway { vm, incarnation: Incarnation(1), profile }
+    LocalGateway { vm, incarnation: Incarnation(1), profile }
 }
 
 /// Announces an engine and a plain service.
@@ -332,7 +345,7 @@
     serde_json::json!({
         "name": name, "incarnation": incarnation, "sequence": sequence, "state": "serving",
         "profile": {
-            "region": HERE, "domain": "a", "address": address, "kind": kind,
+            "region": LOCAL_REGION, "domain": "a", "address": address, "kind": kind,
             "models": models, "services": services,
             "capacity": {
                 "slots": 4, "tokens_per_second": 100, "prefill_tokens_per_second": 10_000,
--- a/crates/order/src/ledger.rs
+++ b/crates/order/src/registry.rs
@@ -1,4 +1,4 @@
-//! The orders of a desk by id, so that a resend does nothing twice.
+//! The orders of a dispatcher by id, so that a resend is not carried out again.
 
 use {
     crate::{EngineOrder, OrderError, OrderOutcome},
@@ -10,59 +10,59 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// What became of an order.
+/// Result of an order.
 pub(crate) type OrderResult = Result<OrderOutcome, OrderError>;
 
-struct LedgerEntry {
+struct RegistryEntry {
     order: EngineOrder,
     result: Shared<Receiver<OrderResult>>,
 }
 
-/// What to do with an order that was asked for.
-pub(crate) enum LedgerTicket {
-    /// It is new: carry it out and report to the sender.
+/// Result of registering an order.
+pub(crate) enum Registration {
+    /// The order is new. The caller carries it out and reports the result to the sender.
     New(Sender<OrderResult>, Shared<Receiver<OrderResult>>),
-    /// It is under way or done.
+    /// The order is in progress or done.
     Known(Shared<Receiver<OrderResult>>),
 }
 
-/// Orders by id, a bounded number of those that are done.
-pub(crate) struct OrderLedger {
-    entries: BTreeMap<ChangeId, LedgerEntry>,
+/// Orders by id. The number of completed orders is bounded.
+pub(crate) struct OrderRegistry {
+    entries: BTreeMap<ChangeId, RegistryEntry>,
     done: VecDeque<ChangeId>,
-    remembered: usize,
+    outcome_limit: usize,
 }
 
-impl OrderLedger {
-    pub(crate) fn new(remembered: usize) -> Self {
-        Self { entries: BTreeMap::new(), done: VecDeque::new(), remembered }
+impl OrderRegistry {
+    pub(crate) fn new(outcome_limit: usize) -> Self {
+        Self { entries: BTreeMap::new(), done: VecDeque::new(), outcome_limit }
     }
 
-    /// Enters an order; refuses another order under a known id.
-    pub(crate) fn enter(&mut self, order: &EngineOrder) -> Result<LedgerTicket, OrderError> {
+    /// Registers an order. Fails if the id was used for a different order.
+    pub(crate) fn register(&mut self, order: &EngineOrder) -> Result<Registration, OrderError> {
         if let Some(entry) = self.entries.get(&order.id) {
             let same = entry.order.action == order.action
                 && entry.order.target.backend == order.target.backend;
             return match same {
-                true => Ok(LedgerTicket::Known(entry.result.clone())),
+                true => Ok(Registration::Known(entry.result.clone())),
                 false => Err(OrderError::IdReused { id: order.id.clone() }),
             };
         }
         let (sender, receiver) = channel();
         let result = receiver.shared();
-        let entry = LedgerEntry { order: order.clone(), result: result.clone() };
+        let entry = RegistryEntry { order: order.clone(), result: result.clone() };
         self.entries.insert(order.id.clone(), entry);
-        Ok(LedgerTicket::New(sender, result))
+        Ok(Registration::New(sender, result))
     }
 
-    /// Notes the end of an order. A failed one is forgotten, so that a resend tries again.
-    pub(crate) fn end(&mut self, id: &ChangeId, succeeded: bool) {
+    /// Marks an order as completed. A failed order is removed, so that a resend tries again.
+    pub(crate) fn complete(&mut self, id: &ChangeId, succeeded: bool) {
         if !succeeded {
             self.entries.remove(id);
             return;
         }
         self.done.push_back(id.clone());
-        while self.done.len() > self.remembered {
+        while self.done.len() > self.outcome_limit {
             let oldest = self.done.pop_front();
             oldest.and_then(|oldest| self.entries.remove(&oldest));
         }
--- a/crates/peer/src/fake/serve.rs
+++ b/crates/peer/src/fake/serve.rs
@@ -1,10 +1,11 @@
-//! The serving side: runs a handler in a task of its process and carries the reply back.
+//! Server side of the simulated network: runs handlers in tasks of their process and delivers the
+//! replies.
 
 use {
     super::{
-        endpoint::LOST_AFTER,
+        endpoint::KEEPALIVE_TIMEOUT,
         network::{FakeNetwork, FakeNode},
-        policy::{MessageFate, MessageLeg, MessagePath},
+        policy::{MessageAction, MessageDirection, MessagePath},
     },
     crate::{FaultKind, PeerFault, PeerReplySink, ReplySender, wire::CallKind},
     bytes::Bytes,
@@ -22,24 +23,26 @@
     },
 };
 
-/// The most messages of a streamed reply on their way or unread, in place of a window of bytes.
-const UNREAD_LIMIT: usize = 256;
+/// Maximum number of undelivered or unread messages of a streamed reply; stands in for the
+/// flow-control window.
+const MAX_UNREAD_MESSAGES: usize = 256;
 
-/// One message of a reply; `Ok(None)` is the end marker.
+/// Item of a reply; `Ok(None)` is the end marker.
 pub(super) struct ReplyItem {
     due: MonotonicTime,
     pub(super) stamp: HybridStamp,
     pub(super) outcome: Result<Option<Bytes>, PeerFault>,
 }
 
-/// The caller's end of a reply; dropping it cancels the handler.
-pub(super) struct ReplyPipe {
+/// Receiver of a reply. Dropping it cancels the handler.
+pub(super) struct ReplyConsumer {
     items: mpsc::Receiver<ReplyItem>,
-    _alive: oneshot::Receiver<()>,
+    _drop_guard: oneshot::Receiver<()>,
 }
 
-impl ReplyPipe {
-    /// The next item at its time of arrival; `None` where the far side is gone.
+impl ReplyConsumer {
+    /// Waits until the next item is due and returns it. Returns `None` if the serving process was
+    /// killed or has cancelled the reply.
     pub(super) async fn next(&mut self, clock: &dyn Clock) -> Option<ReplyItem> {
         let item = self.items.next().await?;
         clock.sleep(item.due.since(clock.now())).await;
@@ -47,20 +50,23 @@
     }
 }
 
-/// The serving end of a reply.
-pub(super) struct ReplyInlet {
+/// Sender of a reply.
+pub(super) struct ReplyProducer {
     items: mpsc::Sender<ReplyItem>,
-    alive: oneshot::Sender<()>,
+    consumer_dropped: oneshot::Sender<()>,
 }
 
-/// A reply's two ends.
-pub(super) fn reply_pipe() -> (ReplyInlet, ReplyPipe) {
-    let (sender, items) = mpsc::channel(UNREAD_LIMIT);
-    let (alive, held) = oneshot::channel();
-    (ReplyInlet { items: sender, alive }, ReplyPipe { items, _alive: held })
+/// Creates the channel of a reply.
+pub(super) fn reply_channel() -> (ReplyProducer, ReplyConsumer) {
+    let (sender, items) = mpsc::channel(MAX_UNREAD_MESSAGES);
+    let (consumer_dropped, drop_guard) = oneshot::channel();
+    (
+        ReplyProducer { items: sender, consumer_dropped },
+        ReplyConsumer { items, _drop_guard: drop_guard },
+    )
 }
 
-/// A call on its way to its handler.
+/// Call in transit to its handler.
 #[derive(Clone)]
 pub(super) struct FakeCall {
     pub(super) network: FakeNetwork,
@@ -73,30 +79,30 @@
 }
 
 impl FakeCall {
-    /// Runs the call in a task of the target, `delay` from now.
-    pub(super) fn start(self, delay: Duration, inlet: ReplyInlet) {
+    /// Runs the call in a task of the target process after `delay`.
+    pub(super) fn start(self, delay: Duration, producer: ReplyProducer) {
         let spawner = self.target.context.spawner.clone();
-        spawner.spawn(Box::pin(self.run(delay, inlet)));
+        spawner.spawn(Box::pin(self.run(delay, producer)));
     }
 
-    /// Runs the call and throws its reply away.
-    pub(super) fn start_unheard(self, delay: Duration) {
+    /// Runs the call after `delay` and discards its reply.
+    pub(super) fn start_discarding_reply(self, delay: Duration) {
         let spawner = self.target.context.spawner.clone();
         spawner.spawn(Box::pin(async move {
-            let (inlet, mut pipe) = reply_pipe();
-            let reading = async { while pipe.items.next().await.is_some() {} };
-            futures::future::join(self.run(delay, inlet), reading).await;
+            let (producer, mut consumer) = reply_channel();
+            let reading = async { while consumer.items.next().await.is_some() {} };
+            futures::future::join(self.run(delay, producer), reading).await;
         }));
     }
 
-    async fn run(self, delay: Duration, inlet: ReplyInlet) {
-        let ReplyInlet { items, mut alive } = inlet;
+    async fn run(self, delay: Duration, producer: ReplyProducer) {
+        let ReplyProducer { items, mut consumer_dropped } = producer;
         let items = Rc::new(RefCell::new(items));
         let network = self.network.clone();
         let clock = Rc::clone(&self.target.context.clock);
         let writer = FakeWriter { call: Rc::new(self), items, lost: Rc::default() };
         let cancelled = async {
-            alive.cancellation().await;
+            consumer_dropped.cancellation().await;
             clock.sleep(network.cancel_delay()).await;
         };
         select(pin!(serve(writer, delay)), pin!(cancelled)).await;
@@ -129,7 +135,7 @@
     }
 }
 
-/// Carries the messages of one reply back, in their order.
+/// Delivers the messages of a reply in order.
 #[derive(Clone)]
 struct FakeWriter {
     call: Rc<FakeCall>,
@@ -139,40 +145,40 @@
 
 impl FakeWriter {
     async fn deliver(&self, outcome: Result<Option<Bytes>, PeerFault>) -> Result<(), PeerFault> {
-        // Nothing arrives after a lost message: a connection keeps its order.
+        // A connection delivers in order, so nothing arrives after a lost message.
         if self.lost.get() {
             return Err(PeerFault::cancelled());
         }
         let target = &self.call.target;
         let clock = &target.context.clock;
-        match self.fate() {
-            MessageFate::Deliver(delay) | MessageFate::Duplicate(delay, _) => {
+        match self.action() {
+            MessageAction::Deliver(delay) | MessageAction::Duplicate(delay, _) => {
                 let stamp = target.clock.stamp(clock.wall());
                 self.send(ReplyItem { due: clock.now() + delay, stamp, outcome }).await
             }
-            MessageFate::Drop => {
+            MessageAction::Drop => {
                 self.lost.set(true);
-                clock.sleep(LOST_AFTER).await;
+                clock.sleep(KEEPALIVE_TIMEOUT).await;
                 Err(PeerFault::cancelled())
             }
-            MessageFate::Refuse => {
+            MessageAction::Refuse => {
                 self.lost.set(true);
                 Err(PeerFault::cancelled())
             }
         }
     }
 
-    fn fate(&self) -> MessageFate {
+    fn action(&self) -> MessageAction {
         let FakeCall { network, caller, target, method, .. } = &*self.call;
         let (from, to) = (target.address, caller.address);
-        network.fate(MessagePath { from, to, method, leg: MessageLeg::Reply })
+        network.action(MessagePath { from, to, method, direction: MessageDirection::Reply })
     }
 
     async fn send(&self, item: ReplyItem) -> Result<(), PeerFault> {
         let ready = poll_fn(|cx| self.items.borrow_mut().poll_ready(cx)).await;
         let sent = ready.and_then(|()| self.items.borrow_mut().start_send(item));
         match sent {
-            // The handler does not know yet that nobody waits for it.
+            // The cancellation has not reached the handler yet, so the send appears to succeed.
             Err(_) if !self.call.network.cancel_delay().is_zero() => Ok(()),
             sent => sent.map_err(|_| PeerFault::cancelled()),
         }
--- a/crates/peer/tests/fake.rs
+++ b/crates/peer/tests/fake.rs
@@ -1,4 +1,4 @@
-//! The fake network: every failure it can cause, as a caller sees it.
+//! Simulated network: outcome of each injected fault at the caller.
 
 use {
     bytes::Bytes,
@@ -6,8 +6,8 @@
         FaultKind, HandlerTable, PeerError, PeerFault, PeerHandler, PeerIdentity, PeerReplySink,
         PeerTransport,
         fake::{
-            FakeLink, FakeNetwork, FakeNode, FakePolicy, FakeTransport, MessageFate, MessageLeg,
-            MessagePath,
+            FakeLink, FakeNetwork, FakeNode, FakePolicy, FakeTransport, MessageAction,
+            MessageDirection, MessagePath,
         },
     },
     gullglade_units::{
@@ -24,16 +24,17 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Echoes calls after a second of thought where the method says so; streams its body's bytes.
+/// Echoes calls, after a delay of 1 s for `echo.slow`. Streams the bytes of the body one by one;
+/// `echo.hang` never ends the stream.
 struct EchoHandler {
     context: ProcessContext,
     runs: Cell<u32>,
-    ended: Rc<Cell<u32>>,
+    ended_count: Rc<Cell<u32>>,
 }
 
-struct Ended(Rc<Cell<u32>>);
+struct EndGuard(Rc<Cell<u32>>);
 
-impl Drop for Ended {
+impl Drop for EndGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
@@ -47,7 +48,7 @@
         body: Bytes,
     ) -> LocalFuture<'a, Result<Bytes, PeerFault>> {
         Box::pin(async move {
-            let _ended = Ended(self.ended.clone());
+            let _ended = EndGuard(self.ended_count.clone());
             self.runs.set(self.runs.get() + 1);
             if method == "echo.slow" {
                 self.context.clock.sleep(Duration::from_secs(1)).await;
@@ -64,7 +65,7 @@
         mut reply: PeerReplySink,
     ) -> LocalFuture<'a, Result<(), PeerFault>> {
         Box::pin(async move {
-            let _ended = Ended(self.ended.clone());
+            let _ended = EndGuard(self.ended_count.clone());
             for index in 0..body.len() {
                 reply.send(body.slice(index..=index)).await?;
             }
@@ -76,7 +77,7 @@
     }
 }
 
-/// Two processes: a caller at port 1 and an [`EchoHandler`] at port 2.
+/// A caller at port 1 and a process with an [`EchoHandler`] at port 2.
 struct Pair {
     world: FakeWorld,
     network: FakeNetwork,
@@ -86,13 +87,13 @@
     handler: Rc<EchoHandler>,
 }
 
-fn pair(policy: Rc<dyn FakePolicy>) -> Pair {
+fn start_pair(policy: Rc<dyn FakePolicy>) -> Pair {
     let (world, context) = FakeWorld::new(11);
     let server = world.process();
     let handler = Rc::new(EchoHandler {
         context: server.context().clone(),
         runs: Cell::new(0),
-        ended: Rc::default(),
+        ended_count: Rc::default(),
     });
     let network = FakeNetwork::new(policy);
     let caller = node(1, &context);
@@ -118,23 +119,23 @@
     }
 }
 
-/// One fate for each leg.
+/// Applies one action to all requests and one to all replies.
 struct FixedPolicy {
-    request: MessageFate,
-    reply: MessageFate,
+    request: MessageAction,
+    reply: MessageAction,
 }
 
 impl FakePolicy for FixedPolicy {
-    fn fate(&self, path: MessagePath<'_>) -> MessageFate {
-        match path.leg {
-            MessageLeg::Request => self.request,
-            MessageLeg::Reply => self.reply,
+    fn action(&self, path: MessagePath<'_>) -> MessageAction {
+        match path.direction {
+            MessageDirection::Request => self.request,
+            MessageDirection::Reply => self.reply,
         }
     }
 }
 
 #[test]
-fn every_fate_of_a_call_has_the_outcome_of_the_real_transport() {
+fn injected_faults_have_the_outcomes_of_the_real_transport() {
     #[derive(Debug, PartialEq)]
     enum Outcome {
         Answer,
@@ -146,13 +147,13 @@
     struct Case {
         method: &'static str,
         port: u16,
-        request: MessageFate,
-        reply: MessageFate,
+        request: MessageAction,
+        reply: MessageAction,
         runs: u32,
         millis: u64,
         outcome: Outcome,
     }
-    let ok = MessageFate::Deliver(DELAY);
+    let ok = MessageAction::Deliver(DELAY);
     let case = |method, port, request, reply, runs, millis, outcome| Case {
         method,
         port,
@@ -165,16 +166,16 @@
     let cases = [
         case("echo.it", 2, ok, ok, 1, 110, Outcome::Answer),
         case("echo.it", 3, ok, ok, 0, 0, Outcome::NothingSent),
-        case("echo.it", 2, MessageFate::Refuse, ok, 0, 0, Outcome::NothingSent),
-        case("echo.it", 2, MessageFate::Drop, ok, 0, 1_000, Outcome::TimeoutSent),
-        case("echo.it", 2, ok, MessageFate::Drop, 1, 1_000, Outcome::TimeoutSent),
-        case("echo.it", 2, ok, MessageFate::Refuse, 1, 55, Outcome::BrokenSent),
-        case("echo.it", 2, MessageFate::Duplicate(DELAY, DELAY), ok, 2, 110, Outcome::Answer),
+        case("echo.it", 2, MessageAction::Refuse, ok, 0, 0, Outcome::NothingSent),
+        case("echo.it", 2, MessageAction::Drop, ok, 0, 1_000, Outcome::TimeoutSent),
+        case("echo.it", 2, ok, MessageAction::Drop, 1, 1_000, Outcome::TimeoutSent),
+        case("echo.it", 2, ok, MessageAction::Refuse, 1, 55, Outcome::BrokenSent),
+        case("echo.it", 2, MessageAction::Duplicate(DELAY, DELAY), ok, 2, 110, Outcome::Answer),
         case("echo.slow", 2, ok, ok, 1, 1_000, Outcome::TimeoutSent),
         case("none.it", 2, ok, ok, 0, 110, Outcome::Fault(FaultKind::UnknownMethod)),
     ];
     for (index, case) in cases.into_iter().enumerate() {
-        let pair = pair(Rc::new(FixedPolicy { request: case.request, reply: case.reply }));
+        let pair = start_pair(Rc::new(FixedPolicy { request: case.request, reply: case.reply }));
         let body = Bytes::from_static(b"body");
         let calling = pair.caller.call(address(case.port), case.method, body.clone(), LIMIT);
         let outcome = match pair.world.run_until(calling) {
@@ -194,8 +195,8 @@
 }
 
 #[test]
-fn a_stream_is_delayed_but_not_slowed() {
-    let pair = pair(Rc::new(FakeLink::new(DELAY)));
+fn delay_does_not_reduce_stream_throughput() {
+    let pair = start_pair(Rc::new(FakeLink::new(DELAY)));
     let body = Bytes::from(vec![5; 100]);
     let count = pair.world.run_until(async {
         let mut stream = pair.caller.open(address(2), "echo.it", body).await.unwrap();
@@ -210,8 +211,8 @@
 }
 
 #[test]
-fn a_killed_process_breaks_its_replies_and_a_dropped_reply_its_handler() {
-    let pair = pair(Rc::new(FakeLink::new(DELAY)));
+fn killing_a_process_breaks_replies_and_dropping_a_reply_cancels_the_handler() {
+    let pair = start_pair(Rc::new(FakeLink::new(DELAY)));
     let open = || async {
         let body = Bytes::from_static(b"x");
         let mut stream = pair.caller.open(address(2), "echo.hang", body).await.unwrap();
@@ -219,23 +220,23 @@
         stream
     };
     let dropped = pair.world.run_until(open());
-    assert_eq!(pair.handler.ended.get(), 0);
+    assert_eq!(pair.handler.ended_count.get(), 0);
     drop(dropped);
     pair.world.run_for(DELAY);
-    assert_eq!(pair.handler.ended.get(), 1);
+    assert_eq!(pair.handler.ended_count.get(), 1);
 
     let mut broken = pair.world.run_until(open());
     pair.server.kill();
     pair.network.leave(address(2));
     let item = pair.world.run_until(broken.next());
     assert!(matches!(item, Some(Err(PeerError::Broken { sent: true, .. }))), "{item:?}");
-    assert_eq!(pair.handler.ended.get(), 2);
+    assert_eq!(pair.handler.ended_count.get(), 2);
 }
 
 #[test]
-fn a_cut_link_loses_messages_until_it_is_healed() {
+fn partitioned_link_drops_messages_until_healed() {
     let link = Rc::new(FakeLink::new(DELAY));
-    let pair = pair(link.clone());
+    let pair = start_pair(link.clone());
     let call = || {
         let calling = pair.caller.call(address(2), "echo.it", Bytes::new(), LIMIT);
         pair.world.run_until(calling)
@@ -247,8 +248,8 @@
 }
 
 #[test]
-fn an_answer_is_stamped_after_everything_the_far_side_knew() {
-    let pair = pair(Rc::new(FakeLink::new(DELAY)));
+fn reply_stamp_is_later_than_the_servers_clock() {
+    let pair = start_pair(Rc::new(FakeLink::new(DELAY)));
     pair.server.set_wall_offset(60_000);
     let calling = pair.caller.call(address(2), "echo.it", Bytes::new(), LIMIT);
     pair.world.run_until(calling).unwrap();
--- a/crates/proxy/tests/support/configuration.rs
+++ b/crates/proxy/tests/support/configuration.rs
@@ -1,31 +1,31 @@
-//! The one configuration of these tests, and a control process that holds it.
+//! The configuration of these tests, and a control process that serves it.
 
 use {
     super::address,
     bytes::Bytes,
     gullglade_fleet::{TrafficSnapshot, TrafficSource},
     gullglade_traffic::{
-        CallerLimits, ColdRules, RawRoute, RawService, RawTraffic, RawWorkspace, RequestKind,
-        TrafficError, TrafficFormat,
+        CallerLimits, RawRoute, RawService, RawTraffic, RawWorkspace, RequestKind, TrafficError,
+        TrafficFormat, WarmupRules,
     },
     gullglade_units::LocalFuture,
     std::{cell::Cell, collections::BTreeSet, net::SocketAddr, time::Duration},
 };
 
-/// The one configuration of these tests.
+/// Format with a fixed configuration; the text is the version.
 pub(super) struct FixedFormat {
     pub(super) kind: RequestKind,
     pub(super) timeout: Duration,
     pub(super) objective: Duration,
-    pub(super) event_patience: Option<Duration>,
-    /// The timeout of versions after the first.
+    pub(super) event_timeout: Option<Duration>,
+    /// Timeout in versions after the first.
     pub(super) later_timeout: Option<Duration>,
     pub(super) homes: Vec<String>,
     pub(super) is_public: bool,
-    /// The workspaces of each version.
+    /// Workspaces of each version.
     pub(super) workspaces: fn(u64) -> Vec<RawWorkspace>,
     pub(super) max_attempts: u32,
-    /// Where a second route begins, of idempotent requests.
+    /// Path prefix of a second route with idempotent requests.
     pub(super) plain_prefix: Option<&'static str>,
 }
 
@@ -38,7 +38,7 @@
             name: "pool".to_owned(),
             health_path: String::new(),
             connection_limit: 100,
-            cold: ColdRules { duration: Duration::ZERO, requests_per_second: 0.0 },
+            warmup: WarmupRules { duration: Duration::ZERO, requests_per_second: 0.0 },
             engine: None,
         };
         let route = RawRoute {
@@ -53,7 +53,7 @@
             max_attempts: self.max_attempts,
             has_affinity: false,
             gap_objective: Some(Duration::from_millis(300)),
-            event_patience: self.event_patience,
+            event_timeout: self.event_timeout,
             homes: self.homes.clone(),
             is_public: self.is_public,
         };
@@ -62,7 +62,7 @@
             prefix: prefix.to_owned(),
             kind: RequestKind::Idempotent,
             gap_objective: None,
-            event_patience: None,
+            event_timeout: None,
             ..route.clone()
         });
         let limits = CallerLimits {
@@ -81,11 +81,11 @@
     }
 }
 
-/// A control process that holds one configuration at a time.
+/// A control process that serves one configuration at a time.
 pub(crate) struct FixedSource {
-    /// The version and place in the log of the configuration.
+    /// Version and log index of the configuration.
     pub(super) version: Cell<u64>,
-    /// How long ago it was last known to be the newest.
+    /// Time since the configuration was last confirmed as the newest.
     pub(super) confirmed_ago: Cell<Option<Duration>>,
 }
 
