--- a/crates/dispatch/src/caller_deadline.rs
+++ b/crates/dispatch/src/caller_deadline.rs
@@ -22,7 +22,7 @@
     deadline: MonotonicTime,
     event_timeout: Option<Duration>,
 ) -> MonotonicTime {
-    let Some(patience) = event_timeout else { return deadline };
-    let margin = CANCEL_MARGIN.min(patience / MARGIN_DIVISOR);
-    deadline.min(arrived + (patience - margin))
+    let Some(event_timeout) = event_timeout else { return deadline };
+    let margin = CANCEL_MARGIN.min(event_timeout / MARGIN_DIVISOR);
+    deadline.min(arrived + (event_timeout - margin))
 }
--- a/crates/dispatch/tests/support/simulation.rs
+++ b/crates/dispatch/tests/support/simulation.rs
@@ -489,7 +489,7 @@
         }
     }
 
-    fn finish(&mut self, caller: usize, is_whole: bool) {
+    fn finish(&mut self, caller: usize, is_complete: bool) {
         let submitted = &mut self.callers[caller];
         if std::mem::replace(&mut submitted.is_over, true) {
             return;
@@ -499,7 +499,7 @@
         let objective = kind.route.objective.as_secs_f64() * 1_000.0;
         let is_late =
             submitted.first.is_some_and(|at| at - submitted.submitted_ms as f64 > objective);
-        let earned = match (is_whole, is_late || submitted.has_long_gap) {
+        let earned = match (is_complete, is_late || submitted.has_long_gap) {
             (false, _) => {
                 outcome.failed += 1;
                 0.0
--- a/crates/document/src/raw.rs
+++ b/crates/document/src/raw.rs
@@ -14,7 +14,7 @@
     pub(crate) service: ServiceName,
     pub(crate) regions: Vec<RegionName>,
     pub(crate) claim_region: Option<RegionName>,
-    #[serde(default = "default_latency_weight")]
+    #[serde(default = "default_balance")]
     pub(crate) latency_weight: f64,
     #[serde(default)]
     pub(crate) models: Vec<RawModel>,
@@ -31,7 +31,7 @@
     pub(crate) workspaces: Vec<RawWorkspace>,
 }
 
-fn default_latency_weight() -> f64 {
+fn default_balance() -> f64 {
     0.5
 }
 
--- a/crates/gateway/src/forward_server.rs
+++ b/crates/gateway/src/forward_server.rs
@@ -96,7 +96,12 @@
     }
 
     /// Reports to operators which gateway sent a request that would violate `invariant`.
-    fn report_breach(&self, invariant: Invariant, from: &PeerIdentity, request: &ForwardRequest) {
+    fn report_violation(
+        &self,
+        invariant: Invariant,
+        from: &PeerIdentity,
+        request: &ForwardRequest,
+    ) {
         self.metrics.record_violation(invariant);
         self.events.emit(
             EventDraft::new("forward.refused")
@@ -116,7 +121,7 @@
         request: ForwardRequest,
     ) -> Result<CallPlan, &'static str> {
         if check_forward(Some(&request.origin), &from.region, &self.config.region).is_err() {
-            self.report_breach(Invariant::NoLoop, from, &request);
+            self.report_violation(Invariant::NoLoop, from, &request);
             return Err("the request has already been forwarded between regions");
         }
         if self.is_draining() {
@@ -136,7 +141,7 @@
         let allowed = document.regions_of(&request.target).unwrap_or_default();
         let home_allows = rules.home.as_ref().is_none_or(|home| *home == self.config.region);
         if !allowed.contains(&self.config.region) || !home_allows {
-            self.report_breach(Invariant::Residency, from, &request);
+            self.report_violation(Invariant::Residency, from, &request);
             return Err("the service's document does not allow this region");
         }
         let received = self.context.clock.now();
--- a/crates/node/src/held_requests.rs
+++ b/crates/node/src/held_requests.rs
@@ -28,7 +28,7 @@
         /// The parse error.
         source: FingerprintError,
     },
-    /// The ledger has no record of this request.
+    /// The crash tracker has no record of this request.
     #[snafu(display(
         "no backend server termination is on record for {print}; list the held requests"
     ))]
@@ -38,11 +38,11 @@
     },
 }
 
-/// Requests held back according to the crash ledger of one process.
+/// Requests held back according to the crash tracker of one process.
 pub struct HeldRequests(Rc<SharedCrashTracker>);
 
 impl HeldRequests {
-    /// Creates a view of `ledger`.
+    /// Creates a view of the crash tracker `ledger`.
     pub fn new(ledger: Rc<SharedCrashTracker>) -> Self {
         Self(ledger)
     }
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Connects the scheduler with the tasks of requests, which wait for verdicts and report outcomes.
+//! Connects the scheduler with the tasks of requests, which wait for decisions and report outcomes.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     },
 };
 
-/// Submits requests to a [`Scheduler`] and delivers its verdicts.
+/// Submits requests to a [`Scheduler`] and delivers its decisions.
 pub struct Dispatcher {
     scheduler: RefCell<Scheduler>,
     waiting: RefCell<HashMap<TicketId, oneshot::Sender<Decision>>>,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Changes the state of the scheduler and polls it for new verdicts.
+    /// Changes the state of the scheduler and polls it for new decisions.
     pub fn update_scheduler<T>(
         self: &Rc<Self>,
         change: impl FnOnce(&mut Scheduler, MonotonicTime) -> T,
@@ -56,13 +56,13 @@
         result
     }
 
-    /// Runs `action` on the scheduler. It must not affect any verdict, since the scheduler is not
+    /// Runs `action` on the scheduler. It must not affect any decision, since the scheduler is not
     /// polled afterwards.
     pub fn with_scheduler<T>(&self, action: impl FnOnce(&mut Scheduler, MonotonicTime) -> T) -> T {
         action(&mut self.scheduler.borrow_mut(), self.context.clock.now())
     }
 
-    /// Waits for the verdict on a request. If the future is dropped, the request leaves the queue.
+    /// Waits for the decision on a request. If the future is dropped, the request leaves the queue.
     pub(crate) async fn place(self: &Rc<Self>, item: WorkItem) -> (DispatchTicket, Decision) {
         let ticket = self.scheduler.borrow_mut().submit(item, self.context.clock.now());
         let (sender, verdict) = oneshot::channel();
@@ -76,7 +76,7 @@
             is_finished: false,
         };
         self.poll_scheduler();
-        // The sender is dropped only after it has sent a verdict, or together with the last owner
+        // The sender is dropped only after it has sent a decision, or together with the last owner
         // of this dispatcher.
         let verdict = verdict.await.unwrap_or(Decision::Refuse {
             reason: RefusalReason::NoBackend,
@@ -86,8 +86,8 @@
         (dispatch_ticket, verdict)
     }
 
-    /// Issues a permit to send the request. It can be revoked as soon as there is a verdict, since
-    /// the task may act on the verdict only after the backend server has stopped accepting work.
+    /// Issues a permit to send the request. It can be revoked as soon as there is a decision, since
+    /// the task may act on the decision only after the backend server has stopped accepting work.
     fn issue_permit(&self, ticket: TicketId) -> IssuedPermit {
         let (revoke_sender, revoked) = oneshot::channel();
         let permit = SendPermit::default();
@@ -95,7 +95,7 @@
         IssuedPermit { permit, revoked }
     }
 
-    /// Polls the scheduler and delivers its verdicts.
+    /// Polls the scheduler and delivers its decisions.
     fn poll_scheduler(self: &Rc<Self>) {
         let now = self.context.clock.now();
         let verdicts = self.scheduler.borrow_mut().poll(now);
--- a/crates/proxy/tests/handover.rs
+++ b/crates/proxy/tests/handover.rs
@@ -132,9 +132,9 @@
             let is_over = begun.is_some_and(|begun| begun <= cut_at)
                 && ended.is_some_and(|ended| ended <= cut_at + ROUND_TRIP);
             let got = (response.status, response.is_incomplete, response.body.as_str());
-            let is_whole = ended.is_none() && got == (200, false, whole);
+            let is_complete = ended.is_none() && got == (200, false, whole);
             let lines = bed.events.lines();
-            assert!(is_whole || is_over, "{run}, cut after {cut_after} ms: {got:?}: {lines:#?}");
+            assert!(is_complete || is_over, "{run}, cut after {cut_after} ms: {got:?}: {lines:#?}");
         }
     }
 }
